--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -56,7 +56,7 @@
 		Dialect: func(http.RoundTripper) http.RoundTripper { return chainWork{h} },
 	})
 	h.targets.Configure(s)
-	h.targets.Heard(target.Announcement{Service: h.service, Addr: "127.0.0.1:1", Slots: chainSlots, Connections: 500, State: target.StateUp})
+	h.targets.HandleAnnouncement(target.Announcement{Service: h.service, Addr: "127.0.0.1:1", Slots: chainSlots, Connections: 500, State: target.StateUp})
 	h.proxy = New(Deps{
 		Chooser: NewChooser(self.Domain, self.Region, seed), Budget: NewBudget(), Transport: chainNet{h}, Scheme: "http",
 		Suspicion: func(uint64) int { return 0 }, Runs: h.targets.Runs,
--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -36,13 +36,13 @@
 	checkAgainPaced = 2 * time.Second
 )
 
-// Heard takes what a target says of itself. It returns false if the host has
+// HandleAnnouncement takes what a target says of itself. It returns false if the host has
 // too many targets for one more.
 //
 // Announcements can be late: one from before the target said that it leaves
 // must not bring work back to it, and one of an earlier process at the same
 // address must not replace a later one's.
-func (t *Targets) Heard(a Announcement) bool {
+func (t *Targets) HandleAnnouncement(a Announcement) bool {
 	now := time.Now()
 	t.mu.Lock()
 	x := t.all[a.Addr]
@@ -55,7 +55,7 @@
 		// Another service, name or process at the same address is another target.
 		t.mu.Unlock()
 		t.drop(x, "replaced by "+a.ID)
-		return t.Heard(a)
+		return t.HandleAnnouncement(a)
 	}
 	if x == nil && len(t.all) >= maxTargets {
 		t.mu.Unlock()
--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -161,7 +161,7 @@
 					case second:
 						time.Sleep(time.Second)
 					default:
-						c.Assert(h.Heard(said("i-1", e.born, e.seq, e.state)), qt.IsTrue)
+						c.Assert(h.HandleAnnouncement(said("i-1", e.born, e.seq, e.state)), qt.IsTrue)
 					}
 					synctest.Wait()
 				}
@@ -188,12 +188,12 @@
 		c := qt.New(t)
 		h := newHost()
 		defer h.stop()
-		h.Heard(said("i-1", 1, 1, StateUp))
+		h.HandleAnnouncement(said("i-1", 1, 1, StateUp))
 		time.Sleep(7 * time.Second)
 		synctest.Wait()
 		c.Check(*h.told.Load(), qt.HasLen, 0)
 		h.health.Store(http.StatusServiceUnavailable)
-		h.Heard(said("i-1", 1, 2, StateUp))
+		h.HandleAnnouncement(said("i-1", 1, 2, StateUp))
 		synctest.Wait()
 		ran, _ := h.call()
 		c.Check(ran, qt.IsFalse)
@@ -216,7 +216,7 @@
 		h := newBareHost()
 		defer h.stop()
 		for seq := range int64(5) {
-			h.Heard(said("i-1", 1, seq, StateUp))
+			h.HandleAnnouncement(said("i-1", 1, seq, StateUp))
 			time.Sleep(time.Second)
 		}
 		synctest.Wait()
--- a/briarrockd/target/held_test.go
+++ b/briarrockd/target/held_test.go
@@ -61,7 +61,7 @@
 		Dialect: func(http.RoundTripper) http.RoundTripper { return tr },
 	})
 	x.Configure(posting)
-	x.Heard(Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp})
+	x.HandleAnnouncement(Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp})
 	return x
 }
 
--- a/briarrockd/target/observe_test.go
+++ b/briarrockd/target/observe_test.go
@@ -104,7 +104,7 @@
 		x := ts.list()[0]
 		c.Check(kindOf(send(ts, Notice{Process: "another/0", Rate: NewRate(1)})), qt.Equals, kind.None)
 		ts.drop(x, "test")
-		ts.Heard(Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp})
+		ts.HandleAnnouncement(Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp})
 		report := Notice{Process: x.process, Rate: NewRate(1), At: time.Now()}
 		c.Check(kindOf(send(ts, report)), qt.Equals, kind.Rate)
 		time.Sleep(time.Second)
@@ -133,12 +133,12 @@
 			tr := newTelling(http.StatusOK, http.Header{})
 			ts := newBodyHost(tr)
 			defer ts.Close()
-			ts.Heard(up)
+			ts.HandleAnnouncement(up)
 			time.Sleep(time.Second) // its health check
 			tr.head.Store(&http.Header{HeaderLeaving: {x.value}})
 			x.tell(ts)
 			tr.head.Store(&http.Header{})
-			ts.Heard(up)
+			ts.HandleAnnouncement(up)
 			want := kind.None
 			if x.leaves {
 				want = kind.Drain
@@ -146,7 +146,7 @@
 			c.Check(kindOf(send(ts)), qt.Equals, want, qt.Commentf("%s", x.value))
 			next := up
 			next.Born += 10000
-			ts.Heard(next)
+			ts.HandleAnnouncement(next)
 			time.Sleep(time.Second)
 			c.Check(kindOf(send(ts)), qt.Equals, kind.None)
 		})
@@ -162,14 +162,14 @@
 		ts := newBodyHost(tr)
 		defer ts.Close()
 		up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", Born: 7, Seq: 1}
-		ts.Heard(up)
+		ts.HandleAnnouncement(up)
 		time.Sleep(time.Second) // its health check
 		c.Check(kindOf(send(ts)), qt.Equals, kind.None)
 		c.Check(kindOf(send(ts)), qt.Equals, kind.Rate)
 		tr.head.Store(&http.Header{}) // a health check names none
 		stray := up
 		stray.Born = 0
-		ts.Heard(stray)
+		ts.HandleAnnouncement(stray)
 		time.Sleep(100 * time.Millisecond)
 		c.Check(kindOf(send(ts)), qt.Equals, kind.Rate)
 	})
@@ -206,10 +206,10 @@
 		ts := newBodyHost(newTelling(http.StatusOK, http.Header{}))
 		defer ts.Close()
 		other := Announcement{Service: "posting", Addr: "10.0.0.7:81", Slots: 1, State: StateUp}
-		ts.Heard(other)
+		ts.HandleAnnouncement(other)
 		for _, leaves := range []string{address, other.Addr} {
-			ts.Heard(Announcement{Service: "posting", Addr: address, Slots: 1, State: stateIf(leaves == address)})
-			ts.Heard(Announcement{Service: "posting", Addr: other.Addr, Slots: 1, State: stateIf(leaves == other.Addr)})
+			ts.HandleAnnouncement(Announcement{Service: "posting", Addr: address, Slots: 1, State: stateIf(leaves == address)})
+			ts.HandleAnnouncement(Announcement{Service: "posting", Addr: other.Addr, Slots: 1, State: stateIf(leaves == other.Addr)})
 			for range 4 {
 				c.Check(kindOf(send(ts)), qt.Equals, kind.None, qt.Commentf("%s leaves", leaves))
 			}
@@ -239,7 +239,7 @@
 				first := ts.list()[0]
 				send(ts)
 				time.Sleep(2 * shedWindow)
-				ts.Heard(Announcement{Service: "posting", Addr: "10.0.0.7:81", Slots: 4, State: StateUp})
+				ts.HandleAnnouncement(Announcement{Service: "posting", Addr: "10.0.0.7:81", Slots: 4, State: StateUp})
 				second := ts.list()[1]
 				second.step(Arrive{ID: 1, Deadline: time.Now().Add(time.Minute)})
 				c.Check(ts.find("posting"), qt.Equals, first)
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -288,7 +288,7 @@
 		http.Error(w, problem, http.StatusBadRequest)
 		return
 	}
-	if !t.Heard(a) {
+	if !t.HandleAnnouncement(a) {
 		http.Error(w, "too many targets on this host", http.StatusTooManyRequests)
 		return
 	}
