--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -219,13 +219,13 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// Left takes a target's word that it leaves for good.
+// Deregister takes a target's word that it leaves for good.
 //
 // This process may have been started so lately that it hasn't heard of the target
 // before. An announcement that was held up would then seem to be a new target's,
 // and bring work to one that has left. When the target began is not known here,
 // but it was before now.
-func (t *Targets) Left(id string) {
+func (t *Targets) Deregister(id string) {
 	if id == "" {
 		return
 	}
--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -157,7 +157,7 @@
 				for _, e := range x.events {
 					switch e {
 					case left:
-						h.Left("i-1")
+						h.Deregister("i-1")
 					case second:
 						time.Sleep(time.Second)
 					default:
