--- a/briarrockd/target/nested.go
+++ b/briarrockd/target/nested.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Runs tells whether a target of this host runs a call of the given name now.
-func (t *Targets) Runs(trace string) bool {
+// IsRunning tells whether a target of this host runs a call of the given name now.
+func (t *Targets) IsRunning(trace string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.traces[trace] > 0
--- a/briarrockd/target/nested_test.go
+++ b/briarrockd/target/nested_test.go
@@ -12,12 +12,12 @@
 	c := qt.New(t)
 	x := &Targets{traces: make(map[string]int)}
 	first, second := x.track("a"), x.track("a")
-	c.Check(x.Runs("a"), qt.IsTrue)
-	c.Check(x.Runs("b"), qt.IsFalse)
+	c.Check(x.IsRunning("a"), qt.IsTrue)
+	c.Check(x.IsRunning("b"), qt.IsFalse)
 	first()
-	c.Check(x.Runs("a"), qt.IsTrue)
+	c.Check(x.IsRunning("a"), qt.IsTrue)
 	second()
-	c.Check(x.Runs("a"), qt.IsFalse)
+	c.Check(x.IsRunning("a"), qt.IsFalse)
 	c.Check(x.traces, qt.HasLen, 0)
 }
 
