--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -248,7 +248,7 @@
 // for: if it is refused, all that was done for the run is lost. A name alone gives no
 // right to it: the call that it names as its parent must run here now.
 func (p *Proxy) promote(c *call) {
-	parent, ok := target.Parent(c.trace)
+	parent, ok := target.ParentTrace(c.trace)
 	if !ok || p.deps.Runs == nil || !p.deps.Runs(parent) {
 		return
 	}
--- a/briarrockd/target/nested.go
+++ b/briarrockd/target/nested.go
@@ -27,9 +27,9 @@
 // makes.
 const traceSeparator = "."
 
-// Parent returns the name of the call whose run made the one of the given name; false
+// ParentTrace returns the name of the call whose run made the one of the given name; false
 // if the name says that no run did.
-func Parent(trace string) (string, bool) {
+func ParentTrace(trace string) (string, bool) {
 	i := strings.LastIndex(trace, traceSeparator)
 	if i <= 0 {
 		return "", false
--- a/briarrockd/target/nested_test.go
+++ b/briarrockd/target/nested_test.go
@@ -24,7 +24,7 @@
 func TestParent(t *testing.T) {
 	c := qt.New(t)
 	for trace, want := range map[string]string{"a.b": "a", "a.b.c": "a.b", "a": "", ".b": "", "": ""} {
-		parent, ok := Parent(trace)
+		parent, ok := ParentTrace(trace)
 		c.Check(parent, qt.Equals, want, qt.Commentf("%q", trace))
 		c.Check(ok, qt.Equals, want != "", qt.Commentf("%q", trace))
 	}
