--- a/briarrockd/target/rate.go
+++ b/briarrockd/target/rate.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrRate says that a rate is malformed.
-var ErrRate = errors.New("target: a rate must be a decimal number, zero or more")
+// ErrInvalidRate says that a rate is malformed.
+var ErrInvalidRate = errors.New("target: a rate must be a decimal number, zero or more")
 
 // Rate is how many requests a second a target takes from all callers together. The
 // zero Rate is no bound.
@@ -21,11 +21,11 @@
 // NewRate returns a bound of n requests a second; n must be finite and not negative.
 func NewRate(n float64) Rate { return Rate{perSecond: n, bounded: true} }
 
-// ParseRate reads a decimal number of requests a second. Its error is ErrRate.
+// ParseRate reads a decimal number of requests a second. Its error is ErrInvalidRate.
 func ParseRate(s string) (Rate, error) {
 	n, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
-		return Rate{}, ErrRate
+		return Rate{}, ErrInvalidRate
 	}
 	return NewRate(n), nil
 }
--- a/briarrockd/target/rate_test.go
+++ b/briarrockd/target/rate_test.go
@@ -22,7 +22,7 @@
 	}
 	for _, text := range []string{"", "many", "-1", "NaN", "+Inf", "1e999", "24.9 ", "24,9"} {
 		_, err := ParseRate(text)
-		c.Check(err, qt.Equals, ErrRate, qt.Commentf("%q", text))
+		c.Check(err, qt.Equals, ErrInvalidRate, qt.Commentf("%q", text))
 	}
 	_, bounded := Rate{}.PerSecond()
 	c.Check(bounded, qt.IsFalse)
