--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -53,7 +53,7 @@
 	h.targets = target.New(target.Deps{
 		Changed: func([]peer.Target) {}, Crashed: func(peer.Crashed) {}, Suspicion: func(uint64) int { return 0 },
 		Log: log, Stall: time.Minute, Silent: time.Hour, NoTurns: true,
-		Dialect: func(http.RoundTripper) http.RoundTripper { return chainWork{h} },
+		WrapTransport: func(http.RoundTripper) http.RoundTripper { return chainWork{h} },
 	})
 	h.targets.Configure(s)
 	h.targets.HandleAnnouncement(target.Announcement{Service: h.service, Addr: "127.0.0.1:1", Slots: chainSlots, Connections: 500, State: target.StateUp})
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -135,7 +135,7 @@
 	h.targets = target.New(target.Deps{
 		Changed: func([]peer.Target) {}, Crashed: func(peer.Crashed) {}, Suspicion: func(uint64) int { return 0 },
 		Log: quietLog(), Stall: time.Minute, Silent: time.Hour, NoTurns: true,
-		Dialect: func(http.RoundTripper) http.RoundTripper { return toldWorker{h} },
+		WrapTransport: func(http.RoundTripper) http.RoundTripper { return toldWorker{h} },
 	})
 	h.targets.Configure(h.m.snap)
 	h.mu.Unlock()
--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -257,14 +257,14 @@
 		url:     &url.URL{Scheme: "http", Host: a.Addr},
 		pool: http1.NewPool(http1.PoolConfig{
 			Dial: relay.Dialer(dialTimeout, t.deps.Dial), Idle: idleTimeout,
-			Most: a.Connections, Belongs: t.deps.Belongs,
+			Most: a.Connections, Belongs: t.deps.ResponseMatches,
 		}),
 		gate:    NewGate(Limits{Slots: a.Slots, Queue: 2 * a.Slots, Link: t.deps.Link}),
 		waiters: make(map[CallID]chan Cmd),
 	}
 	x.transport = x.pool
-	if t.deps.Dialect != nil {
-		x.transport = t.deps.Dialect(x.pool)
+	if t.deps.WrapTransport != nil {
+		x.transport = t.deps.WrapTransport(x.pool)
 	}
 	return x
 }
--- a/briarrockd/target/held_test.go
+++ b/briarrockd/target/held_test.go
@@ -58,7 +58,7 @@
 	x := New(Deps{
 		Changed: func([]peer.Target) {}, Suspicion: func(uint64) int { return 0 },
 		Log: event.New(io.Discard, true, logrus.ErrorLevel, "h"), Stall: time.Minute, Silent: time.Hour,
-		Dialect: func(http.RoundTripper) http.RoundTripper { return tr },
+		WrapTransport: func(http.RoundTripper) http.RoundTripper { return tr },
 	})
 	x.Configure(posting)
 	x.HandleAnnouncement(Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp})
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -85,11 +85,11 @@
 	Metrics   *metrics.Set
 	// Stall bounds the time without a byte moving.
 	Stall time.Duration
-	// Dialect, if set, wraps the connections to targets: it translates between
+	// WrapTransport, if set, wraps the connections to targets: it translates between
 	// the headers of this package and those that the targets know.
-	Dialect func(http.RoundTripper) http.RoundTripper
-	// Belongs, if set, tells whether an answer is the one to a request.
-	Belongs func(req *http.Request, res *http.Response) bool
+	WrapTransport func(http.RoundTripper) http.RoundTripper
+	// ResponseMatches, if set, tells whether an answer is the one to a request.
+	ResponseMatches func(req *http.Request, res *http.Response) bool
 	// Dial, if set, opens the connections to targets.
 	Dial relay.DialFunc
 	// NoTurns lets calls be queued without regard to who makes them: where the
