--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -94,7 +94,7 @@
 	}
 	if a.Born < x.said.Born {
 		x.behind++
-		return x.behind < turnAround || time.Since(x.heardAt) < t.deps.Silent/2
+		return x.behind < turnAround || time.Since(x.heardAt) < t.deps.AnnouncementTimeout/2
 	}
 	return a.Born == x.said.Born && a.ID == x.said.ID && a.Seq < x.said.Seq
 }
--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -82,7 +82,7 @@
 		Changed:   func(ts []peer.Target) { h.told.Store(&ts) },
 		Crashed:   func(peer.Crashed) {},
 		Suspicion: func(uint64) int { return 0 },
-		Stall:     time.Minute, Dial: p.dial, Silent: 6 * time.Second,
+		Stall:     time.Minute, Dial: p.dial, AnnouncementTimeout: 6 * time.Second,
 	})
 	h.stop = func() {
 		close(p.done)
--- a/briarrockd/target/held_test.go
+++ b/briarrockd/target/held_test.go
@@ -57,7 +57,7 @@
 func newBodyHost(tr http.RoundTripper) *Targets {
 	x := New(Deps{
 		Changed: func([]peer.Target) {}, Suspicion: func(uint64) int { return 0 },
-		Log: event.New(io.Discard, true, logrus.ErrorLevel, "h"), Stall: time.Minute, Silent: time.Hour,
+		Log: event.New(io.Discard, true, logrus.ErrorLevel, "h"), Stall: time.Minute, AnnouncementTimeout: time.Hour,
 		WrapTransport: func(http.RoundTripper) http.RoundTripper { return tr },
 	})
 	x.Configure(posting)
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -103,7 +103,7 @@
 	}
 	relay.Duplex(w, r)
 	arrive := Arrive{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, Far: c.far, Body: r.ContentLength}
-	if t.deps.NoTurns {
+	if t.deps.NoFairQueueing {
 		arrive.Caller = ""
 	}
 	id, refuse := x.enter(r.Context(), arrive)
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -92,13 +92,13 @@
 	ResponseMatches func(req *http.Request, res *http.Response) bool
 	// Dial, if set, opens the connections to targets.
 	Dial relay.DialFunc
-	// NoTurns lets calls be queued without regard to who makes them: where the
+	// NoFairQueueing lets calls be queued without regard to who makes them: where the
 	// name of a caller says only from which host a call comes, taking turns
 	// would mean nothing.
-	NoTurns bool
-	// Silent is how long a target may be silent before it is taken for gone; 0
+	NoFairQueueing bool
+	// AnnouncementTimeout is how long a target may be silent before it is taken for gone; 0
 	// for the usual time.
-	Silent time.Duration
+	AnnouncementTimeout time.Duration
 	// Link is the bandwidth of this host's link in bytes a second; 0 if it is
 	// not known, and then nothing is bounded by it.
 	Link float64
@@ -165,8 +165,8 @@
 	if d.Metrics == nil {
 		d.Metrics = metrics.NewSet()
 	}
-	if d.Silent == 0 {
-		d.Silent = goneAfter
+	if d.AnnouncementTimeout == 0 {
+		d.AnnouncementTimeout = goneAfter
 	}
 	if d.Dial == nil {
 		d.Dial = http1.Dialer(dialTimeout)
@@ -358,7 +358,7 @@
 		now := time.Now()
 		for _, x := range t.list() {
 			t.mu.Lock()
-			silent := now.Sub(x.heardAt) > t.deps.Silent
+			silent := now.Sub(x.heardAt) > t.deps.AnnouncementTimeout
 			t.mu.Unlock()
 			if silent {
 				t.drop(x, "silent")
