--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -259,7 +259,7 @@
 			Dial: relay.Dialer(dialTimeout, t.deps.Dial), Idle: idleTimeout,
 			Most: a.Connections, Belongs: t.deps.ResponseMatches,
 		}),
-		gate:    NewGate(Limits{Slots: a.Slots, Queue: 2 * a.Slots, Link: t.deps.Link}),
+		gate:    NewGate(Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBandwidth: t.deps.LinkBandwidth}),
 		waiters: make(map[CallID]chan Cmd),
 	}
 	x.transport = x.pool
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -112,7 +112,7 @@
 		g.limit.reset(l.Slots)
 	}
 	g.slots = max(1, l.Slots)
-	g.bodies.link = l.Link
+	g.bodies.link = l.LinkBandwidth
 	g.queueMax = max(0, l.Queue)
 }
 
--- a/briarrockd/target/message.go
+++ b/briarrockd/target/message.go
@@ -54,8 +54,8 @@
 type Limits struct {
 	Slots int
 	Queue int
-	// Link is the bandwidth of the host's link in bytes a second; 0 if not known.
-	Link float64
+	// LinkBandwidth is the bandwidth of the host's link in bytes a second; 0 if not known.
+	LinkBandwidth float64
 }
 
 // Throttle bounds the calls that start in a second to what the target takes.
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -99,9 +99,9 @@
 	// AnnouncementTimeout is how long a target may be silent before it is taken for gone; 0
 	// for the usual time.
 	AnnouncementTimeout time.Duration
-	// Link is the bandwidth of this host's link in bytes a second; 0 if it is
+	// LinkBandwidth is the bandwidth of this host's link in bytes a second; 0 if it is
 	// not known, and then nothing is bounded by it.
-	Link float64
+	LinkBandwidth float64
 }
 
 // Targets are the targets on this host. New makes one.
@@ -244,7 +244,7 @@
 
 // limits are the lesser of what the target announces and the operator allows.
 func (t *Targets) limits(a Announcement) Limits {
-	l := Limits{Slots: a.Slots, Queue: 2 * a.Slots, Link: t.deps.Link}
+	l := Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBandwidth: t.deps.LinkBandwidth}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.snap == nil {
