--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -51,7 +51,7 @@
 func (h *chainHost) start(s *snapshot.Snapshot, self peer.Member, seed uint64) {
 	log := event.New(io.Discard, true, logrus.ErrorLevel, h.name)
 	h.targets = target.New(target.Deps{
-		Changed: func([]peer.Target) {}, Crashed: func(peer.Crashed) {}, Suspicion: func(uint64) int { return 0 },
+		OnChange: func([]peer.Target) {}, OnCrash: func(peer.Crashed) {}, CrashCount: func(uint64) int { return 0 },
 		Log: log, Stall: time.Minute, AnnouncementTimeout: time.Hour, NoFairQueueing: true,
 		WrapTransport: func(http.RoundTripper) http.RoundTripper { return chainWork{h} },
 	})
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -133,7 +133,7 @@
 	h.mu.Lock()
 	h.down, h.kill = context.WithCancel(context.Background())
 	h.targets = target.New(target.Deps{
-		Changed: func([]peer.Target) {}, Crashed: func(peer.Crashed) {}, Suspicion: func(uint64) int { return 0 },
+		OnChange: func([]peer.Target) {}, OnCrash: func(peer.Crashed) {}, CrashCount: func(uint64) int { return 0 },
 		Log: quietLog(), Stall: time.Minute, AnnouncementTimeout: time.Hour, NoFairQueueing: true,
 		WrapTransport: func(http.RoundTripper) http.RoundTripper { return toldWorker{h} },
 	})
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -173,10 +173,10 @@
 
 func (n *Node) start(st platform.Store, d Deps) {
 	n.targets = target.New(target.Deps{
-		Changed:   func(t []peer.Target) { n.tell(peer.TargetsChanged{Targets: t}) },
-		Crashed:   func(c peer.Crashed) { n.tell(c) },
-		Suspicion: n.suspicion,
-		Log:       n.log, Metrics: n.metrics, Stall: n.cfg.Stall,
+		OnChange:   func(t []peer.Target) { n.tell(peer.TargetsChanged{Targets: t}) },
+		OnCrash:    func(c peer.Crashed) { n.tell(c) },
+		CrashCount: n.suspicion,
+		Log:        n.log, Metrics: n.metrics, Stall: n.cfg.Stall,
 		WrapTransport: n.platform.Targets, ResponseMatches: n.platform.Belongs, AnnouncementTimeout: n.platform.Silent, LinkBandwidth: n.platform.Link, NoFairQueueing: n.platform.Caller != "",
 	})
 	n.claims = claim.New(claim.Deps{Store: st, Log: n.log, Host: n.cfg.Host, Metrics: n.metrics, Forward: n.handClaims})
--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -79,10 +79,10 @@
 	})})
 	go func() { _ = s.Serve(p) }()
 	h.Targets = New(Deps{
-		Changed:   func(ts []peer.Target) { h.told.Store(&ts) },
-		Crashed:   func(peer.Crashed) {},
-		Suspicion: func(uint64) int { return 0 },
-		Stall:     time.Minute, Dial: p.dial, AnnouncementTimeout: 6 * time.Second,
+		OnChange:   func(ts []peer.Target) { h.told.Store(&ts) },
+		OnCrash:    func(peer.Crashed) {},
+		CrashCount: func(uint64) int { return 0 },
+		Stall:      time.Minute, Dial: p.dial, AnnouncementTimeout: 6 * time.Second,
 	})
 	h.stop = func() {
 		close(p.done)
--- a/briarrockd/target/held_test.go
+++ b/briarrockd/target/held_test.go
@@ -56,7 +56,7 @@
 // newBodyHost is a host with a target of one slot behind a transport.
 func newBodyHost(tr http.RoundTripper) *Targets {
 	x := New(Deps{
-		Changed: func([]peer.Target) {}, Suspicion: func(uint64) int { return 0 },
+		OnChange: func([]peer.Target) {}, CrashCount: func(uint64) int { return 0 },
 		Log: event.New(io.Discard, true, logrus.ErrorLevel, "h"), Stall: time.Minute, AnnouncementTimeout: time.Hour,
 		WrapTransport: func(http.RoundTripper) http.RoundTripper { return tr },
 	})
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -97,7 +97,7 @@
 		t.refuse(w, c, nil, Refuse{Kind: kind.Drain})
 		return
 	}
-	if c.mark != 0 && t.deps.Suspicion(c.mark) >= peer.HoldAt {
+	if c.mark != 0 && t.deps.CrashCount(c.mark) >= peer.HoldAt {
 		t.refuse(w, c, x, Refuse{Kind: kind.Held})
 		return
 	}
@@ -254,8 +254,8 @@
 	if out.Kind != kind.None {
 		panic(http.ErrAbortHandler)
 	}
-	if c.mark != 0 && t.deps.Suspicion(c.mark) > 0 {
-		t.deps.Crashed(peer.Crashed{Print: c.mark, Service: c.service, Clear: true})
+	if c.mark != 0 && t.deps.CrashCount(c.mark) > 0 {
+		t.deps.OnCrash(peer.Crashed{Print: c.mark, Service: c.service, Clear: true})
 	}
 }
 
@@ -378,5 +378,5 @@
 		return
 	}
 	t.deps.Log.Emit(event.TargetCrashed, event.Fields{event.Subject: x.addr, "service": c.service, "print": c.mark})
-	t.deps.Crashed(peer.Crashed{Print: c.mark, Service: c.service})
+	t.deps.OnCrash(peer.Crashed{Print: c.mark, Service: c.service})
 }
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -74,15 +74,15 @@
 
 // Deps are what Targets needs from outside.
 type Deps struct {
-	// Changed is told when the list of targets is another one.
-	Changed func([]peer.Target)
-	// Crashed is told of requests that were in flight when a target crashed,
+	// OnChange is told when the list of targets is another one.
+	OnChange func([]peer.Target)
+	// OnCrash is told of requests that were in flight when a target crashed,
 	// and of suspected ones that came to their end.
-	Crashed func(peer.Crashed)
-	// Suspicion tells how often a request has been in flight at a crash.
-	Suspicion func(mark uint64) int
-	Log       *event.Log
-	Metrics   *metrics.Set
+	OnCrash func(peer.Crashed)
+	// CrashCount tells how often a request has been in flight at a crash.
+	CrashCount func(mark uint64) int
+	Log        *event.Log
+	Metrics    *metrics.Set
 	// Stall bounds the time without a byte moving.
 	Stall time.Duration
 	// WrapTransport, if set, wraps the connections to targets: it translates between
@@ -338,7 +338,7 @@
 	}
 	t.mu.Unlock()
 	sort.Slice(out, func(i, j int) bool { return out[i].Service < out[j].Service })
-	t.deps.Changed(out)
+	t.deps.OnChange(out)
 }
 
 // drains tells whether the target has said that it is about to stop. The lock of Targets
