--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -147,7 +147,7 @@
 	h.mu.Lock()
 	ts, born := h.targets, h.app.born
 	h.mu.Unlock()
-	ts.HandleAnnouncement(target.Announcement{ID: fmt.Sprint("i-", h.n), Service: toldService, Addr: "127.0.0.1:1", Slots: toldSlots, Connections: 500, State: target.StateUp, Born: born, Seq: seq})
+	ts.HandleAnnouncement(target.Announcement{ID: fmt.Sprint("i-", h.n), Service: toldService, Addr: "127.0.0.1:1", Slots: toldSlots, Connections: 500, State: target.StateUp, StartMillis: born, Seq: seq})
 }
 
 // restart kills the node beside a target and starts it again.
--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -48,10 +48,10 @@
 	x := t.all[a.Addr]
 	if t.isLate(x, a) {
 		t.mu.Unlock()
-		t.deps.Log.Emit(event.AnnounceBad, event.Fields{event.Subject: a.ID, "reason": "late", "born": a.Born, "seq": a.Seq, "state": a.State})
+		t.deps.Log.Emit(event.AnnounceBad, event.Fields{event.Subject: a.ID, "reason": "late", "born": a.StartMillis, "seq": a.Seq, "state": a.State})
 		return true
 	}
-	if x != nil && (x.service != a.Service || x.said.ID != a.ID || x.said.Born != a.Born) {
+	if x != nil && (x.service != a.Service || x.said.ID != a.ID || x.said.StartMillis != a.StartMillis) {
 		// Another service, name or process at the same address is another target.
 		t.mu.Unlock()
 		t.drop(x, "replaced by "+a.ID)
@@ -74,7 +74,7 @@
 	drain := t.gone || x.drains()
 	t.mu.Unlock()
 	if isNew {
-		t.deps.Log.Emit(event.TargetUp, event.Fields{event.Subject: a.Addr, "service": a.Service, "id": a.ID, "born": a.Born, "seq": a.Seq, "state": a.State, "slots": a.Slots})
+		t.deps.Log.Emit(event.TargetUp, event.Fields{event.Subject: a.Addr, "service": a.Service, "id": a.ID, "born": a.StartMillis, "seq": a.Seq, "state": a.State, "slots": a.Slots})
 	}
 	t.believe(x, old, a, isNew, drain)
 	return true
@@ -82,27 +82,27 @@
 
 // isLate tells whether an announcement is from before what is known already.
 func (t *Targets) isLate(x *target, a Announcement) bool {
-	if born, ok := t.left[a.ID]; ok && a.ID != "" && a.Born <= born && a.State != StateDraining {
+	if born, ok := t.left[a.ID]; ok && a.ID != "" && a.StartMillis <= born && a.State != StateDraining {
 		return true
 	}
 	if x == nil {
 		return false
 	}
-	if a.Born == 0 {
+	if a.StartMillis == 0 {
 		// Another writer's: a process that has said when it began always does.
-		return a.ID != "" && a.ID == x.said.ID && x.said.Born != 0
+		return a.ID != "" && a.ID == x.said.ID && x.said.StartMillis != 0
 	}
-	if a.Born < x.said.Born {
+	if a.StartMillis < x.said.StartMillis {
 		x.behind++
 		return x.behind < turnAround || time.Since(x.heardAt) < t.deps.AnnouncementTimeout/2
 	}
-	return a.Born == x.said.Born && a.ID == x.said.ID && a.Seq < x.said.Seq
+	return a.StartMillis == x.said.StartMillis && a.ID == x.said.ID && a.Seq < x.said.Seq
 }
 
 // noteLeaving remembers that a target leaves: within one process that is final.
 func (t *Targets) noteLeaving(a Announcement) {
 	if a.State == StateDraining && a.ID != "" {
-		t.noteLeft(a.ID, a.Born)
+		t.noteLeft(a.ID, a.StartMillis)
 	}
 }
 
@@ -253,7 +253,7 @@
 	x := &target{
 		service: a.Service,
 		addr:    a.Addr,
-		process: cmp.Or(a.ID, a.Addr) + "/" + strconv.FormatInt(a.Born, 10),
+		process: cmp.Or(a.ID, a.Addr) + "/" + strconv.FormatInt(a.StartMillis, 10),
 		url:     &url.URL{Scheme: "http", Host: a.Addr},
 		pool: http1.NewPool(http1.PoolConfig{
 			Dial: relay.Dialer(dialTimeout, t.deps.Dial), Idle: idleTimeout,
--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -107,7 +107,7 @@
 }
 
 func said(id string, born, seq int64, state string) Announcement {
-	return Announcement{ID: id, Service: "posting", Addr: address, Slots: 4, State: state, Born: born, Seq: seq}
+	return Announcement{ID: id, Service: "posting", Addr: address, Slots: 4, State: state, StartMillis: born, Seq: seq}
 }
 
 // TestAnnouncements plays announcements to a host and checks after them
--- a/briarrockd/target/observe_test.go
+++ b/briarrockd/target/observe_test.go
@@ -117,7 +117,7 @@
 // to a health check, that it leaves, against announcements that take that back, and
 // against a word that is no answer to the question.
 func TestLeavingInAnswer(t *testing.T) {
-	up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", Born: 7, Seq: 9}
+	up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", StartMillis: 7, Seq: 9}
 	for _, x := range []struct {
 		value  string
 		leaves bool
@@ -145,7 +145,7 @@
 			}
 			c.Check(kindOf(send(ts)), qt.Equals, want, qt.Commentf("%s", x.value))
 			next := up
-			next.Born += 10000
+			next.StartMillis += 10000
 			ts.HandleAnnouncement(next)
 			time.Sleep(time.Second)
 			c.Check(kindOf(send(ts)), qt.Equals, kind.None)
@@ -161,14 +161,14 @@
 		tr := newTelling(http.StatusOK, http.Header{HeaderRate: {"1"}})
 		ts := newBodyHost(tr)
 		defer ts.Close()
-		up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", Born: 7, Seq: 1}
+		up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", StartMillis: 7, Seq: 1}
 		ts.HandleAnnouncement(up)
 		time.Sleep(time.Second) // its health check
 		c.Check(kindOf(send(ts)), qt.Equals, kind.None)
 		c.Check(kindOf(send(ts)), qt.Equals, kind.Rate)
 		tr.head.Store(&http.Header{}) // a health check names none
 		stray := up
-		stray.Born = 0
+		stray.StartMillis = 0
 		ts.HandleAnnouncement(stray)
 		time.Sleep(100 * time.Millisecond)
 		c.Check(kindOf(send(ts)), qt.Equals, kind.Rate)
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -65,11 +65,11 @@
 	// ID names the target, if it has a name. Requests then say whom they are
 	// for, so that another target at the same address doesn't run them.
 	ID string `json:"id,omitempty"`
-	// Born is when the target's process started, in Unix milliseconds, and Seq
+	// StartMillis is when the target's process started, in Unix milliseconds, and Seq
 	// counts its announcements. Together they tell late ones; 0 if it doesn't
 	// say.
-	Born int64 `json:"born,omitempty"`
-	Seq  int64 `json:"seq,omitempty"`
+	StartMillis int64 `json:"born,omitempty"`
+	Seq         int64 `json:"seq,omitempty"`
 }
 
 // Deps are what Targets needs from outside.
