--- a/briarrockd/target/bodies.go
+++ b/briarrockd/target/bodies.go
@@ -37,11 +37,11 @@
 	flowAt time.Time
 }
 
-func (b *bodies) long(a *Arrive) bool {
+func (b *bodies) long(a *Arrival) bool {
 	return b.link > 0 && (a.Body < 0 || a.Body > longBody)
 }
 
-func (b *bodies) size(a *Arrive) int64 {
+func (b *bodies) size(a *Arrival) int64 {
 	if a.Body < 0 {
 		return unknownBody
 	}
@@ -52,9 +52,9 @@
 func (b *bodies) most() int { return max(leastBodies, int(b.link/eachAtLeast)) }
 
 // room tells whether a call's body may come in now.
-func (b *bodies) room(a *Arrive) bool { return !b.long(a) || len(b.coming) < b.most() }
+func (b *bodies) room(a *Arrival) bool { return !b.long(a) || len(b.coming) < b.most() }
 
-func (b *bodies) begin(now time.Time, a *Arrive) {
+func (b *bodies) begin(now time.Time, a *Arrival) {
 	if !b.long(a) {
 		return
 	}
--- a/briarrockd/target/bodies_test.go
+++ b/briarrockd/target/bodies_test.go
@@ -63,7 +63,7 @@
 func (u *uploads) arrive(id CallID, size int64, aim time.Duration) {
 	b := upload{at: u.now, left: float64(size), aim: u.now.Add(aim), size: size}
 	u.queued[id] = b
-	u.handle(u.gate.Step(u.now, Arrive{
+	u.handle(u.gate.Step(u.now, Arrival{
 		ID: id, Priority: snapshot.Normal, Deadline: u.now.Add(2 * aim), Aim: b.aim, Body: size,
 	}))
 }
@@ -85,7 +85,7 @@
 		delete(u.coming, id)
 		b.ends = u.now.Add(u.work)
 		u.working[id] = b
-		u.handle(u.gate.Step(u.now, Taken{id}))
+		u.handle(u.gate.Step(u.now, BodyReceived{id}))
 	}
 	for id, b := range u.working {
 		if b.ends.After(u.now) {
@@ -99,7 +99,7 @@
 		default:
 			u.inAim++
 		}
-		u.handle(u.gate.Step(u.now, Ended{ID: id, Took: u.now.Sub(b.at)}))
+		u.handle(u.gate.Step(u.now, Completed{ID: id, Took: u.now.Sub(b.at)}))
 	}
 	u.handle(u.gate.Step(u.now, Tick{}))
 }
--- a/briarrockd/target/driver.go
+++ b/briarrockd/target/driver.go
@@ -51,7 +51,7 @@
 }
 
 // enter waits until the gate lets a call run or refuses it.
-func (x *target) enter(ctx context.Context, a Arrive) (CallID, Refuse) {
+func (x *target) enter(ctx context.Context, a Arrival) (CallID, Refuse) {
 	ch := make(chan Cmd, 1)
 	x.mu.Lock()
 	x.lastID++
@@ -71,11 +71,11 @@
 	defer x.mu.Unlock()
 	if _, waiting := x.waiters[a.ID]; waiting {
 		delete(x.waiters, a.ID)
-		x.stepLocked(Gone{a.ID})
+		x.stepLocked(Canceled{a.ID})
 		return 0, Refuse{Kind: kind.Cancel}
 	}
 	if _, started := (<-ch).(Start); started {
-		x.stepLocked(Ended{ID: a.ID})
+		x.stepLocked(Completed{ID: a.ID})
 	}
 	return 0, Refuse{Kind: kind.Cancel}
 }
--- a/briarrockd/target/far.go
+++ b/briarrockd/target/far.go
@@ -11,6 +11,6 @@
 // that need not, hold it longer and load the link between the regions, and
 // nobody is served who would not have been. So a call from afar gets room that
 // the own region has no use for, or that it would leave to less urgent work.
-func (g *Gate) spares(m *Arrive) bool {
+func (g *Gate) spares(m *Arrival) bool {
 	return g.free(m)-len(g.queue) > g.allowed()/keptFree
 }
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -56,13 +56,13 @@
 	g.now = now
 	g.cmds = nil
 	switch m := m.(type) {
-	case Arrive:
+	case Arrival:
 		g.arrive(m)
-	case Gone:
+	case Canceled:
 		g.remove(m.ID)
-	case Taken:
+	case BodyReceived:
 		g.bodies.taken(m.ID)
-	case Ended:
+	case Completed:
 		g.ended(m)
 	case Limits:
 		g.limits(m)
@@ -137,7 +137,7 @@
 }
 
 // reject refuses a call for want of room.
-func (g *Gate) reject(a *Arrive, k kind.Kind) {
+func (g *Gate) reject(a *Arrival, k kind.Kind) {
 	if !a.Far {
 		g.overload.refused(g.now, a.Priority)
 	}
@@ -147,7 +147,7 @@
 // again is when a call that is refused for want of room is worth asking for again. The
 // more calls are refused, the more of the time in which it could still be answered
 // within its aim is used: callers who return at once meet the same overload.
-func (g *Gate) again(a *Arrive) time.Duration {
+func (g *Gate) again(a *Arrival) time.Duration {
 	again := max(g.wait(0, snapshot.MostUrgent), minWait, g.pacer.again(g.now, len(g.queue)))
 	if a.Aim.IsZero() {
 		return again
@@ -166,7 +166,7 @@
 	return time.Duration(float64(g.limit.work.usual()) * float64(n+1) / left)
 }
 
-func (g *Gate) arrive(m Arrive) {
+func (g *Gate) arrive(m Arrival) {
 	m.Priority = min(m.Priority, snapshot.MostUrgent)
 	if !m.Aim.IsZero() {
 		g.reserve.arrived(m.Priority, spare(m.Aim.Sub(g.now), g.limit.work.of(m.Route)))
@@ -208,16 +208,16 @@
 }
 
 // fits tells whether a call can be started now.
-func (g *Gate) fits(a *Arrive) bool {
+func (g *Gate) fits(a *Arrival) bool {
 	return g.free(a) > 0 && g.bodies.room(a) && g.pacer.ready(g.now)
 }
 
 // free is how many slots a call may choose from.
-func (g *Gate) free(a *Arrive) int {
+func (g *Gate) free(a *Arrival) int {
 	return g.allowed() - len(g.running) - g.reserve.kept(a.Priority, g.limit.work.of(a.Route))
 }
 
-func (g *Gate) ended(m Ended) {
+func (g *Gate) ended(m Completed) {
 	priority, ok := g.running[m.ID]
 	if !ok {
 		return
@@ -253,13 +253,13 @@
 		w := g.queue[i]
 		g.queue = append(g.queue[:i], g.queue[i+1:]...)
 		if !g.startable(w) {
-			g.reject(&w.Arrive, g.shortage())
+			g.reject(&w.Arrival, g.shortage())
 			continue
 		}
 		g.running[w.ID] = w.Priority
 		g.reserve.running[w.Priority]++
 		g.overload.started(g.now, w.Priority)
-		g.bodies.begin(g.now, &w.Arrive)
+		g.bodies.begin(g.now, &w.Arrival)
 		g.pacer.take(g.now)
 		g.turn[w.Caller]++
 		g.cmds = append(g.cmds, Start{w.ID})
--- a/briarrockd/target/gate_test.go
+++ b/briarrockd/target/gate_test.go
@@ -54,7 +54,7 @@
 	}
 	switch d.Cmd {
 	case "arrive":
-		a := Arrive{ID: CallID(id), Priority: snapshot.Normal}
+		a := Arrival{ID: CallID(id), Priority: snapshot.Normal}
 		d.ScanArgs(t, "deadline", &ms)
 		a.Deadline = start.Add(time.Duration(ms) * time.Millisecond)
 		d.MaybeScanArgs(t, "caller", &a.Caller)
@@ -72,14 +72,14 @@
 		}
 		return a
 	case "gone":
-		return Gone{CallID(id)}
+		return Canceled{CallID(id)}
 	case "ended":
 		if d.HasArg("took") {
 			d.ScanArgs(t, "took", &ms)
 		}
 		var route string
 		d.MaybeScanArgs(t, "route", &route)
-		return Ended{ID: CallID(id), Route: route, Took: time.Duration(ms) * time.Millisecond, Shed: d.HasArg("shed"), Failed: d.HasArg("failed")}
+		return Completed{ID: CallID(id), Route: route, Took: time.Duration(ms) * time.Millisecond, Shed: d.HasArg("shed"), Failed: d.HasArg("failed")}
 	case "drain":
 		return Drain{On: true}
 	case "rate":
@@ -166,7 +166,7 @@
 			case 0, 1, 2:
 				next++
 				waiting[next] = true
-				handle(g.Step(now, Arrive{
+				handle(g.Step(now, Arrival{
 					ID:       next,
 					Caller:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "caller"),
 					Priority: snapshot.Priority(rapid.IntRange(0, 2).Draw(t, "priority")),
@@ -175,12 +175,12 @@
 			case 3:
 				if id, ok := least(running); ok {
 					delete(running, id)
-					handle(g.Step(now, Ended{ID: id, Took: time.Millisecond, Shed: rapid.Bool().Draw(t, "shed")}))
+					handle(g.Step(now, Completed{ID: id, Took: time.Millisecond, Shed: rapid.Bool().Draw(t, "shed")}))
 				}
 			case 4:
 				if id, ok := least(waiting); ok {
 					delete(waiting, id)
-					handle(g.Step(now, Gone{id}))
+					handle(g.Step(now, Canceled{id}))
 				}
 			case 5:
 				handle(g.Step(now, Tick{}))
@@ -192,14 +192,14 @@
 		for len(running) > 0 {
 			id, _ := least(running)
 			delete(running, id)
-			handle(g.Step(now.Add(time.Second), Ended{ID: id, Took: time.Millisecond}))
+			handle(g.Step(now.Add(time.Second), Completed{ID: id, Took: time.Millisecond}))
 		}
 		for at := g.NextTick(); !at.IsZero(); at = g.NextTick() {
 			handle(g.Step(at, Tick{}))
 			for len(running) > 0 {
 				id, _ := least(running)
 				delete(running, id)
-				handle(g.Step(at, Ended{ID: id, Took: time.Millisecond}))
+				handle(g.Step(at, Completed{ID: id, Took: time.Millisecond}))
 			}
 		}
 		if len(waiting) > 0 {
--- a/briarrockd/target/limiter.go
+++ b/briarrockd/target/limiter.go
@@ -62,7 +62,7 @@
 
 // ended takes the end of a call. running counts the calls that ran, that one
 // included.
-func (l *limiter) ended(now time.Time, m Ended, running, slots int) {
+func (l *limiter) ended(now time.Time, m Completed, running, slots int) {
 	full := running >= l.value()
 	l.observeShed(m.Shed, float64(running) <= quietShare*float64(slots))
 	if m.Shed {
--- a/briarrockd/target/load_test.go
+++ b/briarrockd/target/load_test.go
@@ -59,13 +59,13 @@
 			}
 			delete(calls, id)
 			f := flows[r.flow]
-			take(now, g.Step(now, Ended{ID: id, Route: f.route, Took: f.work}))
+			take(now, g.Step(now, Completed{ID: id, Route: f.route, Took: f.work}))
 		}
 		for i, f := range flows {
 			for n := at / f.every; n*f.every >= at && n*f.every < at+step; n++ {
 				next++
 				calls[next] = &run{flow: i, came: now}
-				take(now, g.Step(now, Arrive{
+				take(now, g.Step(now, Arrival{
 					ID: next, Route: f.route, Priority: f.priority, Aim: now.Add(f.aim), Deadline: now.Add(f.most),
 				}))
 			}
--- a/briarrockd/target/message.go
+++ b/briarrockd/target/message.go
@@ -13,8 +13,8 @@
 // Msg is something that happened at a gate.
 type Msg interface{ msg() }
 
-// Arrive is a call that wants to be run.
-type Arrive struct {
+// Arrival is a call that wants to be run.
+type Arrival struct {
 	ID       CallID
 	Caller   string
 	Priority snapshot.Priority
@@ -30,14 +30,14 @@
 	Body int64
 }
 
-// Gone is a call whose caller went away while it was queued.
-type Gone struct{ ID CallID }
+// Canceled is a call whose caller went away while it was queued.
+type Canceled struct{ ID CallID }
 
-// Taken says that the body of a call that was started has come in.
-type Taken struct{ ID CallID }
+// BodyReceived says that the body of a call that was started has come in.
+type BodyReceived struct{ ID CallID }
 
-// Ended is a call that was started and is now at its end.
-type Ended struct {
+// Completed is a call that was started and is now at its end.
+type Completed struct {
 	ID CallID
 	// Route is that of the call.
 	Route string
@@ -67,14 +67,14 @@
 // Tick says that time has passed.
 type Tick struct{}
 
-func (Arrive) msg()   {}
-func (Gone) msg()     {}
-func (Taken) msg()    {}
-func (Ended) msg()    {}
-func (Limits) msg()   {}
-func (Throttle) msg() {}
-func (Drain) msg()    {}
-func (Tick) msg()     {}
+func (Arrival) msg()      {}
+func (Canceled) msg()     {}
+func (BodyReceived) msg() {}
+func (Completed) msg()    {}
+func (Limits) msg()       {}
+func (Throttle) msg()     {}
+func (Drain) msg()        {}
+func (Tick) msg()         {}
 
 // Cmd is what a gate decides.
 type Cmd interface{ cmd() }
--- a/briarrockd/target/observe_test.go
+++ b/briarrockd/target/observe_test.go
@@ -241,7 +241,7 @@
 				time.Sleep(2 * shedWindow)
 				ts.HandleAnnouncement(Announcement{Service: "posting", Addr: "10.0.0.7:81", Slots: 4, State: StateUp})
 				second := ts.list()[1]
-				second.step(Arrive{ID: 1, Deadline: time.Now().Add(time.Minute)})
+				second.step(Arrival{ID: 1, Deadline: time.Now().Add(time.Minute)})
 				c.Check(ts.find("posting"), qt.Equals, first)
 			})
 		})
--- a/briarrockd/target/queue.go
+++ b/briarrockd/target/queue.go
@@ -9,7 +9,7 @@
 
 // waiting is a queued call.
 type waiting struct {
-	Arrive
+	Arrival
 	at time.Time
 }
 
@@ -35,7 +35,7 @@
 
 // inTime tells whether a call is expected to end in time: within its aim, if it
 // has one that is not past already.
-func (g *Gate) inTime(m Arrive) bool {
+func (g *Gate) inTime(m Arrival) bool {
 	ahead, wait := g.expected(m)
 	switch {
 	case m.Aim.IsZero():
@@ -62,7 +62,7 @@
 // expected is how many calls go before one that arrives, and how long it is
 // expected to be queued: for a slot if none is free, for its turn at the target's
 // rate, and for the link if its body has to wait for others.
-func (g *Gate) expected(m Arrive) (ahead int, wait time.Duration) {
+func (g *Gate) expected(m Arrival) (ahead int, wait time.Duration) {
 	own := waiting{m, g.now}
 	for i := range g.queue {
 		if !g.sooner(&own, &g.queue[i]) {
@@ -84,8 +84,8 @@
 func (g *Gate) queuedBytes(before *waiting) int64 {
 	n := int64(0)
 	for i := range g.queue {
-		if g.bodies.long(&g.queue[i].Arrive) && (before == nil || !g.sooner(before, &g.queue[i])) {
-			n += g.bodies.size(&g.queue[i].Arrive)
+		if g.bodies.long(&g.queue[i].Arrival) && (before == nil || !g.sooner(before, &g.queue[i])) {
+			n += g.bodies.size(&g.queue[i].Arrival)
 		}
 	}
 	return n
@@ -121,7 +121,7 @@
 	if worst < 0 {
 		return false
 	}
-	g.reject(&g.queue[worst].Arrive, g.shortage())
+	g.reject(&g.queue[worst].Arrival, g.shortage())
 	g.queue = append(g.queue[:worst], g.queue[worst+1:]...)
 	return true
 }
@@ -145,7 +145,7 @@
 		case !w.Deadline.After(g.now):
 			g.refuse(w.ID, kind.Deadline)
 		case w.Aim.After(w.at) && !w.Aim.After(g.now) && !g.overload.first(g.now, w.Priority):
-			g.reject(&w.Arrive, g.shortage())
+			g.reject(&w.Arrival, g.shortage())
 		default:
 			kept = append(kept, w)
 		}
@@ -159,7 +159,7 @@
 func (g *Gate) next() int {
 	best := -1
 	for i := range g.queue {
-		if g.fits(&g.queue[i].Arrive) && (best < 0 || g.sooner(&g.queue[i], &g.queue[best])) {
+		if g.fits(&g.queue[i].Arrival) && (best < 0 || g.sooner(&g.queue[i], &g.queue[best])) {
 			best = i
 		}
 	}
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -102,7 +102,7 @@
 		return
 	}
 	relay.Duplex(w, r)
-	arrive := Arrive{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, Far: c.far, Body: r.ContentLength}
+	arrive := Arrival{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, Far: c.far, Body: r.ContentLength}
 	if t.deps.NoFairQueueing {
 		arrive.Caller = ""
 	}
@@ -132,7 +132,7 @@
 	// A caller's node that has been cut off meanwhile must not keep the slot.
 	b, err := relay.ReadBody(r, min(heldBodyWithin, time.Until(c.deadline)))
 	if err != nil {
-		x.step(Ended{ID: id, Route: c.route})
+		x.step(Completed{ID: id, Route: c.route})
 		t.refuse(w, c, x, Refuse{Kind: kind.Cancel})
 		return false
 	}
@@ -210,7 +210,7 @@
 func (t *Targets) run(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) {
 	t.started.Inc()
 	defer t.track(c.trace)()
-	ended := Ended{ID: id, Route: c.route}
+	ended := Completed{ID: id, Route: c.route}
 	defer func() { x.step(ended) }()
 	began := time.Now()
 	ctx := r.Context()
@@ -221,7 +221,7 @@
 	}
 	res, out := relay.Send(ctx, relay.Call{
 		In: r, URL: relay.Toward(x.url, r), Host: r.Host, Add: t.towardsTarget(r, x, c),
-		Body: body(r, func() { x.step(Taken{id}) }), Length: r.ContentLength, Transport: x.transport, Stall: t.deps.Stall,
+		Body: body(r, func() { x.step(BodyReceived{id}) }), Length: r.ContentLength, Transport: x.transport, Stall: t.deps.Stall,
 		Deadline: c.deadline, Streamed: relay.IsStreamed(r), Once: c.once,
 	})
 	if res != nil {
@@ -261,7 +261,7 @@
 
 // unrun takes a target's answer that it did not run a request: it has no room,
 // or it is another target than the one that the request was for.
-func (t *Targets) unrun(w http.ResponseWriter, x *target, c call, res *http.Response, ended *Ended) {
+func (t *Targets) unrun(w http.ResponseWriter, x *target, c call, res *http.Response, ended *Completed) {
 	// Read to its end, the refusal leaves the connection for the next request. A
 	// target that sheds would otherwise cost its node a new one each time, and a
 	// small host's processor is then taken up by them.
