--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -224,7 +224,7 @@
 			c.refused(u, s, cmd, hop)
 		}
 	}
-	f.step(s, target.Arrival{ID: id, Route: "view", Priority: snapshot.Normal, Deadline: c.began.Add(fleetLimit), Aim: c.began.Add(fleetAim), Far: u.far})
+	f.step(s, target.Arrival{ID: id, Route: "view", Priority: snapshot.Normal, Deadline: c.began.Add(fleetLimit), Aim: c.began.Add(fleetAim), CrossRegion: u.far})
 }
 
 // step gives a Gate a message and hands on what it decides.
@@ -249,7 +249,7 @@
 
 func (c *fleetCall) ended(u upstream, s *server, id target.CallID, took, hop time.Duration) {
 	f := c.f
-	f.step(s, target.Completed{ID: id, Route: "view", Took: took})
+	f.step(s, target.Completed{ID: id, Route: "view", Duration: took})
 	fb := f.feedback(s)
 	f.at(f.now.Add(hop), func() {
 		c.ch.done(f.now, fleetService, u.host, fb)
--- a/briarrockd/target/bodies.go
+++ b/briarrockd/target/bodies.go
@@ -38,14 +38,14 @@
 }
 
 func (b *bodies) long(a *Arrival) bool {
-	return b.link > 0 && (a.Body < 0 || a.Body > longBody)
+	return b.link > 0 && (a.BodyBytes < 0 || a.BodyBytes > longBody)
 }
 
 func (b *bodies) size(a *Arrival) int64 {
-	if a.Body < 0 {
+	if a.BodyBytes < 0 {
 		return unknownBody
 	}
-	return a.Body
+	return a.BodyBytes
 }
 
 // most is how many long bodies may come in at once.
--- a/briarrockd/target/bodies_test.go
+++ b/briarrockd/target/bodies_test.go
@@ -64,7 +64,7 @@
 	b := upload{at: u.now, left: float64(size), aim: u.now.Add(aim), size: size}
 	u.queued[id] = b
 	u.handle(u.gate.Step(u.now, Arrival{
-		ID: id, Priority: snapshot.Normal, Deadline: u.now.Add(2 * aim), Aim: b.aim, Body: size,
+		ID: id, Priority: snapshot.Normal, Deadline: u.now.Add(2 * aim), Aim: b.aim, BodyBytes: size,
 	}))
 }
 
@@ -99,7 +99,7 @@
 		default:
 			u.inAim++
 		}
-		u.handle(u.gate.Step(u.now, Completed{ID: id, Took: u.now.Sub(b.at)}))
+		u.handle(u.gate.Step(u.now, Completed{ID: id, Duration: u.now.Sub(b.at)}))
 	}
 	u.handle(u.gate.Step(u.now, Tick{}))
 }
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -138,7 +138,7 @@
 
 // reject refuses a call for want of room.
 func (g *Gate) reject(a *Arrival, k kind.Kind) {
-	if !a.Far {
+	if !a.CrossRegion {
 		g.overload.refused(g.now, a.Priority)
 	}
 	g.refuseFor(a.ID, k, g.again(a))
@@ -178,10 +178,10 @@
 	case !m.Deadline.After(g.now):
 		g.refuse(m.ID, kind.Deadline)
 		return
-	case m.Far && g.overload.on(g.now, m.Priority):
+	case m.CrossRegion && g.overload.on(g.now, m.Priority):
 		g.refuseFor(m.ID, g.shortage(), overloadWindow)
 		return
-	case m.Far && !g.spares(&m):
+	case m.CrossRegion && !g.spares(&m):
 		g.reject(&m, g.shortage())
 		return
 	case g.fits(&m):
--- a/briarrockd/target/gate_test.go
+++ b/briarrockd/target/gate_test.go
@@ -66,7 +66,7 @@
 		if d.HasArg("urgent") {
 			a.Priority = snapshot.Urgent
 		}
-		a.Far = d.HasArg("far")
+		a.CrossRegion = d.HasArg("far")
 		if d.HasArg("bulk") {
 			a.Priority = snapshot.Bulk
 		}
@@ -79,7 +79,7 @@
 		}
 		var route string
 		d.MaybeScanArgs(t, "route", &route)
-		return Completed{ID: CallID(id), Route: route, Took: time.Duration(ms) * time.Millisecond, Shed: d.HasArg("shed"), Failed: d.HasArg("failed")}
+		return Completed{ID: CallID(id), Route: route, Duration: time.Duration(ms) * time.Millisecond, Shed: d.HasArg("shed"), Failed: d.HasArg("failed")}
 	case "drain":
 		return Drain{On: true}
 	case "rate":
@@ -175,7 +175,7 @@
 			case 3:
 				if id, ok := least(running); ok {
 					delete(running, id)
-					handle(g.Step(now, Completed{ID: id, Took: time.Millisecond, Shed: rapid.Bool().Draw(t, "shed")}))
+					handle(g.Step(now, Completed{ID: id, Duration: time.Millisecond, Shed: rapid.Bool().Draw(t, "shed")}))
 				}
 			case 4:
 				if id, ok := least(waiting); ok {
@@ -192,14 +192,14 @@
 		for len(running) > 0 {
 			id, _ := least(running)
 			delete(running, id)
-			handle(g.Step(now.Add(time.Second), Completed{ID: id, Took: time.Millisecond}))
+			handle(g.Step(now.Add(time.Second), Completed{ID: id, Duration: time.Millisecond}))
 		}
 		for at := g.NextTick(); !at.IsZero(); at = g.NextTick() {
 			handle(g.Step(at, Tick{}))
 			for len(running) > 0 {
 				id, _ := least(running)
 				delete(running, id)
-				handle(g.Step(at, Completed{ID: id, Took: time.Millisecond}))
+				handle(g.Step(at, Completed{ID: id, Duration: time.Millisecond}))
 			}
 		}
 		if len(waiting) > 0 {
--- a/briarrockd/target/limiter.go
+++ b/briarrockd/target/limiter.go
@@ -71,10 +71,10 @@
 		}
 		return
 	}
-	if m.Failed || m.Took <= 0 {
+	if m.Failed || m.Duration <= 0 {
 		return
 	}
-	if x := l.work.ended(m.Route, m.Took, float64(running) <= quietShare*l.limit); x > 0 {
+	if x := l.work.ended(m.Route, m.Duration, float64(running) <= quietShare*l.limit); x > 0 {
 		l.slowness += slownessWeight * (x - l.slowness)
 	}
 	if full && l.slowness > slowdown {
--- a/briarrockd/target/limiter_test.go
+++ b/briarrockd/target/limiter_test.go
@@ -17,7 +17,7 @@
 		now = now.Add(5 * time.Millisecond)
 		running := l.value()
 		shed := running > room || n > 0 && i%n == 0
-		l.ended(now, Completed{Route: "r", Took: 50 * time.Millisecond, Shed: shed}, running, slots)
+		l.ended(now, Completed{Route: "r", Duration: 50 * time.Millisecond, Shed: shed}, running, slots)
 	}
 	return l.value()
 }
--- a/briarrockd/target/load_test.go
+++ b/briarrockd/target/load_test.go
@@ -59,7 +59,7 @@
 			}
 			delete(calls, id)
 			f := flows[r.flow]
-			take(now, g.Step(now, Completed{ID: id, Route: f.route, Took: f.work}))
+			take(now, g.Step(now, Completed{ID: id, Route: f.route, Duration: f.work}))
 		}
 		for i, f := range flows {
 			for n := at / f.every; n*f.every >= at && n*f.every < at+step; n++ {
--- a/briarrockd/target/message.go
+++ b/briarrockd/target/message.go
@@ -24,10 +24,10 @@
 	Deadline time.Time
 	// Aim is when the answer loses most of its worth; zero if nobody says.
 	Aim time.Time
-	// Far is set for a call from another region.
-	Far bool
-	// Body is the length of the request's body in bytes, -1 if not known.
-	Body int64
+	// CrossRegion is set for a call from another region.
+	CrossRegion bool
+	// BodyBytes is the length of the request's body in bytes, -1 if not known.
+	BodyBytes int64
 }
 
 // Canceled is a call whose caller went away while it was queued.
@@ -41,8 +41,8 @@
 	ID CallID
 	// Route is that of the call.
 	Route string
-	// Took is the time that the target took.
-	Took time.Duration
+	// Duration is the time that the target took.
+	Duration time.Duration
 	// Shed is set when the target refused it for load.
 	Shed bool
 	// Failed is set when the target broke off, was late or failed: the time that
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -102,7 +102,7 @@
 		return
 	}
 	relay.Duplex(w, r)
-	arrive := Arrival{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, Far: c.far, Body: r.ContentLength}
+	arrive := Arrival{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, CrossRegion: c.far, BodyBytes: r.ContentLength}
 	if t.deps.NoFairQueueing {
 		arrive.Caller = ""
 	}
@@ -232,10 +232,10 @@
 			res, out = nil, relay.Outcome{Kind: kind.Broken, Sent: true, Err: err}
 		}
 	}
-	ended.Took = time.Since(began)
+	ended.Duration = time.Since(began)
 	if res == nil {
 		ended.Failed = out.Kind == kind.Broken || out.Kind == kind.Late
-		t.tell(c, x, ended.Took, string(out.Kind), out.Err)
+		t.tell(c, x, ended.Duration, string(out.Kind), out.Err)
 		t.failed(w, x, c, out)
 		return
 	}
@@ -247,7 +247,7 @@
 		x.step(ended) // counts now, so that this very answer tells of it
 	}
 	ended.Failed = res.StatusCode >= http.StatusInternalServerError
-	t.tell(c, x, ended.Took, strconv.Itoa(res.StatusCode), nil)
+	t.tell(c, x, ended.Duration, strconv.Itoa(res.StatusCode), nil)
 	_ = x.writeState(w.Header())
 	w.Header().Set(kind.HeaderRan, kind.RanYes.String())
 	out = relay.Answer(w, res, t.deps.Stall)
