--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -260,7 +260,7 @@
 func (c *fleetCall) refused(u upstream, s *server, r target.Refuse, hop time.Duration) {
 	f := c.f
 	fb := f.feedback(s)
-	fb.Full, fb.Again = r.Kind == kind.Full, r.Wait
+	fb.Full, fb.Again = r.Kind == kind.Full, r.RetryAfter
 	f.at(f.now.Add(hop), func() {
 		c.ch.done(f.now, fleetService, u.host, fb)
 		if c.moves++; c.moves > maxReroutes {
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -121,9 +121,9 @@
 // refuseFor refuses a call that is not worth asking for again before wait is over;
 // 0 if nobody knows.
 func (g *Gate) refuseFor(id CallID, k kind.Kind, wait time.Duration) {
-	r := Refuse{ID: id, Kind: k, Wait: wait}
+	r := Refuse{ID: id, Kind: k, RetryAfter: wait}
 	if wait > 0 {
-		r.After = max(1, int(wait.Round(time.Second)/time.Second))
+		r.RetryAfterSeconds = max(1, int(wait.Round(time.Second)/time.Second))
 	}
 	g.cmds = append(g.cmds, r)
 }
--- a/briarrockd/target/gate_test.go
+++ b/briarrockd/target/gate_test.go
@@ -104,9 +104,9 @@
 		case Start:
 			fmt.Fprintf(&b, "start %d\n", c.ID)
 		case Refuse:
-			fmt.Fprintf(&b, "refuse %d %s after %d\n", c.ID, string(c.Kind), c.After)
+			fmt.Fprintf(&b, "refuse %d %s after %d\n", c.ID, string(c.Kind), c.RetryAfterSeconds)
 			if c.Kind == kind.Rate {
-				fmt.Fprintf(&b, "worth asking again in %v\n", c.Wait.Round(time.Millisecond))
+				fmt.Fprintf(&b, "worth asking again in %v\n", c.RetryAfter.Round(time.Millisecond))
 			}
 		}
 	}
--- a/briarrockd/target/message.go
+++ b/briarrockd/target/message.go
@@ -85,10 +85,10 @@
 // Refuse turns a call away. After is the number of seconds until it is worth
 // asking again, and Wait the same more finely; 0 if nobody knows.
 type Refuse struct {
-	ID    CallID
-	Kind  kind.Kind
-	After int
-	Wait  time.Duration
+	ID                CallID
+	Kind              kind.Kind
+	RetryAfterSeconds int
+	RetryAfter        time.Duration
 }
 
 func (Start) cmd()  {}
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -176,17 +176,17 @@
 	if r.Kind == kind.Rate {
 		t.overRate.Inc()
 	}
-	f := event.Fields{"trace": c.trace, "service": c.service, "priority": c.priority, "kind": string(r.Kind), "after": r.Wait.Milliseconds()}
+	f := event.Fields{"trace": c.trace, "service": c.service, "priority": c.priority, "kind": string(r.Kind), "after": r.RetryAfter.Milliseconds()}
 	if x != nil {
 		f["target"], f["load"] = x.addr, x.writeState(w.Header())
 		x.describeRate(f)
 	}
 	t.deps.Log.Call(event.RunRefused, f, false)
-	if r.Wait > 0 {
-		relay.FailAfter(w, r.Kind, kind.RanNo, r.Wait)
+	if r.RetryAfter > 0 {
+		relay.FailAfter(w, r.Kind, kind.RanNo, r.RetryAfter)
 		return
 	}
-	relay.Fail(w, r.Kind, kind.RanNo, r.After)
+	relay.Fail(w, r.Kind, kind.RanNo, r.RetryAfterSeconds)
 }
 
 // writeState puts into a head how taken the target is and what it has told of itself. It
@@ -274,7 +274,7 @@
 	}
 	ended.Shed = true
 	x.step(*ended)
-	t.refuse(w, c, x, Refuse{Kind: kind.Shed, Wait: shedAgain})
+	t.refuse(w, c, x, Refuse{Kind: kind.Shed, RetryAfter: shedAgain})
 }
 
 // maxRefusal bounds what is read of the body of a refusal, in bytes.
