--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -244,7 +244,7 @@
 }
 
 func (f *fleet) feedback(s *server) Feedback {
-	return Feedback{Load: s.gate.Load(f.now), Usual: s.gate.Usual(), Priority: snapshot.Normal}
+	return Feedback{Load: s.gate.Load(f.now), Usual: s.gate.MeanDuration(), Priority: snapshot.Normal}
 }
 
 func (c *fleetCall) ended(u upstream, s *server, id target.CallID, took, hop time.Duration) {
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -102,8 +102,8 @@
 // Queued is how many calls wait now.
 func (g *Gate) Queued() int { return len(g.queue) }
 
-// Allowed is how many calls may run at once now.
-func (g *Gate) Allowed() int { return g.allowed() }
+// ConcurrencyLimit is how many calls may run at once now.
+func (g *Gate) ConcurrencyLimit() int { return g.allowed() }
 
 func (g *Gate) allowed() int { return max(1, min(g.slots, g.limit.value())) }
 
@@ -156,8 +156,8 @@
 	return max(again, time.Duration(float64(g.overload.share[a.Priority])*left))
 }
 
-// Usual is how long a call takes as a rule; 0 before any has ended.
-func (g *Gate) Usual() time.Duration { return g.limit.work.all }
+// MeanDuration is how long a call takes as a rule; 0 before any has ended.
+func (g *Gate) MeanDuration() time.Duration { return g.limit.work.all }
 
 // wait is how long a call behind n others is expected to be queued. The more
 // urgent calls that are still to come go before it too.
--- a/briarrockd/target/gate_test.go
+++ b/briarrockd/target/gate_test.go
@@ -34,7 +34,7 @@
 			return ""
 		}
 		return describeAll(g.Step(now, scanMsg(t, d, start))) +
-			fmt.Sprintf("running %d, queued %d, allowed %d\n", g.Running(), g.Queued(), g.Allowed())
+			fmt.Sprintf("running %d, queued %d, allowed %d\n", g.Running(), g.Queued(), g.ConcurrencyLimit())
 	})
 }
 
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -193,7 +193,7 @@
 // returns the load.
 func (x *target) writeState(h http.Header) string {
 	x.mu.Lock()
-	load, usual := x.gate.Load(time.Now()), x.gate.Usual()
+	load, usual := x.gate.Load(time.Now()), x.gate.MeanDuration()
 	x.mu.Unlock()
 	text := strconv.FormatFloat(load, 'f', 2, 64)
 	h.Set(HeaderLoad, text)
