--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -103,7 +103,7 @@
 	if load, err := strconv.ParseFloat(h.Get(target.HeaderLoad), 64); err == nil {
 		f.Load = load
 	}
-	if ms, err := strconv.ParseInt(h.Get(target.HeaderUsual), 10, 64); err == nil {
+	if ms, err := strconv.ParseInt(h.Get(target.HeaderMeanDuration), 10, 64); err == nil {
 		f.Usual = time.Duration(ms) * time.Millisecond
 	}
 	f.Failed = a.kind == kind.Refused || a.kind == kind.Broken || a.kind == kind.Late
@@ -132,13 +132,13 @@
 	h.Set(target.HeaderDeadline, strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 0), 10))
 	h.Set(target.HeaderPriority, strconv.Itoa(int(c.route.Priority)))
 	h.Set(target.HeaderRoute, c.routeName())
-	h.Set(target.HeaderPrint, strconv.FormatUint(c.print, 16))
+	h.Set(target.HeaderFingerprint, strconv.FormatUint(c.print, 16))
 	h.Set(target.HeaderTrace, c.trace)
 	if c.route.Mode == snapshot.Once {
-		h.Set(target.HeaderOnce, "yes")
+		h.Set(target.HeaderAtMostOnce, "yes")
 	}
 	if u.far {
-		h.Set(target.HeaderFar, "yes")
+		h.Set(target.HeaderCrossRegion, "yes")
 	}
 	if !c.aim.IsZero() {
 		h.Set(target.HeaderAim, strconv.FormatInt(time.Until(c.aim).Milliseconds(), 10))
--- a/briarrockd/caller/full_test.go
+++ b/briarrockd/caller/full_test.go
@@ -26,7 +26,7 @@
 	time.Sleep(200 * time.Microsecond)
 	res := answerOf(req, http.StatusServiceUnavailable, kind.RanNo)
 	res.Header.Set(kind.HeaderKind, string(kind.Full))
-	res.Header.Set(target.HeaderUsual, "5")
+	res.Header.Set(target.HeaderMeanDuration, "5")
 	return res, nil
 }
 
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -20,19 +20,19 @@
 
 // Headers from the node at the entry to the target's node.
 const (
-	HeaderService  = "Briarrock-Service"
-	HeaderDeadline = "Briarrock-Deadline" // milliseconds that are left
-	HeaderAim      = "Briarrock-Aim"      // milliseconds until the answer loses most of its worth
-	HeaderCaller   = "Briarrock-Caller"
-	HeaderPriority = "Briarrock-Priority"
-	HeaderPrint    = "Briarrock-Print" // fingerprint of the request
-	HeaderRoute    = "Briarrock-Route" // name of the route
-	HeaderOnce     = "Briarrock-Once"  // set if it may run only once
-	HeaderFar      = "Briarrock-Far"   // set if the call comes from another region
+	HeaderService     = "Briarrock-Service"
+	HeaderDeadline    = "Briarrock-Deadline" // milliseconds that are left
+	HeaderAim         = "Briarrock-Aim"      // milliseconds until the answer loses most of its worth
+	HeaderCaller      = "Briarrock-Caller"
+	HeaderPriority    = "Briarrock-Priority"
+	HeaderFingerprint = "Briarrock-Print" // fingerprint of the request
+	HeaderRoute       = "Briarrock-Route" // name of the route
+	HeaderAtMostOnce  = "Briarrock-Once"  // set if it may run only once
+	HeaderCrossRegion = "Briarrock-Far"   // set if the call comes from another region
 	// HeaderLoad tells the entry how taken the target is, and HeaderUsual how
 	// many milliseconds its work takes as a rule.
-	HeaderLoad  = "Briarrock-Load"
-	HeaderUsual = "Briarrock-Usual"
+	HeaderLoad         = "Briarrock-Load"
+	HeaderMeanDuration = "Briarrock-Usual"
 	// HeaderInstance tells a target whom the request is for, by its ID.
 	HeaderInstance = "Briarrock-Instance"
 	// HeaderTrace names a call through all of its way.
@@ -63,7 +63,7 @@
 	if err != nil || ms < 0 || ms > maxDeadline.Milliseconds() {
 		return call{}, false
 	}
-	mark, _ := strconv.ParseUint(r.Header.Get(HeaderPrint), 16, 64)
+	mark, _ := strconv.ParseUint(r.Header.Get(HeaderFingerprint), 16, 64)
 	priority, _ := strconv.ParseUint(r.Header.Get(HeaderPriority), 10, 8)
 	var aim time.Time
 	if ms, err := strconv.ParseInt(r.Header.Get(HeaderAim), 10, 64); err == nil && ms <= maxDeadline.Milliseconds() {
@@ -78,8 +78,8 @@
 		route:    r.Header.Get(HeaderRoute),
 		mark:     mark,
 		trace:    r.Header.Get(HeaderTrace),
-		once:     r.Header.Get(HeaderOnce) != "",
-		far:      r.Header.Get(HeaderFar) != "",
+		once:     r.Header.Get(HeaderAtMostOnce) != "",
+		far:      r.Header.Get(HeaderCrossRegion) != "",
 	}, true
 }
 
@@ -198,7 +198,7 @@
 	text := strconv.FormatFloat(load, 'f', 2, 64)
 	h.Set(HeaderLoad, text)
 	if usual > 0 {
-		h.Set(HeaderUsual, strconv.FormatInt(usual.Milliseconds(), 10))
+		h.Set(HeaderMeanDuration, strconv.FormatInt(usual.Milliseconds(), 10))
 	}
 	if n, ok := x.notice(); ok {
 		WriteNotices(h, time.Now(), n)
