--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -176,7 +176,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := keys.Name(*r.TLS, keys.Node); err != nil {
 			n.log.Emit(event.PeerRefused, event.Fields{event.Subject: r.RemoteAddr, "error": err.Error()})
-			relay.Fail(w, kind.Caller, kind.RanNo, 0)
+			relay.WriteFailure(w, kind.Caller, kind.RanNo, 0)
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/briarrockd/relay/fail.go
+++ b/briarrockd/relay/fail.go
@@ -17,10 +17,10 @@
 	Text  string `json:"text"`
 }
 
-// Fail answers a call with a kind. ran says whether the request ran, where
+// WriteFailure answers a call with a kind. ran says whether the request ran, where
 // this is known better than by the kind alone; after is the number of seconds
 // to wait before asking again, 0 for the kind's own.
-func Fail(w http.ResponseWriter, k kind.Kind, ran kind.Ran, after int) {
+func WriteFailure(w http.ResponseWriter, k kind.Kind, ran kind.Ran, after int) {
 	a := k.Answer()
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -49,7 +49,7 @@
 		w.Header().Set(kind.HeaderAfter, strconv.FormatInt(wait.Milliseconds(), 10))
 		after = int((wait + time.Second - 1) / time.Second)
 	}
-	Fail(w, k, ran, after)
+	WriteFailure(w, k, ran, after)
 }
 
 // After reads the time until it is worth asking again from an answer's head;
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -88,7 +88,7 @@
 	now := time.Now()
 	c, ok := readCall(r, now)
 	if !ok {
-		relay.Fail(w, kind.Request, kind.RanNo, 0)
+		relay.WriteFailure(w, kind.Request, kind.RanNo, 0)
 		return
 	}
 	t.learn(ReadNotices(r.Header, now))
@@ -186,7 +186,7 @@
 		relay.FailAfter(w, r.Kind, kind.RanNo, r.Wait)
 		return
 	}
-	relay.Fail(w, r.Kind, kind.RanNo, r.After)
+	relay.WriteFailure(w, r.Kind, kind.RanNo, r.After)
 }
 
 // writeState puts into a head how taken the target is and what it has told of itself. It
@@ -360,7 +360,7 @@
 		t.lookForCrash(x, c)
 	}
 	_ = x.writeState(w.Header())
-	relay.Fail(w, out.Kind, ran, 0)
+	relay.WriteFailure(w, out.Kind, ran, 0)
 }
 
 // lookForCrash is called for a request whose connection broke off. If the
