--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -381,5 +381,5 @@
 	}
 	p.tell(c, k, ran, k.Answer().Status, after)
 	w.Header().Set(target.HeaderTrace, c.trace)
-	relay.FailAfter(w, k, ran, after)
+	relay.WriteFailureWithRetryAfter(w, k, ran, after)
 }
--- a/briarrockd/relay/fail.go
+++ b/briarrockd/relay/fail.go
@@ -41,9 +41,9 @@
 	_, _ = w.Write(body)
 }
 
-// FailAfter is Fail with the time until it is worth asking again, exact to
+// WriteFailureWithRetryAfter is Fail with the time until it is worth asking again, exact to
 // the millisecond; 0 if nobody knows it.
-func FailAfter(w http.ResponseWriter, k kind.Kind, ran kind.Ran, wait time.Duration) {
+func WriteFailureWithRetryAfter(w http.ResponseWriter, k kind.Kind, ran kind.Ran, wait time.Duration) {
 	after := 0
 	if wait > 0 {
 		w.Header().Set(kind.HeaderAfter, strconv.FormatInt(wait.Milliseconds(), 10))
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -183,7 +183,7 @@
 	}
 	t.deps.Log.Call(event.RunRefused, f, false)
 	if r.Wait > 0 {
-		relay.FailAfter(w, r.Kind, kind.RanNo, r.Wait)
+		relay.WriteFailureWithRetryAfter(w, r.Kind, kind.RanNo, r.Wait)
 		return
 	}
 	relay.WriteFailure(w, r.Kind, kind.RanNo, r.After)
