--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -81,7 +81,7 @@
 func (a *attempt) read(res *http.Response, streamed bool) {
 	a.ran = kind.ParseRan(res.Header.Get(kind.HeaderRan))
 	a.kind = kind.Kind(res.Header.Get(kind.HeaderKind))
-	a.after = relay.After(res.Header)
+	a.after = relay.RetryAfter(res.Header)
 	a.reached = a.kind == kind.None || a.kind == kind.Shed || a.ran != kind.RanNo
 	if a.kind != kind.None || (streamed && res.ContentLength < 0) {
 		return
--- a/briarrockd/relay/fail.go
+++ b/briarrockd/relay/fail.go
@@ -52,9 +52,9 @@
 	WriteFailure(w, k, ran, after)
 }
 
-// After reads the time until it is worth asking again from an answer's head;
+// RetryAfter reads the time until it is worth asking again from an answer's head;
 // 0 if it says none.
-func After(h http.Header) time.Duration {
+func RetryAfter(h http.Header) time.Duration {
 	if ms, err := strconv.ParseInt(h.Get(kind.HeaderAfter), 10, 64); err == nil && ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
