--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -40,13 +40,13 @@
 	ErrDeadline = errors.New("relay: deadline")
 )
 
-// Prefix begins each header that nodes use among themselves or towards
+// HeaderPrefix begins each header that nodes use among themselves or towards
 // callers. Nothing with this prefix passes through from outside.
-const Prefix = "Briarrock-"
+const HeaderPrefix = "Briarrock-"
 
 // HeaderSeal is the one exception: a target's proof that an answer is its own,
 // which passes to the caller as it is.
-const HeaderSeal = Prefix + "Seal"
+const HeaderSeal = HeaderPrefix + "Seal"
 
 // Call is one exchange to be sent.
 type Call struct {
@@ -463,7 +463,7 @@
 func endToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for k, v := range h {
-		if !strings.HasPrefix(k, Prefix) || k == HeaderSeal {
+		if !strings.HasPrefix(k, HeaderPrefix) || k == HeaderSeal {
 			out[k] = v
 		}
 	}
