--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -79,9 +79,9 @@
 	Streamed bool
 }
 
-// KeepBody bounds the bodies that are sent as one piece; larger ones, and
+// MaxBufferedBody bounds the bodies that are sent as one piece; larger ones, and
 // those of unknown length, are streamed.
-const KeepBody = 64 << 10
+const MaxBufferedBody = 64 << 10
 
 // KeepAnswer bounds the answers that are read whole before any of them is passed
 // on. One that breaks off then costs no connection, the request can still be
@@ -89,7 +89,9 @@
 const KeepAnswer = 64 << 10
 
 // IsStreamed tells whether a request's body is streamed.
-func IsStreamed(r *http.Request) bool { return r.ContentLength < 0 || r.ContentLength > KeepBody }
+func IsStreamed(r *http.Request) bool {
+	return r.ContentLength < 0 || r.ContentLength > MaxBufferedBody
+}
 
 // ReadBody reads a request's body of known length into memory. A body that has not come
 // within the given time is closed, and the read fails.
