--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -83,10 +83,10 @@
 // those of unknown length, are streamed.
 const MaxBufferedBody = 64 << 10
 
-// KeepAnswer bounds the answers that are read whole before any of them is passed
+// MaxBufferedResponse bounds the answers that are read whole before any of them is passed
 // on. One that breaks off then costs no connection, the request can still be
 // sent again, and its caller gets a clear failure.
-const KeepAnswer = 64 << 10
+const MaxBufferedResponse = 64 << 10
 
 // IsStreamed tells whether a request's body is streamed.
 func IsStreamed(r *http.Request) bool {
--- a/briarrockd/target/broken_test.go
+++ b/briarrockd/target/broken_test.go
@@ -29,7 +29,7 @@
 // breaks off and ends its exchange as if it were complete.
 func TestLongAnswerBreaksOff(t *testing.T) {
 	c := qt.New(t)
-	ts := newBodyHost(breaking{4 * relay.KeepAnswer})
+	ts := newBodyHost(breaking{4 * relay.MaxBufferedResponse})
 	defer ts.Close()
 	defer func() { c.Check(recover(), qt.Equals, http.ErrAbortHandler) }()
 	send(ts)
