--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -86,7 +86,7 @@
 	if a.kind != kind.None || (streamed && res.ContentLength < 0) {
 		return
 	}
-	if relay.Whole(res, relay.MaxBufferedResponse) != nil {
+	if relay.BufferResponse(res, relay.MaxBufferedResponse) != nil {
 		a.res, a.kind, a.ran = nil, kind.Broken, kind.RanUnknown
 	}
 }
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -214,7 +214,7 @@
 		StatusCode: 200, Header: make(http.Header), ContentLength: 10,
 		Body: io.NopCloser(io.MultiReader(strings.NewReader("half"), broken{})),
 	}
-	c.Check(relay.Whole(res, 1<<10), qt.ErrorMatches, "broken")
+	c.Check(relay.BufferResponse(res, 1<<10), qt.ErrorMatches, "broken")
 }
 
 type broken struct{}
--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -250,10 +250,10 @@
 	return out
 }
 
-// Whole reads the body of an answer into memory if it has at most limit bytes,
+// BufferResponse reads the body of an answer into memory if it has at most limit bytes,
 // so that an answer which breaks off is noticed before any of it is passed on.
 // A larger one is left to be streamed. The error is that of the body.
-func Whole(res *http.Response, limit int64) error {
+func BufferResponse(res *http.Response, limit int64) error {
 	if res.ContentLength > limit {
 		return nil
 	}
--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -214,7 +214,7 @@
 		return false
 	}
 	t.observeHealth(x, res.Header, sent)
-	_ = relay.Whole(res, maxAnnouncement)
+	_ = relay.BufferResponse(res, maxAnnouncement)
 	t.deps.Log.Emit(event.TargetState, event.Fields{event.Subject: x.addr, "id": id, "health": res.StatusCode})
 	return res.StatusCode == http.StatusOK
 }
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -228,7 +228,7 @@
 		t.observe(x, res.Header, began)
 	}
 	if res != nil && (res.ContentLength >= 0 || !relay.IsStreamed(r)) {
-		if err := relay.Whole(res, relay.MaxBufferedResponse); err != nil {
+		if err := relay.BufferResponse(res, relay.MaxBufferedResponse); err != nil {
 			res, out = nil, relay.Outcome{Kind: kind.Broken, Sent: true, Err: err}
 		}
 	}
