--- a/briarrockd/caller/header_test.go
+++ b/briarrockd/caller/header_test.go
@@ -93,7 +93,7 @@
 		c.Check(h.Get(name), qt.Equals, "", qt.Commentf("%s", name))
 	}
 	w := httptest.NewRecorder()
-	relay.Answer(w, res, time.Minute)
+	relay.CopyResponse(w, res, time.Minute)
 	c.Check(w.Header().Get("Briarrock-Ran"), qt.Equals, "")
 	c.Check(w.Header().Get("X-Hop"), qt.Equals, "")
 	c.Check(w.Header().Get("X-End"), qt.Equals, "1")
--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -282,11 +282,11 @@
 	io.Closer
 }
 
-// Answer copies an answer to the caller. When it fails half-way the only
+// CopyResponse copies an answer to the caller. When it fails half-way the only
 // honest thing left is to break the connection to the caller, so that a short
 // answer can't pass as a whole one: the Outcome's Kind is then not None and
 // the handler must panic with http.ErrAbortHandler.
-func Answer(w http.ResponseWriter, res *http.Response, stall time.Duration) Outcome {
+func CopyResponse(w http.ResponseWriter, res *http.Response, stall time.Duration) Outcome {
 	defer func() { _ = res.Body.Close() }()
 	announceTrailers(w.Header(), res.Trailer)
 	copyHeader(w.Header(), endToEnd(res.Header))
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -250,7 +250,7 @@
 	t.tell(c, x, ended.Took, strconv.Itoa(res.StatusCode), nil)
 	_ = x.writeState(w.Header())
 	w.Header().Set(kind.HeaderRan, kind.RanYes.String())
-	out = relay.Answer(w, res, t.deps.Stall)
+	out = relay.CopyResponse(w, res, t.deps.Stall)
 	if out.Kind != kind.None {
 		panic(http.ErrAbortHandler)
 	}
