--- a/briarrockd/caller/header_test.go
+++ b/briarrockd/caller/header_test.go
@@ -83,7 +83,7 @@
 	base := *r.URL
 	base.Scheme, base.Host = "http", srv.Listener.Addr().String()
 	res, out := relay.Send(t.Context(), relay.Call{
-		In: r, URL: relay.Toward(&base, r), Transport: http.DefaultTransport, Deadline: time.Now().Add(time.Minute),
+		In: r, URL: relay.RebaseURL(&base, r), Transport: http.DefaultTransport, Deadline: time.Now().Add(time.Minute),
 	})
 	c.Assert(out.Err, qt.IsNil)
 	c.Check(res.Request.URL.EscapedPath(), qt.Equals, "/a%2Fb")
--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// Toward is the URL of the request in at another address. The path goes on in
+// RebaseURL is the URL of the request in at another address. The path goes on in
 // the form in which it came, so that no escape changes its meaning on the way.
-func Toward(base *url.URL, in *http.Request) *url.URL {
+func RebaseURL(base *url.URL, in *http.Request) *url.URL {
 	u := *in.URL
 	u.Scheme = base.Scheme
 	u.Host = base.Host
