--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -172,7 +172,7 @@
 		return
 	}
 	defer p.inflight.Add(-1)
-	relay.Duplex(w, r)
+	relay.EnableFullDuplex(w, r)
 	began := time.Now()
 	defer p.took.UpdateDuration(began)
 	p.holdAtStart(r)
--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -185,10 +185,10 @@
 	return req, nil
 }
 
-// Duplex lets an answer begin while its request's body is still coming in.
+// EnableFullDuplex lets an answer begin while its request's body is still coming in.
 // HTTP/1.1 servers otherwise read the body to its end first, and a target that
 // answers as it reads would wait for a caller that waits for it.
-func Duplex(w http.ResponseWriter, r *http.Request) {
+func EnableFullDuplex(w http.ResponseWriter, r *http.Request) {
 	if IsStreamed(r) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -101,7 +101,7 @@
 		t.refuse(w, c, x, Refuse{Kind: kind.Held})
 		return
 	}
-	relay.Duplex(w, r)
+	relay.EnableFullDuplex(w, r)
 	arrive := Arrive{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, Far: c.far, Body: r.ContentLength}
 	if t.deps.NoTurns {
 		arrive.Caller = ""
