--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -205,7 +205,7 @@
 
 // watch finds out whether a request can have left the process.
 type watch struct {
-	conn   atomic.Pointer[Conn]
+	conn   atomic.Pointer[CountingConn]
 	before atomic.Int64
 	// got is set when a connection was had that does not count its bytes.
 	got atomic.Bool
@@ -414,15 +414,15 @@
 	g.timer.Stop()
 }
 
-// Conn is a connection that counts the bytes that were written to it.
-type Conn struct {
+// CountingConn is a connection that counts the bytes that were written to it.
+type CountingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
 // Write implements net.Conn. The count goes up before the bytes go out, so
 // that a write that is cut off counts as sent.
-func (c *Conn) Write(b []byte) (int, error) {
+func (c *CountingConn) Write(b []byte) (int, error) {
 	c.written.Add(int64(len(b)))
 	n, err := c.Conn.Write(b)
 	return n, err //nolint:wrapcheck // net/http looks at the error's type
@@ -443,15 +443,15 @@
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
-		return &Conn{Conn: c}, nil
+		return &CountingConn{Conn: c}, nil
 	}
 }
 
-func counted(c net.Conn) *Conn {
+func counted(c net.Conn) *CountingConn {
 	if x, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = x.NetConn()
 	}
-	cc, _ := c.(*Conn)
+	cc, _ := c.(*CountingConn)
 	return cc
 }
 
