--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -56,8 +56,8 @@
 	URL *url.URL
 	// Host is the Host header to send.
 	Host string
-	// Add are headers to set, after the hop's own were removed.
-	Add http.Header
+	// ExtraHeader are headers to set, after the hop's own were removed.
+	ExtraHeader http.Header
 	// Body is what to send; nil for none.
 	Body io.Reader
 	// Length is the number of bytes in Body, -1 if not known.
@@ -161,7 +161,7 @@
 	}
 	req.Host = c.Host
 	req.Header = endToEnd(c.In.Header)
-	for k, v := range c.Add {
+	for k, v := range c.ExtraHeader {
 		req.Header[k] = v
 	}
 	if _, ok := req.Header["User-Agent"]; !ok {
