--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -60,8 +60,8 @@
 	ExtraHeader http.Header
 	// Body is what to send; nil for none.
 	Body io.Reader
-	// Length is the number of bytes in Body, -1 if not known.
-	Length int64
+	// ContentLength is the number of bytes in Body, -1 if not known.
+	ContentLength int64
 	// Transport sends. Its connections must come from Dialer.
 	Transport http.RoundTripper
 	// Stall bounds the time without a byte moving while Body is sent.
@@ -175,7 +175,7 @@
 	switch {
 	case c.Body != nil:
 		req.Body = io.NopCloser(c.Body)
-		req.ContentLength = c.Length
+		req.ContentLength = c.ContentLength
 	case c.Once:
 		req.Body = io.NopCloser(strings.NewReader(""))
 	default:
