--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -64,8 +64,8 @@
 	ContentLength int64
 	// Transport sends. Its connections must come from Dialer.
 	Transport http.RoundTripper
-	// Stall bounds the time without a byte moving while Body is sent.
-	Stall time.Duration
+	// StallTimeout bounds the time without a byte moving while Body is sent.
+	StallTimeout time.Duration
 	// Once is set for a request that must not be sent twice by anybody.
 	Once bool
 	// Deadline is when the answer's head must be there.
@@ -130,7 +130,7 @@
 	timer := time.AfterFunc(left, func() { cancel(ErrDeadline) })
 	var g *guard
 	if c.Body != nil {
-		g = newGuard(req.Body, c.Stall, func() { cancel(ErrStall) })
+		g = newGuard(req.Body, c.StallTimeout, func() { cancel(ErrStall) })
 		req.Body = g
 	}
 	if c.Streamed && g != nil {
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -221,7 +221,7 @@
 	}
 	res, out := relay.Send(ctx, relay.Call{
 		In: r, URL: relay.RebaseURL(x.url, r), Host: r.Host, ExtraHeader: t.towardsTarget(r, x, c),
-		Body: body(r, func() { x.step(Taken{id}) }), ContentLength: r.ContentLength, Transport: x.transport, Stall: t.deps.Stall,
+		Body: body(r, func() { x.step(Taken{id}) }), ContentLength: r.ContentLength, Transport: x.transport, StallTimeout: t.deps.Stall,
 		Deadline: c.deadline, Streamed: relay.IsStreamed(r), Once: c.once,
 	})
 	if res != nil {
