--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -53,7 +53,7 @@
 		In: c.r, URL: relay.RebaseURL(&url.URL{Scheme: p.deps.Scheme, Host: u.addr}, c.r), Host: c.r.Host,
 		ExtraHeader: c.towardsNode(u, held), Body: body, ContentLength: length, Transport: p.deps.Transport, StallTimeout: p.deps.Stall,
 		Deadline: c.deadline.Add(deadlineSlack), Streamed: c.streamed,
-		Once: c.route.Mode == snapshot.Once, Withheld: held && !c.streamed,
+		Once: c.route.Mode == snapshot.Once, ForwardAfterBody: held && !c.streamed,
 	})
 	a := attempt{res: res, host: u.host, kind: out.Kind, err: out.Err}
 	if res != nil {
--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -70,10 +70,10 @@
 	Once bool
 	// Deadline is when the answer's head must be there.
 	Deadline time.Time
-	// Withheld is set for a request of which the other side passes nothing on before
+	// ForwardAfterBody is set for a request of which the other side passes nothing on before
 	// it has asked for the body and got it. It has not been sent as long as nothing of
 	// the body has.
-	Withheld bool
+	ForwardAfterBody bool
 	// Streamed is set for a body whose sending may take any time as long as
 	// it moves: the time until Deadline then counts from the body's end.
 	Streamed bool
@@ -152,7 +152,7 @@
 }
 
 // isWithheld tells whether the other side still waits for the body, whose guard is g.
-func (c *Call) isWithheld(g *guard) bool { return c.Withheld && g != nil && !g.begun.Load() }
+func (c *Call) isWithheld(g *guard) bool { return c.ForwardAfterBody && g != nil && !g.begun.Load() }
 
 func request(ctx context.Context, c Call) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, c.In.Method, c.URL.String(), nil)
