--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -144,7 +144,7 @@
 		h.Set(target.HeaderAim, strconv.FormatInt(time.Until(c.aim).Milliseconds(), 10))
 	}
 	if held {
-		h.Set("Expect", http1.Continue)
+		h.Set("Expect", http1.ExpectContinue)
 		h.Set(http1.HeaderHeld, "yes")
 	}
 	if c.caller != "" {
--- a/briarrockd/http1/conn.go
+++ b/briarrockd/http1/conn.go
@@ -190,7 +190,7 @@
 	if req.ContentLength != 0 {
 		x.body = &body{
 			x: x, r: req.Body, most: maxBody, ended: make(chan struct{}),
-			expected: strings.EqualFold(req.Header.Get("Expect"), Continue),
+			expected: strings.EqualFold(req.Header.Get("Expect"), ExpectContinue),
 			held:     req.Header.Get(HeaderHeld) != "",
 		}
 		req.Body = x.body
--- a/briarrockd/http1/expect_test.go
+++ b/briarrockd/http1/expect_test.go
@@ -107,7 +107,7 @@
 	post := func(held bool) string {
 		req, _ := http.NewRequest(http.MethodPost, "http://"+l.Addr().String()+"/", struct{ io.Reader }{strings.NewReader(strings.Repeat("x", 70000))})
 		req.ContentLength = 70000
-		req.Header.Set("Expect", http1.Continue)
+		req.Header.Set("Expect", http1.ExpectContinue)
 		if held {
 			req.Header.Set(http1.HeaderHeld, "yes")
 		}
--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -72,7 +72,7 @@
 	if req.ContentLength > 0 && req.Body != nil {
 		req.Body = &handing{req.Body, x}
 	}
-	if req.Header.Get("Expect") == Continue && req.Body != nil {
+	if req.Header.Get("Expect") == ExpectContinue && req.Body != nil {
 		req.Body = &expecting{req.Body, x}
 	}
 	return x
@@ -122,7 +122,7 @@
 	})
 }
 
-// Continue is the value of the header Expect by which a request's body is held
+// ExpectContinue is the value of the header Expect by which a request's body is held
 // back until the other side asks for it. A long body that would be refused then
 // takes no bandwidth, and its request can go elsewhere.
 //
@@ -132,8 +132,8 @@
 // the connection stays. A refused upload would otherwise cost a new connection
 // at each target that it asks.
 const (
-	Continue   = "100-continue"
-	HeaderHeld = "Briarrock-Held"
+	ExpectContinue = "100-continue"
+	HeaderHeld     = "Briarrock-Held"
 )
 
 // unasked tells whether the body was held back and has not been asked for.
--- a/briarrockd/http1/pool_test.go
+++ b/briarrockd/http1/pool_test.go
@@ -307,7 +307,7 @@
 		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/", struct{ io.Reader }{strings.NewReader(strings.Repeat("x", 70123))})
 		req.ContentLength = 70123
 		req.Header.Set("Name", name)
-		req.Header.Set("Expect", http1.Continue)
+		req.Header.Set("Expect", http1.ExpectContinue)
 		return do(p, req)
 	}
 	for range 3 {
