--- a/briarrockd/http1/http1.go
+++ b/briarrockd/http1/http1.go
@@ -35,8 +35,8 @@
 	ErrClosed = errors.New("http1: closed")
 	// ErrTooLarge says that a head or a body is larger than allowed.
 	ErrTooLarge = errors.New("http1: too large")
-	// ErrUnasked says that bytes came that no request had asked for.
-	ErrUnasked = errors.New("http1: bytes without a request")
+	// ErrUnsolicited says that bytes came that no request had asked for.
+	ErrUnsolicited = errors.New("http1: bytes without a request")
 )
 
 // bufferSize is enough for the head of nearly every message; each connection
--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -326,7 +326,7 @@
 		l.mu.Unlock()
 		if x == nil {
 			if err == nil {
-				err = ErrUnasked
+				err = ErrUnsolicited
 			}
 			l.close(err)
 			return
@@ -368,13 +368,13 @@
 			return res, nil
 		}
 		if res.ContentLength < 0 && !chunked(res) || res.Close {
-			return nil, ErrUnasked // nothing can follow it
+			return nil, ErrUnsolicited // nothing can follow it
 		}
 		if _, err := io.CopyN(io.Discard, res.Body, maxUnsolicitedBody); !errors.Is(err, io.EOF) {
-			return nil, ErrUnasked
+			return nil, ErrUnsolicited
 		}
 	}
-	return nil, ErrUnasked
+	return nil, ErrUnsolicited
 }
 
 func chunked(res *http.Response) bool {
