--- a/briarrockd/http1/pool.go
+++ b/briarrockd/http1/pool.go
@@ -26,8 +26,8 @@
 	Belongs func(req *http.Request, res *http.Response) bool
 }
 
-// ErrTooMany says that all connections to an address are taken.
-var ErrTooMany = errors.New("http1: too many connections")
+// ErrTooManyConns says that all connections to an address are taken.
+var ErrTooManyConns = errors.New("http1: too many connections")
 
 // Pool keeps connections to any number of addresses. It implements
 // http.RoundTripper. The zero value is not useful; NewPool makes one.
@@ -110,7 +110,7 @@
 		return l, nil
 	}
 	if p.cfg.Most > 0 && s.open >= p.cfg.Most {
-		return nil, ErrTooMany
+		return nil, ErrTooManyConns
 	}
 	s.open++
 	return nil, nil
--- a/briarrockd/http1/pool_test.go
+++ b/briarrockd/http1/pool_test.go
@@ -262,7 +262,7 @@
 	go func() { _, err := get(p, addr, "a"); done <- err }()
 	<-asked
 	_, err := get(p, addr, "b")
-	c.Check(err, qt.ErrorIs, http1.ErrTooMany)
+	c.Check(err, qt.ErrorIs, http1.ErrTooManyConns)
 	close(end)
 	c.Check(<-done, qt.IsNil)
 }
