--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -191,7 +191,7 @@
 }
 
 func newLink(p *Pool, addr string, nc net.Conn) *link {
-	l := &link{pool: p, addr: addr, nc: nc, keep: p.cfg.Idle}
+	l := &link{pool: p, addr: addr, nc: nc, keep: p.cfg.IdleTimeout}
 	l.head = &bounded{r: nc}
 	l.br = bufio.NewReaderSize(l.head, bufferSize)
 	return l
@@ -409,7 +409,7 @@
 			continue
 		}
 		l.mu.Lock()
-		l.keep = min(l.pool.cfg.Idle, time.Duration(n)*time.Second-keepMargin)
+		l.keep = min(l.pool.cfg.IdleTimeout, time.Duration(n)*time.Second-keepMargin)
 		l.mu.Unlock()
 	}
 }
--- a/briarrockd/http1/pool.go
+++ b/briarrockd/http1/pool.go
@@ -15,9 +15,9 @@
 type PoolConfig struct {
 	// Dial opens a connection.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Idle is how long a connection is kept that no request uses, less where
+	// IdleTimeout is how long a connection is kept that no request uses, less where
 	// the other side says that it closes sooner.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// Most bounds the connections to one address, the busy ones included; 0
 	// for no bound. A request beyond it fails with ErrTooMany, unsent.
 	Most int
@@ -46,8 +46,8 @@
 
 // NewPool returns a pool without connections.
 func NewPool(cfg PoolConfig) *Pool {
-	if cfg.Idle == 0 {
-		cfg.Idle = idleWithin
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = idleWithin
 	}
 	return &Pool{cfg: cfg, byAddr: make(map[string]*site)}
 }
--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -191,7 +191,7 @@
 		if open == nil {
 			dial = relay.Dialer(dialTimeout, http1.Dialer(dialTimeout))
 		}
-		return http1.NewPool(http1.PoolConfig{Dial: dial, Idle: peerIdle})
+		return http1.NewPool(http1.PoolConfig{Dial: dial, IdleTimeout: peerIdle})
 	}
 	t := &http.Transport{
 		DialContext:            dial,
--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -256,7 +256,7 @@
 		process: cmp.Or(a.ID, a.Addr) + "/" + strconv.FormatInt(a.Born, 10),
 		url:     &url.URL{Scheme: "http", Host: a.Addr},
 		pool: http1.NewPool(http1.PoolConfig{
-			Dial: relay.Dialer(dialTimeout, t.deps.Dial), Idle: idleTimeout,
+			Dial: relay.Dialer(dialTimeout, t.deps.Dial), IdleTimeout: idleTimeout,
 			Most: a.Connections, Belongs: t.deps.Belongs,
 		}),
 		gate:    NewGate(Limits{Slots: a.Slots, Queue: 2 * a.Slots, Link: t.deps.Link}),
