--- a/briarrockd/http1/pool.go
+++ b/briarrockd/http1/pool.go
@@ -18,9 +18,9 @@
 	// IdleTimeout is how long a connection is kept that no request uses, less where
 	// the other side says that it closes sooner.
 	IdleTimeout time.Duration
-	// Most bounds the connections to one address, the busy ones included; 0
+	// MaxConnsPerAddr bounds the connections to one address, the busy ones included; 0
 	// for no bound. A request beyond it fails with ErrTooMany, unsent.
-	Most int
+	MaxConnsPerAddr int
 	// Belongs, if set, tells whether an answer is the one to a request. Any
 	// other answer is dropped, and the next one is read.
 	Belongs func(req *http.Request, res *http.Response) bool
@@ -109,7 +109,7 @@
 		s.idle = s.idle[:n-1]
 		return l, nil
 	}
-	if p.cfg.Most > 0 && s.open >= p.cfg.Most {
+	if p.cfg.MaxConnsPerAddr > 0 && s.open >= p.cfg.MaxConnsPerAddr {
 		return nil, ErrTooManyConns
 	}
 	s.open++
--- a/briarrockd/http1/pool_test.go
+++ b/briarrockd/http1/pool_test.go
@@ -257,7 +257,7 @@
 		<-end
 		answer(nc, req.Header.Get("Name"), "")
 	})
-	p := pool(http1.PoolConfig{Most: 1})
+	p := pool(http1.PoolConfig{MaxConnsPerAddr: 1})
 	done := make(chan error)
 	go func() { _, err := get(p, addr, "a"); done <- err }()
 	<-asked
