--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -364,7 +364,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.pool.cfg.Belongs == nil || l.pool.cfg.Belongs(req, res) {
+		if l.pool.cfg.Matches == nil || l.pool.cfg.Matches(req, res) {
 			return res, nil
 		}
 		if res.ContentLength < 0 && !chunked(res) || res.Close {
--- a/briarrockd/http1/pool.go
+++ b/briarrockd/http1/pool.go
@@ -21,9 +21,9 @@
 	// MaxConnsPerAddr bounds the connections to one address, the busy ones included; 0
 	// for no bound. A request beyond it fails with ErrTooMany, unsent.
 	MaxConnsPerAddr int
-	// Belongs, if set, tells whether an answer is the one to a request. Any
+	// Matches, if set, tells whether an answer is the one to a request. Any
 	// other answer is dropped, and the next one is read.
-	Belongs func(req *http.Request, res *http.Response) bool
+	Matches func(req *http.Request, res *http.Response) bool
 }
 
 // ErrTooManyConns says that all connections to an address are taken.
--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -257,7 +257,7 @@
 		url:     &url.URL{Scheme: "http", Host: a.Addr},
 		pool: http1.NewPool(http1.PoolConfig{
 			Dial: relay.Dialer(dialTimeout, t.deps.Dial), IdleTimeout: idleTimeout,
-			MaxConnsPerAddr: a.Connections, Belongs: t.deps.Belongs,
+			MaxConnsPerAddr: a.Connections, Matches: t.deps.Belongs,
 		}),
 		gate:    NewGate(Limits{Slots: a.Slots, Queue: 2 * a.Slots, Link: t.deps.Link}),
 		waiters: make(map[CallID]chan Cmd),
