--- a/briarrockd/http1/exchange.go
+++ b/briarrockd/http1/exchange.go
@@ -71,7 +71,7 @@
 		return
 	}
 	if err, ok := v.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
-		x.c.s.cfg.Panicked(v, debug.Stack())
+		x.c.s.cfg.OnPanic(v, debug.Stack())
 	}
 	x.err = http.ErrAbortHandler
 	x.c.abort()
--- a/briarrockd/http1/server.go
+++ b/briarrockd/http1/server.go
@@ -40,8 +40,8 @@
 	// MaxConns bounds the open connections; 0 for no bound. One more takes the
 	// place of an idle one, and is closed as soon as it is opened if none is idle.
 	MaxConns int
-	// Panicked, if set, is told of a handler that panicked.
-	Panicked func(v any, stack []byte)
+	// OnPanic, if set, is told of a handler that panicked.
+	OnPanic func(v any, stack []byte)
 }
 
 // Server serves connections. NewServer makes one.
@@ -59,8 +59,8 @@
 
 // NewServer returns a server that serves nothing yet.
 func NewServer(cfg ServerConfig) *Server {
-	if cfg.Panicked == nil {
-		cfg.Panicked = func(any, []byte) {}
+	if cfg.OnPanic == nil {
+		cfg.OnPanic = func(any, []byte) {}
 	}
 	s := &Server{cfg: cfg, conns: make(map[*conn]struct{})}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -121,7 +121,7 @@
 // serveHTTP1 runs one of this project's own servers.
 func (n *Node) serveHTTP1(name string, cfg http1.ServerConfig) {
 	cfg.MaxConns = n.maxConns(name)
-	cfg.Panicked = n.panicked
+	cfg.OnPanic = n.panicked
 	s := http1.NewServer(cfg)
 	n.servers = append(n.servers, s)
 	l := n.listeners[name]
