--- a/briarrockd/http1/crowd_test.go
+++ b/briarrockd/http1/crowd_test.go
@@ -67,7 +67,7 @@
 		idle := dial(c, addr)
 		ask(idle)
 	}
-	c.Check(s.Open() <= most, qt.IsTrue)
+	c.Check(s.OpenConns() <= most, qt.IsTrue)
 	c.Check(ask(dial(c, addr)).StatusCode, qt.Equals, http.StatusOK)
 }
 
--- a/briarrockd/http1/server.go
+++ b/briarrockd/http1/server.go
@@ -222,8 +222,8 @@
 	return busy
 }
 
-// Open returns how many connections are open.
-func (s *Server) Open() int {
+// OpenConns returns how many connections are open.
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
