--- a/briarrockd/http1/pool.go
+++ b/briarrockd/http1/pool.go
@@ -157,8 +157,8 @@
 	p.gone(l.addr)
 }
 
-// Open returns how many connections are open.
-func (p *Pool) Open() int {
+// OpenConns returns how many connections are open.
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/briarrockd/http1/pool_test.go
+++ b/briarrockd/http1/pool_test.go
@@ -243,7 +243,7 @@
 	_, err := p.RoundTrip(req)
 	c.Check(err, qt.ErrorIs, context.Canceled)
 	<-noticed
-	c.Check(p.Open(), qt.Equals, 0)
+	c.Check(p.OpenConns(), qt.Equals, 0)
 }
 
 // TestMost bounds the connections to one address: the request beyond is not
