--- a/briarrockd/http1/crowd_test.go
+++ b/briarrockd/http1/crowd_test.go
@@ -89,7 +89,7 @@
 	c.Assert(<-begun, qt.Equals, "/1")
 	s.Drain()
 	send(c, nc, "GET /2 HTTP/1.1\nHost: a\n\n")
-	c.Assert(until(func() bool { return s.Busy() == 2 }), qt.IsTrue)
+	c.Assert(until(func() bool { return s.PendingRequests() == 2 }), qt.IsTrue)
 	close(end)
 	br := bufio.NewReader(nc)
 	res, _, err := receive(br)
--- a/briarrockd/http1/server.go
+++ b/briarrockd/http1/server.go
@@ -229,8 +229,8 @@
 	return len(s.conns)
 }
 
-// Busy returns how many requests are under way.
-func (s *Server) Busy() int {
+// PendingRequests returns how many requests are under way.
+func (s *Server) PendingRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
