--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -72,7 +72,7 @@
 	if req.ContentLength > 0 && req.Body != nil {
 		req.Body = &handing{req.Body, x}
 	}
-	if req.Header.Get("Expect") == Continue && req.Body != nil {
+	if req.Header.Get("Expect") == ExpectContinue && req.Body != nil {
 		req.Body = &expecting{req.Body, x}
 	}
 	return x
@@ -122,7 +122,7 @@
 	})
 }
 
-// Continue is the value of the header Expect by which a request's body is held
+// ExpectContinue is the value of the header Expect by which a request's body is held
 // back until the other side asks for it. A long body that would be refused then
 // takes no bandwidth, and its request can go elsewhere.
 //
@@ -132,8 +132,8 @@
 // the connection stays. A refused upload would otherwise cost a new connection
 // at each target that it asks.
 const (
-	Continue   = "100-continue"
-	HeaderHeld = "Briarrock-Held"
+	ExpectContinue = "100-continue"
+	HeaderHeld     = "Briarrock-Held"
 )
 
 // unasked tells whether the body was held back and has not been asked for.
@@ -191,7 +191,7 @@
 }
 
 func newLink(p *Pool, addr string, nc net.Conn) *link {
-	l := &link{pool: p, addr: addr, nc: nc, keep: p.cfg.Idle}
+	l := &link{pool: p, addr: addr, nc: nc, keep: p.cfg.IdleTimeout}
 	l.head = &bounded{r: nc}
 	l.br = bufio.NewReaderSize(l.head, bufferSize)
 	return l
@@ -326,7 +326,7 @@
 		l.mu.Unlock()
 		if x == nil {
 			if err == nil {
-				err = ErrUnasked
+				err = ErrUnsolicited
 			}
 			l.close(err)
 			return
@@ -364,17 +364,17 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.pool.cfg.Belongs == nil || l.pool.cfg.Belongs(req, res) {
+		if l.pool.cfg.Matches == nil || l.pool.cfg.Matches(req, res) {
 			return res, nil
 		}
 		if res.ContentLength < 0 && !chunked(res) || res.Close {
-			return nil, ErrUnasked // nothing can follow it
+			return nil, ErrUnsolicited // nothing can follow it
 		}
 		if _, err := io.CopyN(io.Discard, res.Body, maxUnsolicitedBody); !errors.Is(err, io.EOF) {
-			return nil, ErrUnasked
+			return nil, ErrUnsolicited
 		}
 	}
-	return nil, ErrUnasked
+	return nil, ErrUnsolicited
 }
 
 func chunked(res *http.Response) bool {
@@ -409,7 +409,7 @@
 			continue
 		}
 		l.mu.Lock()
-		l.keep = min(l.pool.cfg.Idle, time.Duration(n)*time.Second-keepMargin)
+		l.keep = min(l.pool.cfg.IdleTimeout, time.Duration(n)*time.Second-keepMargin)
 		l.mu.Unlock()
 	}
 }
--- a/briarrockd/http1/pool_test.go
+++ b/briarrockd/http1/pool_test.go
@@ -37,7 +37,7 @@
 
 func pool(cfg http1.PoolConfig) *http1.Pool {
 	cfg.Dial = new(net.Dialer).DialContext
-	cfg.Belongs = func(req *http.Request, res *http.Response) bool {
+	cfg.Matches = func(req *http.Request, res *http.Response) bool {
 		return res.Header.Get("Name") == req.Header.Get("Name")
 	}
 	return http1.NewPool(cfg)
@@ -243,7 +243,7 @@
 	_, err := p.RoundTrip(req)
 	c.Check(err, qt.ErrorIs, context.Canceled)
 	<-noticed
-	c.Check(p.Open(), qt.Equals, 0)
+	c.Check(p.OpenConns(), qt.Equals, 0)
 }
 
 // TestMost bounds the connections to one address: the request beyond is not
@@ -257,12 +257,12 @@
 		<-end
 		answer(nc, req.Header.Get("Name"), "")
 	})
-	p := pool(http1.PoolConfig{Most: 1})
+	p := pool(http1.PoolConfig{MaxConnsPerAddr: 1})
 	done := make(chan error)
 	go func() { _, err := get(p, addr, "a"); done <- err }()
 	<-asked
 	_, err := get(p, addr, "b")
-	c.Check(err, qt.ErrorIs, http1.ErrTooMany)
+	c.Check(err, qt.ErrorIs, http1.ErrTooManyConns)
 	close(end)
 	c.Check(<-done, qt.IsNil)
 }
@@ -307,7 +307,7 @@
 		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/", struct{ io.Reader }{strings.NewReader(strings.Repeat("x", 70123))})
 		req.ContentLength = 70123
 		req.Header.Set("Name", name)
-		req.Header.Set("Expect", http1.Continue)
+		req.Header.Set("Expect", http1.ExpectContinue)
 		return do(p, req)
 	}
 	for range 3 {
--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -121,7 +121,7 @@
 // serveHTTP1 runs one of this project's own servers.
 func (n *Node) serveHTTP1(name string, cfg http1.ServerConfig) {
 	cfg.MaxConns = n.maxConns(name)
-	cfg.Panicked = n.panicked
+	cfg.OnPanic = n.panicked
 	s := http1.NewServer(cfg)
 	n.servers = append(n.servers, s)
 	l := n.listeners[name]
@@ -176,7 +176,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := keys.Name(*r.TLS, keys.Node); err != nil {
 			n.log.Emit(event.PeerRefused, event.Fields{event.Subject: r.RemoteAddr, "error": err.Error()})
-			relay.Fail(w, kind.Caller, kind.RanNo, 0)
+			relay.WriteFailure(w, kind.Caller, kind.RanNo, 0)
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -191,7 +191,7 @@
 		if open == nil {
 			dial = relay.Dialer(dialTimeout, http1.Dialer(dialTimeout))
 		}
-		return http1.NewPool(http1.PoolConfig{Dial: dial, Idle: peerIdle})
+		return http1.NewPool(http1.PoolConfig{Dial: dial, IdleTimeout: peerIdle})
 	}
 	t := &http.Transport{
 		DialContext:            dial,
--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -214,7 +214,7 @@
 		return false
 	}
 	t.observeHealth(x, res.Header, sent)
-	_ = relay.Whole(res, maxAnnouncement)
+	_ = relay.BufferResponse(res, maxAnnouncement)
 	t.deps.Log.Emit(event.TargetState, event.Fields{event.Subject: x.addr, "id": id, "health": res.StatusCode})
 	return res.StatusCode == http.StatusOK
 }
@@ -256,8 +256,8 @@
 		process: cmp.Or(a.ID, a.Addr) + "/" + strconv.FormatInt(a.StartMillis, 10),
 		url:     &url.URL{Scheme: "http", Host: a.Addr},
 		pool: http1.NewPool(http1.PoolConfig{
-			Dial: relay.Dialer(dialTimeout, t.deps.Dial), Idle: idleTimeout,
-			Most: a.Connections, Belongs: t.deps.ResponseMatches,
+			Dial: relay.Dialer(dialTimeout, t.deps.Dial), IdleTimeout: idleTimeout,
+			MaxConnsPerAddr: a.Connections, Matches: t.deps.ResponseMatches,
 		}),
 		gate:    NewGate(Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBandwidth: t.deps.LinkBandwidth}),
 		waiters: make(map[CallID]chan Cmd),
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -88,7 +88,7 @@
 	now := time.Now()
 	c, ok := readCall(r, now)
 	if !ok {
-		relay.Fail(w, kind.Request, kind.RanNo, 0)
+		relay.WriteFailure(w, kind.Request, kind.RanNo, 0)
 		return
 	}
 	t.learn(ReadNotices(r.Header, now))
@@ -101,7 +101,7 @@
 		t.refuse(w, c, x, Refuse{Kind: kind.Held})
 		return
 	}
-	relay.Duplex(w, r)
+	relay.EnableFullDuplex(w, r)
 	arrive := Arrival{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, CrossRegion: c.far, BodyBytes: r.ContentLength}
 	if t.deps.NoFairQueueing {
 		arrive.Caller = ""
@@ -183,10 +183,10 @@
 	}
 	t.deps.Log.Call(event.RunRefused, f, false)
 	if r.RetryAfter > 0 {
-		relay.FailAfter(w, r.Kind, kind.RanNo, r.RetryAfter)
+		relay.WriteFailureWithRetryAfter(w, r.Kind, kind.RanNo, r.RetryAfter)
 		return
 	}
-	relay.Fail(w, r.Kind, kind.RanNo, r.RetryAfterSeconds)
+	relay.WriteFailure(w, r.Kind, kind.RanNo, r.RetryAfterSeconds)
 }
 
 // writeState puts into a head how taken the target is and what it has told of itself. It
@@ -220,15 +220,15 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	res, out := relay.Send(ctx, relay.Call{
-		In: r, URL: relay.Toward(x.url, r), Host: r.Host, Add: t.towardsTarget(r, x, c),
-		Body: body(r, func() { x.step(BodyReceived{id}) }), Length: r.ContentLength, Transport: x.transport, Stall: t.deps.Stall,
+		In: r, URL: relay.RebaseURL(x.url, r), Host: r.Host, ExtraHeader: t.towardsTarget(r, x, c),
+		Body: body(r, func() { x.step(BodyReceived{id}) }), ContentLength: r.ContentLength, Transport: x.transport, StallTimeout: t.deps.Stall,
 		Deadline: c.deadline, Streamed: relay.IsStreamed(r), Once: c.once,
 	})
 	if res != nil {
 		t.observe(x, res.Header, began)
 	}
 	if res != nil && (res.ContentLength >= 0 || !relay.IsStreamed(r)) {
-		if err := relay.Whole(res, relay.KeepAnswer); err != nil {
+		if err := relay.BufferResponse(res, relay.MaxBufferedResponse); err != nil {
 			res, out = nil, relay.Outcome{Kind: kind.Broken, Sent: true, Err: err}
 		}
 	}
@@ -250,7 +250,7 @@
 	t.tell(c, x, ended.Duration, strconv.Itoa(res.StatusCode), nil)
 	_ = x.writeState(w.Header())
 	w.Header().Set(kind.HeaderRan, kind.RanYes.String())
-	out = relay.Answer(w, res, t.deps.Stall)
+	out = relay.CopyResponse(w, res, t.deps.Stall)
 	if out.Kind != kind.None {
 		panic(http.ErrAbortHandler)
 	}
@@ -360,7 +360,7 @@
 		t.lookForCrash(x, c)
 	}
 	_ = x.writeState(w.Header())
-	relay.Fail(w, out.Kind, ran, 0)
+	relay.WriteFailure(w, out.Kind, ran, 0)
 }
 
 // lookForCrash is called for a request whose connection broke off. If the
