--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -3,7 +3,7 @@
 // sends each to a target's node by the route's policy.
 //
 //	p := caller.New(caller.Deps{Claims: claims, Transport: tr, …})
-//	p.Use(table)           // swap in a new table
+//	p.SetTable(table)      // replaces the routing table atomically
 //	http.Serve(listener, p)
 //
 // A request names its service in the Host header. The answer is the target's,
@@ -107,8 +107,8 @@
 	return p
 }
 
-// Use swaps in a table. Calls that are under way keep theirs.
-func (p *Proxy) Use(t *Table) {
+// SetTable swaps in a table. Calls that are under way keep theirs.
+func (p *Proxy) SetTable(t *Table) {
 	p.table.Store(t)
 	if !p.starting.over() {
 		p.starting.tell()
--- a/briarrockd/caller/chain_test.go
+++ b/briarrockd/caller/chain_test.go
@@ -168,7 +168,7 @@
 	}
 	for i, h := range ch.list {
 		h.start(s, members[i], uint64(i))
-		h.proxy.Use(NewTable(1, s, members))
+		h.proxy.SetTable(NewTable(1, s, members))
 	}
 	return ch
 }
--- a/briarrockd/caller/full_test.go
+++ b/briarrockd/caller/full_test.go
@@ -39,7 +39,7 @@
 		Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Transport: fullTargets{}, Scheme: "http",
 		Suspicion: func(uint64) int { return 0 }, Caller: func(http.Header) (string, bool) { return "", true }, Stall: time.Minute,
 	})
-	p.Use(NewTable(1, &snapshot.Snapshot{
+	p.SetTable(NewTable(1, &snapshot.Snapshot{
 		Services: []snapshot.Service{{Name: "orderdesk", Slots: 2}},
 		Entries: []snapshot.Entry{{
 			Name: "r", Host: "desk.example", Route: snapshot.Route{Path: "/", Deadline: time.Minute, Retries: 2},
--- a/briarrockd/caller/held_test.go
+++ b/briarrockd/caller/held_test.go
@@ -60,7 +60,7 @@
 				tr := &silent{reads: x.asked}
 				p.deps.Transport = tr
 				ms := members()
-				p.Use(table(ms))
+				p.SetTable(table(ms))
 				if x.full {
 					p.deps.Chooser.done(time.Now(), "orderdesk", ms[0].Host, Feedback{Full: true})
 				}
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -110,7 +110,7 @@
 	for i := range ms {
 		ms[i].Call = ms[i].Host + ":1"
 	}
-	p.Use(NewTable(1, s, ms))
+	p.SetTable(NewTable(1, s, ms))
 	method := http.MethodGet
 	if route.Mode == snapshot.Once {
 		method = http.MethodPost
--- a/briarrockd/caller/start_test.go
+++ b/briarrockd/caller/start_test.go
@@ -32,9 +32,9 @@
 		})
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			p.Use(table(nil))
+			p.SetTable(table(nil))
 			time.Sleep(100 * time.Millisecond)
-			p.Use(table(members()))
+			p.SetTable(table(members()))
 		}()
 		took, k := ask(p)
 		c.Check(took, qt.Equals, 300*time.Millisecond)
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -120,7 +120,7 @@
 
 func (m *toldMesh) use() {
 	for _, h := range m.hosts {
-		h.proxy.Use(NewTable(1, m.snap, m.members))
+		h.proxy.SetTable(NewTable(1, m.snap, m.members))
 	}
 }
 
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -299,10 +299,10 @@
 		return
 	}
 	if t := n.proxy.Table(); t != nil && t.Version() == n.version {
-		n.proxy.Use(t.With(n.members))
+		n.proxy.SetTable(t.With(n.members))
 		return
 	}
-	n.proxy.Use(caller.NewTable(n.version, n.snap, n.members))
+	n.proxy.SetTable(caller.NewTable(n.version, n.snap, n.members))
 }
 
 func (n *Node) held(h peer.Held) {
