--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -118,13 +118,13 @@
 // Table returns the table in use; nil before the first.
 func (p *Proxy) Table() *Table { return p.table.Load() }
 
-// Leave makes the proxy refuse new calls: the node is about to stop.
-func (p *Proxy) Leave() { p.leaving.Store(true) }
+// Drain makes the proxy refuse all new calls, because the node is about to stop.
+func (p *Proxy) Drain() { p.leaving.Store(true) }
 
-// LeaveBy makes the proxy refuse calls that may take longer than until t: the node
-// ends then, and what is under way would be broken off. Calls that its own targets
-// still make for what they run are short and pass.
-func (p *Proxy) LeaveBy(t time.Time) { p.until.Store(t.UnixNano()) }
+// SetShutdownTime makes the proxy refuse calls whose deadline is later than t, when the
+// node ends and cuts off the calls in flight. Calls that local targets make for requests
+// in progress have short deadlines and are still accepted.
+func (p *Proxy) SetShutdownTime(t time.Time) { p.until.Store(t.UnixNano()) }
 
 // call is one request on its way, with what was decided about it.
 type call struct {
--- a/briarrockd/node/stop.go
+++ b/briarrockd/node/stop.go
@@ -37,10 +37,10 @@
 	n.peers.Tell(peer.Leave{})
 	platform.Pause(ctx, handOver)
 	if end, ok := ctx.Deadline(); ok {
-		n.proxy.LeaveBy(end)
+		n.proxy.SetShutdownTime(end)
 	}
 	n.awaitRuns(ctx)
-	n.proxy.Leave()
+	n.proxy.Drain()
 	n.shutdown(ctx)
 	n.log.Emit(event.Stopped, nil)
 }
