--- a/briarrockd/caller/budget.go
+++ b/briarrockd/caller/budget.go
@@ -25,9 +25,9 @@
 // NewBudget returns a budget that starts with a few retries in hand.
 func NewBudget() *Budget { return &Budget{tokens: make(map[string]float64), most: most} }
 
-// Share bounds what is saved up to this node's part of what all nodes of the
+// SetNodeShare bounds what is saved up to this node's part of what all nodes of the
 // mesh may save together, so that all of them spending at once stay within it.
-func (b *Budget) Share(all float64, nodes int) {
+func (b *Budget) SetNodeShare(all float64, nodes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.most = min(most, max(1, all/float64(max(nodes, 1))))
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -288,7 +288,7 @@
 	defer n.mu.Unlock()
 	n.members = p.Members
 	if n.platform.Retries > 0 {
-		n.budget.Share(n.platform.Retries, len(p.Members))
+		n.budget.SetNodeShare(n.platform.Retries, len(p.Members))
 	}
 	n.retable()
 }
