--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -53,9 +53,9 @@
 	Scheme string
 	// Suspicion tells how often a request has been in flight at a crash.
 	Suspicion func(mark uint64) int
-	// Runs tells whether a target of this host runs a call of a name now; nil for
+	// IsRunning tells whether a target of this host runs a call of a name now; nil for
 	// a node that has no targets.
-	Runs func(trace string) bool
+	IsRunning func(trace string) bool
 	// Caller finds out who calls, by the request's headers; false if it is
 	// nobody who may.
 	Caller  func(h http.Header) (string, bool)
@@ -249,7 +249,7 @@
 // right to it: the call that it names as its parent must run here now.
 func (p *Proxy) promote(c *call) {
 	parent, ok := target.Parent(c.trace)
-	if !ok || p.deps.Runs == nil || !p.deps.Runs(parent) {
+	if !ok || p.deps.IsRunning == nil || !p.deps.IsRunning(parent) {
 		return
 	}
 	c.nested = true
--- a/briarrockd/caller/nested_test.go
+++ b/briarrockd/caller/nested_test.go
@@ -12,7 +12,7 @@
 // new work, and against callers who claim that right by the name of their request.
 func TestNestedFirst(t *testing.T) {
 	c := qt.New(t)
-	p := New(Deps{Runs: func(trace string) bool { return trace == "running" }})
+	p := New(Deps{IsRunning: func(trace string) bool { return trace == "running" }})
 	priority := func(trace string) snapshot.Priority {
 		x := &call{trace: trace, route: snapshot.Route{Priority: snapshot.Normal}}
 		p.promote(x)
