--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -51,8 +51,8 @@
 	Transport http.RoundTripper
 	// Scheme is that of the nodes' call addresses: http, or https with keys.
 	Scheme string
-	// Suspicion tells how often a request has been in flight at a crash.
-	Suspicion func(mark uint64) int
+	// CrashCount tells how often a request has been in flight at a crash.
+	CrashCount func(fingerprint uint64) int
 	// IsRunning tells whether a target of this host runs a call of a name now; nil for
 	// a node that has no targets.
 	IsRunning func(trace string) bool
@@ -238,7 +238,7 @@
 		return c, refusal{kind: k}
 	}
 	c.print = claim.Print(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
-	if p.deps.Suspicion(c.print) >= peer.HoldAt {
+	if p.deps.CrashCount(c.print) >= peer.HoldAt {
 		return c, refusal{kind: kind.Held}
 	}
 	return c, refusal{}
--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -59,7 +59,7 @@
 	h.targets.Heard(target.Announcement{Service: h.service, Addr: "127.0.0.1:1", Slots: chainSlots, Connections: 500, State: target.StateUp})
 	h.proxy = New(Deps{
 		Chooser: NewChooser(self.Domain, self.Region, seed), Budget: NewBudget(), Transport: chainNet{h}, Scheme: "http",
-		Suspicion: func(uint64) int { return 0 }, IsRunning: h.targets.Runs,
+		CrashCount: func(uint64) int { return 0 }, IsRunning: h.targets.Runs,
 		Caller: func(http.Header) (string, bool) { return h.service, true },
 		Log:    log, Stall: time.Minute, Hedge: true,
 	})
