--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -56,11 +56,11 @@
 	// IsRunning tells whether a target of this host runs a call of a name now; nil for
 	// a node that has no targets.
 	IsRunning func(trace string) bool
-	// Caller finds out who calls, by the request's headers; false if it is
+	// Authenticate finds out who calls, by the request's headers; false if it is
 	// nobody who may.
-	Caller  func(h http.Header) (string, bool)
-	Log     *event.Log
-	Metrics *metrics.Set
+	Authenticate func(h http.Header) (string, bool)
+	Log          *event.Log
+	Metrics      *metrics.Set
 	// Stall bounds the time without a byte moving.
 	Stall time.Duration
 	// Hedge sends a request that may be repeated to a second target when the
@@ -219,7 +219,7 @@
 	c.set = c.table.sets[c.service.Name]
 	p.promote(c)
 	var ok bool
-	c.caller, ok = p.deps.Caller(r.Header)
+	c.caller, ok = p.deps.Authenticate(r.Header)
 	if !ok || !c.route.Allows(c.caller) {
 		return c, refusal{kind: kind.Caller}
 	}
--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -60,8 +60,8 @@
 	h.proxy = New(Deps{
 		Chooser: NewChooser(self.Domain, self.Region, seed), Budget: NewBudget(), Transport: chainNet{h}, Scheme: "http",
 		CrashCount: func(uint64) int { return 0 }, IsRunning: h.targets.Runs,
-		Caller: func(http.Header) (string, bool) { return h.service, true },
-		Log:    log, Stall: time.Minute, Hedge: true,
+		Authenticate: func(http.Header) (string, bool) { return h.service, true },
+		Log:          log, Stall: time.Minute, Hedge: true,
 	})
 }
 
--- a/briarrockd/caller/held_test.go
+++ b/briarrockd/caller/held_test.go
@@ -54,8 +54,8 @@
 				c := qt.New(t)
 				p := New(Deps{
 					Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Scheme: "http",
-					CrashCount: func(uint64) int { return 0 },
-					Caller:     func(http.Header) (string, bool) { return "", true }, Stall: time.Minute,
+					CrashCount:   func(uint64) int { return 0 },
+					Authenticate: func(http.Header) (string, bool) { return "", true }, Stall: time.Minute,
 				})
 				tr := &silent{reads: x.asked}
 				p.deps.Transport = tr
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -99,9 +99,9 @@
 	tr := &script{steps: steps}
 	p := New(Deps{
 		Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Transport: tr, Scheme: "http",
-		CrashCount: func(uint64) int { return 0 },
-		Caller:     func(http.Header) (string, bool) { return "", true },
-		Stall:      time.Minute, Hedge: true,
+		CrashCount:   func(uint64) int { return 0 },
+		Authenticate: func(http.Header) (string, bool) { return "", true },
+		Stall:        time.Minute, Hedge: true,
 	})
 	for range 200 {
 		p.deps.Budget.call("orderdesk") // it has something saved up
--- a/briarrockd/caller/start_test.go
+++ b/briarrockd/caller/start_test.go
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p := New(Deps{
-			Chooser: NewChooser("a", "b", 1), Budget: NewBudget(), Caller: func(http.Header) (string, bool) { return "", true },
+			Chooser: NewChooser("a", "b", 1), Budget: NewBudget(), Authenticate: func(http.Header) (string, bool) { return "", true },
 			CrashCount: func(uint64) int { return 0 }, Transport: &script{steps: []step{{status: http.StatusOK}}}, Stall: time.Second,
 		})
 		go func() {
