--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -51,7 +51,7 @@
 	held := c.holdsBody(u)
 	res, out := relay.Send(ctx, relay.Call{
 		In: c.r, URL: relay.Toward(&url.URL{Scheme: p.deps.Scheme, Host: u.addr}, c.r), Host: c.r.Host,
-		Add: c.towardsNode(u, held), Body: body, Length: length, Transport: p.deps.Transport, Stall: p.deps.Stall,
+		Add: c.towardsNode(u, held), Body: body, Length: length, Transport: p.deps.Transport, Stall: p.deps.StallTimeout,
 		Deadline: c.deadline.Add(deadlineSlack), Streamed: c.streamed,
 		Once: c.route.Mode == snapshot.Once, Withheld: held && !c.streamed,
 	})
--- a/briarrockd/caller/attempts.go
+++ b/briarrockd/caller/attempts.go
@@ -283,7 +283,7 @@
 	if keep != nil {
 		a.res.Body = keep.wrap(a.res.Body)
 	}
-	out := relay.Answer(w, a.res, p.deps.Stall)
+	out := relay.Answer(w, a.res, p.deps.StallTimeout)
 	if out.Kind != kind.None {
 		panic(http.ErrAbortHandler)
 	}
--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -61,8 +61,8 @@
 	Authenticate func(h http.Header) (string, bool)
 	Log          *event.Log
 	Metrics      *metrics.Set
-	// Stall bounds the time without a byte moving.
-	Stall time.Duration
+	// StallTimeout bounds the time without a byte moving.
+	StallTimeout time.Duration
 	// Hedge sends a request that may be repeated to a second target when the
 	// first one takes unusually long.
 	Hedge bool
@@ -326,7 +326,7 @@
 		return kind.None
 	}
 	var err error
-	if c.body, err = relay.ReadBody(c.r, p.deps.Stall); err != nil {
+	if c.body, err = relay.ReadBody(c.r, p.deps.StallTimeout); err != nil {
 		return kind.Request
 	}
 	return kind.None
--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -61,7 +61,7 @@
 		Chooser: NewChooser(self.Domain, self.Region, seed), Budget: NewBudget(), Transport: chainNet{h}, Scheme: "http",
 		CrashCount: func(uint64) int { return 0 }, IsRunning: h.targets.Runs,
 		Authenticate: func(http.Header) (string, bool) { return h.service, true },
-		Log:          log, Stall: time.Minute, Hedge: true,
+		Log:          log, StallTimeout: time.Minute, Hedge: true,
 	})
 }
 
--- a/briarrockd/caller/full_test.go
+++ b/briarrockd/caller/full_test.go
@@ -37,7 +37,7 @@
 	const callers, calls = 64, 500
 	p := New(Deps{
 		Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Transport: fullTargets{}, Scheme: "http",
-		CrashCount: func(uint64) int { return 0 }, Authenticate: func(http.Header) (string, bool) { return "", true }, Stall: time.Minute,
+		CrashCount: func(uint64) int { return 0 }, Authenticate: func(http.Header) (string, bool) { return "", true }, StallTimeout: time.Minute,
 	})
 	p.SetTable(NewTable(1, &snapshot.Snapshot{
 		Services: []snapshot.Service{{Name: "orderdesk", Slots: 2}},
--- a/briarrockd/caller/held_test.go
+++ b/briarrockd/caller/held_test.go
@@ -55,7 +55,7 @@
 				p := New(Deps{
 					Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Scheme: "http",
 					CrashCount:   func(uint64) int { return 0 },
-					Authenticate: func(http.Header) (string, bool) { return "", true }, Stall: time.Minute,
+					Authenticate: func(http.Header) (string, bool) { return "", true }, StallTimeout: time.Minute,
 				})
 				tr := &silent{reads: x.asked}
 				p.deps.Transport = tr
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -101,7 +101,7 @@
 		Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Transport: tr, Scheme: "http",
 		CrashCount:   func(uint64) int { return 0 },
 		Authenticate: func(http.Header) (string, bool) { return "", true },
-		Stall:        time.Minute, Hedge: true,
+		StallTimeout: time.Minute, Hedge: true,
 	})
 	for range 200 {
 		p.deps.Budget.call("orderdesk") // it has something saved up
--- a/briarrockd/caller/start_test.go
+++ b/briarrockd/caller/start_test.go
@@ -28,7 +28,7 @@
 		c := qt.New(t)
 		p := New(Deps{
 			Chooser: NewChooser("a", "b", 1), Budget: NewBudget(), Authenticate: func(http.Header) (string, bool) { return "", true },
-			CrashCount: func(uint64) int { return 0 }, Transport: &script{steps: []step{{status: http.StatusOK}}}, Stall: time.Second,
+			CrashCount: func(uint64) int { return 0 }, Transport: &script{steps: []step{{status: http.StatusOK}}}, StallTimeout: time.Second,
 		})
 		go func() {
 			time.Sleep(200 * time.Millisecond)
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -108,7 +108,7 @@
 		h.proxy = New(Deps{
 			Chooser: NewChooser(member.Domain, member.Region, uint64(i)), Budget: NewBudget(), Transport: toldNet{h}, Scheme: "http",
 			CrashCount: func(uint64) int { return 0 }, Authenticate: func(http.Header) (string, bool) { return "front", true },
-			Log: quietLog(), Stall: time.Minute, Hedge: true,
+			Log: quietLog(), StallTimeout: time.Minute, Hedge: true,
 		})
 		m.hosts, m.members = append(m.hosts, h), append(m.members, member)
 	}
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -186,7 +186,7 @@
 		Chooser: caller.NewChooser(n.cfg.Domain, n.cfg.Region, rand.Uint64()),
 		Budget:  n.budget, Claims: n.claims,
 		Transport: n.transport, Scheme: n.scheme(), CrashCount: n.suspicion, IsRunning: n.targets.Runs,
-		Authenticate: n.callerName(), Log: n.log, Metrics: n.metrics, Stall: n.cfg.Stall,
+		Authenticate: n.callerName(), Log: n.log, Metrics: n.metrics, StallTimeout: n.cfg.Stall,
 		Hedge: d.Platform != nil,
 	})
 	n.follow = newFollow(n.tell, n.log)
