--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -72,7 +72,7 @@
 		}
 		p.counts.crossed(c.routeName(), bytes)
 	}
-	p.deps.Chooser.done(time.Now(), c.service.Name, u.host, a.feedback(c, out))
+	p.deps.Balancer.done(time.Now(), c.service.Name, u.host, a.feedback(c, out))
 	return a
 }
 
--- a/briarrockd/caller/attempts.go
+++ b/briarrockd/caller/attempts.go
@@ -87,7 +87,7 @@
 
 // start begins an attempt at another upstream; false if there is none left, and why.
 func (x *attempts) start(what string) (refusal, bool) {
-	u, none, ok := x.p.deps.Chooser.pick(time.Now(), x.c.service.Name, x.c.set, x.tried, x.c.route.Priority)
+	u, none, ok := x.p.deps.Balancer.pick(time.Now(), x.c.service.Name, x.c.set, x.tried, x.c.route.Priority)
 	if !ok {
 		return none, false
 	}
@@ -250,7 +250,7 @@
 // hedge asks a second target, unless the service is overloaded: the attempt would
 // take a slot from a call that has none.
 func (x *attempts) hedge() {
-	if x.p.deps.Chooser.overloaded(time.Now(), x.c.service.Name, x.c.set) {
+	if x.p.deps.Balancer.overloaded(time.Now(), x.c.service.Name, x.c.set) {
 		return
 	}
 	if x.hedged || x.inFlight == 0 || !x.mayRun() || !x.p.deps.Budget.spare(x.c.service.Name) {
--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -45,7 +45,7 @@
 
 // Deps are what a Proxy needs from outside.
 type Deps struct {
-	Chooser   *Chooser
+	Balancer  *Balancer
 	Budget    *Budget
 	Claims    *claim.Claims
 	Transport http.RoundTripper
@@ -102,7 +102,7 @@
 		took:     d.Metrics.GetOrCreateHistogram("briarrock_call_seconds"),
 	}
 	d.Metrics.GetOrCreateGauge("briarrock_ejected", func() float64 {
-		return float64(d.Chooser.Ejected(time.Now()))
+		return float64(d.Balancer.Ejected(time.Now()))
 	})
 	return p
 }
--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -58,7 +58,7 @@
 	h.targets.Configure(s)
 	h.targets.Heard(target.Announcement{Service: h.service, Addr: "127.0.0.1:1", Slots: chainSlots, Connections: 500, State: target.StateUp})
 	h.proxy = New(Deps{
-		Chooser: NewChooser(self.Domain, self.Region, seed), Budget: NewBudget(), Transport: chainNet{h}, Scheme: "http",
+		Balancer: NewBalancer(self.Domain, self.Region, seed), Budget: NewBudget(), Transport: chainNet{h}, Scheme: "http",
 		CrashCount: func(uint64) int { return 0 }, IsRunning: h.targets.Runs,
 		Authenticate: func(http.Header) (string, bool) { return h.service, true },
 		Log:          log, StallTimeout: time.Minute, Hedge: true,
--- a/briarrockd/caller/chain_test.go
+++ b/briarrockd/caller/chain_test.go
@@ -21,7 +21,7 @@
 )
 
 // A chain of services whose runs call the next one, played with the real Proxies,
-// Choosers, Budgets, Targets and Gates of all hosts on the paused clock. Only the
+// Balancers, Budgets, Targets and Gates of all hosts on the paused clock. Only the
 // network and the targets' work are stand-ins.
 
 // chainRoute is one kind of request, and the work of its runs.
--- a/briarrockd/caller/choose.go
+++ b/briarrockd/caller/choose.go
@@ -72,14 +72,14 @@
 	maxStates = 16384
 )
 
-// Chooser picks upstreams: the cheapest of a few at random from each of the own
+// Balancer picks upstreams: the cheapest of a few at random from each of the own
 // domain, the own region and elsewhere. What counts is the load that answers
 // carry, how long the target's work takes, how far it is, what is in flight to
 // it from here and what came of it.
 // Announced health plays no part; failures are believed only when seen.
 //
 // It is a pure data structure with a lock; times come from its callers.
-type Chooser struct {
+type Balancer struct {
 	domain, region string
 	mu             sync.Mutex
 	rng            *rand.Rand
@@ -88,9 +88,9 @@
 	count  int
 }
 
-// NewChooser returns a Chooser for a node in the given place.
-func NewChooser(domain, region string, seed uint64) *Chooser {
-	return &Chooser{
+// NewBalancer returns a Balancer for a node in the given place.
+func NewBalancer(domain, region string, seed uint64) *Balancer {
+	return &Balancer{
 		domain: domain, region: region,
 		rng:    rand.New(rand.NewPCG(seed, 1)),
 		states: make(map[string]map[string]*state),
@@ -106,7 +106,7 @@
 	states  []*state // nil for an upstream that nothing is known of
 }
 
-func (c *Chooser) view(now time.Time, service string, set []upstream) *view {
+func (c *Balancer) view(now time.Time, service string, set []upstream) *view {
 	v := &view{now: now, service: service, set: set, states: make([]*state, len(set))}
 	known := c.states[service]
 	for i := range set {
@@ -118,7 +118,7 @@
 // pick chooses an upstream that is not in tried and counts it as in flight. It returns
 // false when the set has none that may be used, and what that is for want of: known a
 // moment later it could be another one.
-func (c *Chooser) pick(now time.Time, service string, set []upstream, tried []string, priority snapshot.Priority) (upstream, refusal, bool) {
+func (c *Balancer) pick(now time.Time, service string, set []upstream, tried []string, priority snapshot.Priority) (upstream, refusal, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := c.view(now, service, set)
@@ -141,7 +141,7 @@
 // tierCount is the number of distances that are told apart.
 const tierCount = 3
 
-func (c *Chooser) tier(u *upstream) int {
+func (c *Balancer) tier(u *upstream) int {
 	switch {
 	case u.domain == c.domain:
 		return 0
@@ -152,7 +152,7 @@
 	}
 }
 
-func (c *Chooser) best(v *view, tried []string, priority snapshot.Priority) (upstream, bool) {
+func (c *Balancer) best(v *view, tried []string, priority snapshot.Priority) (upstream, bool) {
 	usable := v.usable(tried, priority)
 	typicalLatency := v.typicalLatency(usable)
 	samples, overloaded := calmSamples, v.anyOverloaded()
@@ -198,7 +198,7 @@
 }
 
 // sample takes up to n different elements of a list at random.
-func (c *Chooser) sample(list []int, n int) []int {
+func (c *Balancer) sample(list []int, n int) []int {
 	if len(list) <= n {
 		return list
 	}
@@ -277,7 +277,7 @@
 	return loadFlat*load + loadSteep*max(0, load-loadKnee)
 }
 
-func (c *Chooser) state(service, host string) *state {
+func (c *Balancer) state(service, host string) *state {
 	known := c.states[service]
 	if s := known[host]; s != nil {
 		return s
@@ -296,7 +296,7 @@
 }
 
 // forget drops states that nothing is in flight to.
-func (c *Chooser) forget() {
+func (c *Balancer) forget() {
 	for service, known := range c.states {
 		for host, s := range known {
 			if s.inflight == 0 {
@@ -311,7 +311,7 @@
 }
 
 // done takes what an attempt that pick counted has told.
-func (c *Chooser) done(now time.Time, service, host string, f Feedback) {
+func (c *Balancer) done(now time.Time, service, host string, f Feedback) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.state(service, host)
@@ -347,7 +347,7 @@
 }
 
 // overloaded tells whether an upstream of a set had no room of late.
-func (c *Chooser) overloaded(now time.Time, service string, set []upstream) bool {
+func (c *Balancer) overloaded(now time.Time, service string, set []upstream) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view(now, service, set).anyOverloaded()
@@ -362,7 +362,7 @@
 }
 
 // Ejected returns how many upstreams are ejected now.
-func (c *Chooser) Ejected(now time.Time) int {
+func (c *Balancer) Ejected(now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
--- a/briarrockd/caller/choose_test.go
+++ b/briarrockd/caller/choose_test.go
@@ -38,7 +38,7 @@
 }
 
 // count picks n times and returns how the picks fall on domains.
-func count(ch *Chooser, set []upstream, n int, now time.Time, f Feedback) map[string]int {
+func count(ch *Balancer, set []upstream, n int, now time.Time, f Feedback) map[string]int {
 	out := make(map[string]int)
 	for range n {
 		u, _, ok := ch.pick(now, "orderdesk", set, nil, 0)
@@ -80,7 +80,7 @@
 func TestNearFirst(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).sets["orderdesk"]
-	ch := NewChooser("northgate", "north-line", 1)
+	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	c.Check(count(ch, set, 100, now, Feedback{}), qt.DeepEquals, map[string]int{"northgate": 100})
 	// The own domain says that it is full: work goes to the next one, and
@@ -99,7 +99,7 @@
 func TestEjection(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).sets["orderdesk"]
-	ch := NewChooser("northgate", "north-line", 1)
+	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	for range ejectAfter {
 		ch.done(now, "orderdesk", "northgate-0", Feedback{Load: -1, Failed: true})
@@ -126,7 +126,7 @@
 func TestLeaving(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).sets["orderdesk"][:2]
-	ch := NewChooser("northgate", "north-line", 1)
+	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	ch.done(now, "orderdesk", set[0].host, Feedback{Load: -1, Leaving: true})
 	for range 50 {
--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -19,7 +19,7 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// The fleet that is played: the real Choosers of all nodes and the real Gates of all
+// The fleet that is played: the real Balancers of all nodes and the real Gates of all
 // targets, with nothing but delays between them.
 const (
 	fleetDomains = 8
@@ -86,7 +86,7 @@
 	n       int
 	set     []upstream
 	servers map[string]*server
-	nodes   []*Chooser
+	nodes   []*Balancer
 	policy  string
 	lastID  target.CallID
 	tally   tally
@@ -113,7 +113,7 @@
 	f.set = NewTable(1, s, members).sets[fleetService]
 	for i := range nodes {
 		domain := i % fleetDomains
-		f.nodes = append(f.nodes, NewChooser(fmt.Sprint("d", domain), fmt.Sprint("r", domain%2), uint64(i)))
+		f.nodes = append(f.nodes, NewBalancer(fmt.Sprint("d", domain), fmt.Sprint("r", domain%2), uint64(i)))
 	}
 	return f
 }
@@ -157,14 +157,14 @@
 // fleetCall is one call on its way.
 type fleetCall struct {
 	f     *fleet
-	ch    *Chooser
+	ch    *Balancer
 	began time.Time
 	work  time.Duration
 	tried []string
 	moves int
 }
 
-func (f *fleet) call(ch *Chooser) {
+func (f *fleet) call(ch *Balancer) {
 	work := time.Duration(float64(fleetWork) * math.Exp(fleetSpread*f.rng.NormFloat64()-fleetSpread*fleetSpread/2))
 	(&fleetCall{f: f, ch: ch, began: f.now, work: work}).try()
 }
@@ -188,7 +188,7 @@
 }
 
 // best is the target at which a call ends first, of those that it has not tried.
-func (f *fleet) best(ch *Chooser, tried []string) upstream {
+func (f *fleet) best(ch *Balancer, tried []string) upstream {
 	var best upstream
 	least := math.Inf(1)
 	for _, u := range f.set {
--- a/briarrockd/caller/full_test.go
+++ b/briarrockd/caller/full_test.go
@@ -36,7 +36,7 @@
 	c := qt.New(t)
 	const callers, calls = 64, 500
 	p := New(Deps{
-		Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Transport: fullTargets{}, Scheme: "http",
+		Balancer: NewBalancer("northgate", "north-line", 1), Budget: NewBudget(), Transport: fullTargets{}, Scheme: "http",
 		CrashCount: func(uint64) int { return 0 }, Authenticate: func(http.Header) (string, bool) { return "", true }, StallTimeout: time.Minute,
 	})
 	p.SetTable(NewTable(1, &snapshot.Snapshot{
--- a/briarrockd/caller/held_test.go
+++ b/briarrockd/caller/held_test.go
@@ -53,7 +53,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				p := New(Deps{
-					Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Scheme: "http",
+					Balancer: NewBalancer("northgate", "north-line", 1), Budget: NewBudget(), Scheme: "http",
 					CrashCount:   func(uint64) int { return 0 },
 					Authenticate: func(http.Header) (string, bool) { return "", true }, StallTimeout: time.Minute,
 				})
@@ -62,7 +62,7 @@
 				ms := members()
 				p.SetTable(table(ms))
 				if x.full {
-					p.deps.Chooser.done(time.Now(), "orderdesk", ms[0].Host, Feedback{Full: true})
+					p.deps.Balancer.done(time.Now(), "orderdesk", ms[0].Host, Feedback{Full: true})
 				}
 				r := httptest.NewRequest(http.MethodPost, "http://orderdesk/orders", strings.NewReader("order"))
 				r.Header.Set(target.HeaderDeadline, "500")
--- a/briarrockd/caller/overload_test.go
+++ b/briarrockd/caller/overload_test.go
@@ -19,7 +19,7 @@
 func TestBothRegionsPressed(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).sets["orderdesk"]
-	ch := NewChooser("northgate", "north-line", 1)
+	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	asked, again := 0, time.Second
 	ask := func() {
@@ -57,7 +57,7 @@
 func TestRegionLost(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).sets["orderdesk"]
-	ch := NewChooser("riverside", "south-line", 1)
+	ch := NewBalancer("riverside", "south-line", 1)
 	now := time.Unix(100, 0)
 	var north, south []upstream
 	for _, u := range set {
@@ -76,7 +76,7 @@
 func TestFullByPriority(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).sets["orderdesk"][:1]
-	ch := NewChooser("northgate", "north-line", 1)
+	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	ch.done(now, "orderdesk", set[0].host, Feedback{Load: 1, Full: true, Priority: snapshot.Bulk})
 	_, _, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Bulk)
@@ -98,7 +98,7 @@
 	c := qt.New(t)
 	set := table(members()).sets["orderdesk"][:4] // of one domain
 	share := func(full bool) int {
-		ch := NewChooser("northgate", "north-line", 1)
+		ch := NewBalancer("northgate", "north-line", 1)
 		now := time.Unix(100, 0)
 		for i, u := range set {
 			usual := 100 * time.Millisecond
@@ -136,7 +136,7 @@
 func TestBackAgain(t *testing.T) {
 	c := qt.New(t)
 	ms := members()
-	ch := NewChooser("northgate", "north-line", 1)
+	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	set := table(ms).sets["orderdesk"]
 	for range set {
--- a/briarrockd/caller/paced_test.go
+++ b/briarrockd/caller/paced_test.go
@@ -17,7 +17,7 @@
 	c := qt.New(t)
 	const service = "orderdesk"
 	set := table(members()).sets[service]
-	ch := NewChooser("northgate", "north-line", 1)
+	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	for i := range set {
 		u, _, ok := ch.pick(now, service, set, nil, snapshot.Normal)
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -98,7 +98,7 @@
 	}
 	tr := &script{steps: steps}
 	p := New(Deps{
-		Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Transport: tr, Scheme: "http",
+		Balancer: NewBalancer("northgate", "north-line", 1), Budget: NewBudget(), Transport: tr, Scheme: "http",
 		CrashCount:   func(uint64) int { return 0 },
 		Authenticate: func(http.Header) (string, bool) { return "", true },
 		StallTimeout: time.Minute, Hedge: true,
--- a/briarrockd/caller/start_test.go
+++ b/briarrockd/caller/start_test.go
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p := New(Deps{
-			Chooser: NewChooser("a", "b", 1), Budget: NewBudget(), Authenticate: func(http.Header) (string, bool) { return "", true },
+			Balancer: NewBalancer("a", "b", 1), Budget: NewBudget(), Authenticate: func(http.Header) (string, bool) { return "", true },
 			CrashCount: func(uint64) int { return 0 }, Transport: &script{steps: []step{{status: http.StatusOK}}}, StallTimeout: time.Second,
 		})
 		go func() {
@@ -40,7 +40,7 @@
 		c.Check(took, qt.Equals, 300*time.Millisecond)
 		c.Check(k, qt.Equals, kind.None)
 
-		p = New(Deps{Chooser: NewChooser("a", "b", 1), Budget: NewBudget()})
+		p = New(Deps{Balancer: NewBalancer("a", "b", 1), Budget: NewBudget()})
 		took, k = ask(p)
 		c.Check(took, qt.Equals, holdFor)
 		c.Check(k, qt.Equals, kind.Config)
--- a/briarrockd/caller/table.go
+++ b/briarrockd/caller/table.go
@@ -52,10 +52,10 @@
 	slots  int
 	// process tells the processes of the host's node apart.
 	process uint64
-	// far is set by the chooser on an upstream in another region, overloaded on one of a
+	// far is set by the Balancer on an upstream in another region, overloaded on one of a
 	// service of which some upstream had no room of late.
 	far, overloaded bool
-	// notices, also set by the chooser, are what its targets have told of themselves.
+	// notices, also set by the Balancer, are what its targets have told of themselves.
 	notices []target.Notice
 }
 
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -106,7 +106,7 @@
 			member.Targets = []peer.Target{{Service: toldService, Slots: toldSlots}}
 		}
 		h.proxy = New(Deps{
-			Chooser: NewChooser(member.Domain, member.Region, uint64(i)), Budget: NewBudget(), Transport: toldNet{h}, Scheme: "http",
+			Balancer: NewBalancer(member.Domain, member.Region, uint64(i)), Budget: NewBudget(), Transport: toldNet{h}, Scheme: "http",
 			CrashCount: func(uint64) int { return 0 }, Authenticate: func(http.Header) (string, bool) { return "front", true },
 			Log: quietLog(), StallTimeout: time.Minute, Hedge: true,
 		})
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -183,8 +183,8 @@
 	n.transport = n.newTransport(d.HTTP1, d.Dial)
 	n.budget = caller.NewBudget()
 	n.proxy = caller.New(caller.Deps{
-		Chooser: caller.NewChooser(n.cfg.Domain, n.cfg.Region, rand.Uint64()),
-		Budget:  n.budget, Claims: n.claims,
+		Balancer: caller.NewBalancer(n.cfg.Domain, n.cfg.Region, rand.Uint64()),
+		Budget:   n.budget, Claims: n.claims,
 		Transport: n.transport, Scheme: n.scheme(), CrashCount: n.suspicion, IsRunning: n.targets.Runs,
 		Authenticate: n.callerName(), Log: n.log, Metrics: n.metrics, StallTimeout: n.cfg.Stall,
 		Hedge: d.Platform != nil,
