--- a/briarrockd/caller/table.go
+++ b/briarrockd/caller/table.go
@@ -81,8 +81,8 @@
 	return newRouting(version, s).with(members)
 }
 
-// With returns a table of the same version with other members.
-func (t *Table) With(members []peer.Member) *Table { return t.with(members) }
+// WithMembers returns a table of the same version with other members.
+func (t *Table) WithMembers(members []peer.Member) *Table { return t.with(members) }
 
 func newRouting(version uint64, s *snapshot.Snapshot) *routing {
 	r := &routing{
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -299,7 +299,7 @@
 		return
 	}
 	if t := n.proxy.Table(); t != nil && t.Version() == n.version {
-		n.proxy.SetTable(t.With(n.members))
+		n.proxy.SetTable(t.WithMembers(n.members))
 		return
 	}
 	n.proxy.SetTable(caller.NewTable(n.version, n.snap, n.members))
