--- a/briarrockd/heap/heap.go
+++ b/briarrockd/heap/heap.go
@@ -26,8 +26,8 @@
 	calm = 1
 )
 
-// Keep adjusts the runtime's percentage to the load until ctx ends.
-func Keep(ctx context.Context) {
+// TuneGC adjusts the runtime's percentage to the load until ctx ends.
+func TuneGC(ctx context.Context) {
 	var stats debug.GCStats
 	percent := least
 	debug.SetGCPercent(percent)
