--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -51,7 +51,7 @@
 	held := c.holdsBody(u)
 	res, out := relay.Send(ctx, relay.Call{
 		In: c.r, URL: relay.RebaseURL(&url.URL{Scheme: p.deps.Scheme, Host: u.addr}, c.r), Host: c.r.Host,
-		ExtraHeader: c.towardsNode(u, held), Body: body, ContentLength: length, Transport: p.deps.Transport, StallTimeout: p.deps.Stall,
+		ExtraHeader: c.towardsNode(u, held), Body: body, ContentLength: length, Transport: p.deps.Transport, StallTimeout: p.deps.StallTimeout,
 		Deadline: c.deadline.Add(deadlineSlack), Streamed: c.streamed,
 		Once: c.route.Mode == snapshot.Once, ForwardAfterBody: held && !c.streamed,
 	})
@@ -72,7 +72,7 @@
 		}
 		p.counts.crossed(c.routeName(), bytes)
 	}
-	p.deps.Chooser.done(time.Now(), c.service.Name, u.host, a.feedback(c, out))
+	p.deps.Balancer.done(time.Now(), c.service.Name, u.host, a.feedback(c, out))
 	return a
 }
 
--- a/briarrockd/caller/chain_test.go
+++ b/briarrockd/caller/chain_test.go
@@ -21,7 +21,7 @@
 )
 
 // A chain of services whose runs call the next one, played with the real Proxies,
-// Choosers, Budgets, Targets and Gates of all hosts on the paused clock. Only the
+// Balancers, Budgets, Targets and Gates of all hosts on the paused clock. Only the
 // network and the targets' work are stand-ins.
 
 // chainRoute is one kind of request, and the work of its runs.
@@ -168,7 +168,7 @@
 	}
 	for i, h := range ch.list {
 		h.start(s, members[i], uint64(i))
-		h.proxy.Use(NewTable(1, s, members))
+		h.proxy.SetTable(NewTable(1, s, members))
 	}
 	return ch
 }
--- a/briarrockd/caller/held_test.go
+++ b/briarrockd/caller/held_test.go
@@ -53,16 +53,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				p := New(Deps{
-					Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Scheme: "http",
-					Suspicion: func(uint64) int { return 0 },
-					Caller:    func(http.Header) (string, bool) { return "", true }, Stall: time.Minute,
+					Balancer: NewBalancer("northgate", "north-line", 1), Budget: NewBudget(), Scheme: "http",
+					CrashCount:   func(uint64) int { return 0 },
+					Authenticate: func(http.Header) (string, bool) { return "", true }, StallTimeout: time.Minute,
 				})
 				tr := &silent{reads: x.asked}
 				p.deps.Transport = tr
 				ms := members()
-				p.Use(table(ms))
+				p.SetTable(table(ms))
 				if x.full {
-					p.deps.Chooser.done(time.Now(), "orderdesk", ms[0].Host, Feedback{Full: true})
+					p.deps.Balancer.done(time.Now(), "orderdesk", ms[0].Host, Feedback{Full: true})
 				}
 				r := httptest.NewRequest(http.MethodPost, "http://orderdesk/orders", strings.NewReader("order"))
 				r.Header.Set(target.HeaderDeadline, "500")
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -183,10 +183,10 @@
 	n.transport = n.newTransport(d.HTTP1, d.Dial)
 	n.budget = caller.NewBudget()
 	n.proxy = caller.New(caller.Deps{
-		Chooser: caller.NewChooser(n.cfg.Domain, n.cfg.Region, rand.Uint64()),
-		Budget:  n.budget, Claims: n.claims,
-		Transport: n.transport, Scheme: n.scheme(), Suspicion: n.suspicion, Runs: n.targets.IsRunning,
-		Caller: n.callerName(), Log: n.log, Metrics: n.metrics, Stall: n.cfg.Stall,
+		Balancer: caller.NewBalancer(n.cfg.Domain, n.cfg.Region, rand.Uint64()),
+		Budget:   n.budget, Claims: n.claims,
+		Transport: n.transport, Scheme: n.scheme(), CrashCount: n.suspicion, IsRunning: n.targets.IsRunning,
+		Authenticate: n.callerName(), Log: n.log, Metrics: n.metrics, StallTimeout: n.cfg.Stall,
 		Hedge: d.Platform != nil,
 	})
 	n.follow = newFollow(n.tell, n.log)
@@ -288,7 +288,7 @@
 	defer n.mu.Unlock()
 	n.members = p.Members
 	if n.platform.Retries > 0 {
-		n.budget.Share(n.platform.Retries, len(p.Members))
+		n.budget.SetNodeShare(n.platform.Retries, len(p.Members))
 	}
 	n.retable()
 }
@@ -299,10 +299,10 @@
 		return
 	}
 	if t := n.proxy.Table(); t != nil && t.Version() == n.version {
-		n.proxy.Use(t.With(n.members))
+		n.proxy.SetTable(t.WithMembers(n.members))
 		return
 	}
-	n.proxy.Use(caller.NewTable(n.version, n.snap, n.members))
+	n.proxy.SetTable(caller.NewTable(n.version, n.snap, n.members))
 }
 
 func (n *Node) held(h peer.Held) {
