--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -59,7 +59,7 @@
 
 // The verdicts.
 const (
-	Unsure Verdict = iota
+	Undecided Verdict = iota
 	Run
 	Replay
 	Repeat
--- a/briarrockd/claim/claim_test.go
+++ b/briarrockd/claim/claim_test.go
@@ -149,7 +149,7 @@
 	})
 	bubble(t, func(c *qt.C, m *memory, a, b *Claims) {
 		m.set(func() { m.fail, m.done, m.deaf = platform.ErrUnknown, true, true })
-		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Unsure)
+		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Undecided)
 		c.Check(m.count(), qt.Equals, 1)
 		m.set(func() { m.fail, m.deaf = nil, false })
 		time.Sleep(time.Minute)
@@ -158,7 +158,7 @@
 	})
 	bubble(t, func(c *qt.C, m *memory, a, _ *Claims) {
 		m.set(func() { m.fail, m.done = platform.ErrUnavailable, false })
-		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Unsure)
+		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Undecided)
 	})
 }
 
@@ -250,7 +250,7 @@
 		c.Check(begin("k2"), qt.Equals, Run)
 		fail = nil
 		lose = true
-		c.Check(begin("k3"), qt.Equals, Unsure)
+		c.Check(begin("k3"), qt.Equals, Undecided)
 		lose = false
 		time.Sleep(time.Minute)
 		c.Check(begin("k3"), qt.Equals, Run)
