--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -23,7 +23,7 @@
 		p.runOnce(w, c)
 	case claim.Replay:
 		p.replay(w, c, d.Outcome)
-	case claim.Repeat:
+	case claim.OutcomeUnknown:
 		p.fail(w, c, kind.Repeat, kind.RanUnknown, 0)
 	case claim.Conflict:
 		p.fail(w, c, kind.Conflict, kind.RanNo, 0)
--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -62,7 +62,7 @@
 	Undecided Verdict = iota
 	Run
 	Replay
-	Repeat
+	OutcomeUnknown
 	Conflict
 )
 
@@ -228,7 +228,7 @@
 	case f.row.Outcome != nil && !f.row.Outcome.Cut:
 		return Decision{Verdict: Replay, Outcome: *f.row.Outcome}
 	default:
-		return Decision{Verdict: Repeat}
+		return Decision{Verdict: OutcomeUnknown}
 	}
 }
 
--- a/briarrockd/claim/claim_test.go
+++ b/briarrockd/claim/claim_test.go
@@ -109,7 +109,7 @@
 	bubble(t, func(c *qt.C, _ *memory, a, b *Claims) {
 		first := a.Begin(context.Background(), order)
 		c.Assert(first.Verdict, qt.Equals, Run)
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, Repeat)
+		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 		other := order
 		other.Print = 8
 		c.Check(b.Begin(context.Background(), other).Verdict, qt.Equals, Conflict)
@@ -129,9 +129,9 @@
 		time.Sleep(time.Until(now.Truncate(24 * time.Hour).Add(24*time.Hour - time.Second)))
 		c.Assert(a.Begin(context.Background(), order).Verdict, qt.Equals, Run)
 		time.Sleep(2 * time.Second)
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, Repeat)
+		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 		time.Sleep(23 * time.Hour)
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, Repeat)
+		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 	})
 }
 
@@ -145,7 +145,7 @@
 		m.set(func() { m.fail, m.done = platform.ErrUnknown, true })
 		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Run)
 		m.set(func() { m.fail = nil })
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, Repeat)
+		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 	})
 	bubble(t, func(c *qt.C, m *memory, a, b *Claims) {
 		m.set(func() { m.fail, m.done, m.deaf = platform.ErrUnknown, true, true })
@@ -176,7 +176,7 @@
 		c.Assert(b.Begin(context.Background(), order).Verdict, qt.Equals, Run)
 		time.Sleep(time.Minute)
 		c.Check(m.count(), qt.Equals, 1)
-		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Repeat)
+		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 	})
 }
 
@@ -211,7 +211,7 @@
 		for i, v := range verdicts {
 			want := Run
 			if i == 7 {
-				want = Repeat
+				want = OutcomeUnknown
 			}
 			c.Check(v, qt.Equals, want, qt.Commentf("%d", i))
 		}
@@ -245,7 +245,7 @@
 			return a.Begin(context.Background(), Request{Service: "orderdesk", Key: key, Print: 7}).Verdict
 		}
 		c.Check(begin("k1"), qt.Equals, Run)
-		c.Check(begin("k1"), qt.Equals, Repeat)
+		c.Check(begin("k1"), qt.Equals, OutcomeUnknown)
 		fail = ErrHere
 		c.Check(begin("k2"), qt.Equals, Run)
 		fail = nil
