--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -16,7 +16,7 @@
 		p.fail(w, c, kind.Key, kind.RanNo, 0)
 		return
 	}
-	d := p.deps.Claims.Begin(c.r.Context(), claim.Request{Service: c.service.Name, Key: key, Print: c.print})
+	d := p.deps.Claims.Begin(c.r.Context(), claim.Request{Service: c.service.Name, Key: key, Fingerprint: c.print})
 	switch d.Verdict {
 	case claim.Run:
 		c.claim = d.Claim
--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -70,9 +70,9 @@
 type Request struct {
 	Service string
 	Key     string
-	// Print tells requests apart: the same key with another print is another
+	// Fingerprint tells requests apart: the same key with another print is another
 	// request.
-	Print uint64
+	Fingerprint uint64
 }
 
 // Outcome is an answer that is kept for a replay.
@@ -197,7 +197,7 @@
 	now := time.Now().UTC()
 	cl := &Claim{
 		key: rowKey(now, 0, r),
-		row: row{ID: newID(), Print: r.Print, Host: c.host},
+		row: row{ID: newID(), Print: r.Fingerprint, Host: c.host},
 	}
 	value, err := json.Marshal(cl.row)
 	if err != nil {
@@ -214,7 +214,7 @@
 		c.release(cl, false)
 		return Decision{}
 	}
-	return decide(cl, f, r.Print)
+	return decide(cl, f, r.Fingerprint)
 }
 
 func decide(cl *Claim, f found, mark uint64) Decision {
--- a/briarrockd/claim/claim_test.go
+++ b/briarrockd/claim/claim_test.go
@@ -102,7 +102,7 @@
 	})
 }
 
-var order = Request{Service: "orderdesk", Key: "k1", Print: 7}
+var order = Request{Service: "orderdesk", Key: "k1", Fingerprint: 7}
 
 // TestDuplicates sends one order through two nodes, before and after it ran.
 func TestDuplicates(t *testing.T) {
@@ -111,7 +111,7 @@
 		c.Assert(first.Verdict, qt.Equals, Run)
 		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 		other := order
-		other.Print = 8
+		other.Fingerprint = 8
 		c.Check(b.Begin(context.Background(), other).Verdict, qt.Equals, Conflict)
 		a.Finish(first.Claim, Outcome{Status: 201, Body: []byte("done")})
 		time.Sleep(time.Second)
@@ -242,7 +242,7 @@
 			return out, err
 		}})
 		begin := func(key string) Verdict {
-			return a.Begin(context.Background(), Request{Service: "orderdesk", Key: key, Print: 7}).Verdict
+			return a.Begin(context.Background(), Request{Service: "orderdesk", Key: key, Fingerprint: 7}).Verdict
 		}
 		c.Check(begin("k1"), qt.Equals, Run)
 		c.Check(begin("k1"), qt.Equals, OutcomeUnknown)
