--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -237,7 +237,7 @@
 	if k := p.readBody(c); k != kind.None {
 		return c, refusal{kind: k}
 	}
-	c.print = claim.Print(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
+	c.print = claim.Fingerprint(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
 	if p.deps.Suspicion(c.print) >= peer.HoldAt {
 		return c, refusal{kind: kind.Held}
 	}
--- a/briarrockd/caller/header_test.go
+++ b/briarrockd/caller/header_test.go
@@ -56,7 +56,7 @@
 		if len(traceOf(r)) > 64 {
 			t.Fatal("trace is too long")
 		}
-		if claim.Print("s", "POST", path, 1, []byte(key)) == 0 {
+		if claim.Fingerprint("s", "POST", path, 1, []byte(key)) == 0 {
 			t.Fatal("fingerprint is zero")
 		}
 	})
--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -370,8 +370,8 @@
 	return []string{rowKey(now, 0, r), rowKey(now, -1, r), rowKey(now, 1, r)}
 }
 
-// Print is the fingerprint of a request.
-func Print(service, method, target string, length int64, start []byte) uint64 {
+// Fingerprint is the fingerprint of a request.
+func Fingerprint(service, method, target string, length int64, start []byte) uint64 {
 	d := xxhash.New()
 	_, _ = fmt.Fprintf(d, "%s\x00%s\x00%s\x00%d\x00", service, method, target, length)
 	_, _ = d.Write(start)
