--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -52,8 +52,8 @@
 	h.Set(target.HeaderTrace, c.trace)
 	h.Set(kind.HeaderRan, kind.RanYes.String())
 	h.Set(HeaderReplay, "yes")
-	if o.Type != "" {
-		h.Set("Content-Type", o.Type)
+	if o.ContentType != "" {
+		h.Set("Content-Type", o.ContentType)
 	}
 	w.WriteHeader(o.Status)
 	_, _ = w.Write(o.Body)
@@ -89,5 +89,5 @@
 }
 
 func (k *keeper) outcome() claim.Outcome {
-	return claim.Outcome{Status: k.status, Type: k.mime, Body: k.body, Cut: k.cut}
+	return claim.Outcome{Status: k.status, ContentType: k.mime, Body: k.body, Cut: k.cut}
 }
--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -77,9 +77,9 @@
 
 // Outcome is an answer that is kept for a replay.
 type Outcome struct {
-	Status int    `json:"status"`
-	Type   string `json:"type,omitempty"`
-	Body   []byte `json:"body,omitempty"`
+	Status      int    `json:"status"`
+	ContentType string `json:"type,omitempty"`
+	Body        []byte `json:"body,omitempty"`
 	// Cut is set when the body was larger than MaxBody and is not kept.
 	Cut bool `json:"cut,omitempty"`
 }
