--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -89,5 +89,5 @@
 }
 
 func (k *keeper) outcome() claim.Outcome {
-	return claim.Outcome{Status: k.status, ContentType: k.mime, Body: k.body, Cut: k.cut}
+	return claim.Outcome{Status: k.status, ContentType: k.mime, Body: k.body, BodyOmitted: k.cut}
 }
--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -80,8 +80,8 @@
 	Status      int    `json:"status"`
 	ContentType string `json:"type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// Cut is set when the body was larger than MaxBody and is not kept.
-	Cut bool `json:"cut,omitempty"`
+	// BodyOmitted is set when the body was larger than MaxBody and is not kept.
+	BodyOmitted bool `json:"cut,omitempty"`
 }
 
 // row is the value of a claim in the table.
@@ -225,7 +225,7 @@
 		return Decision{Verdict: Run, Claim: cl}
 	case f.row.Print != mark:
 		return Decision{Verdict: Conflict}
-	case f.row.Outcome != nil && !f.row.Outcome.Cut:
+	case f.row.Outcome != nil && !f.row.Outcome.BodyOmitted:
 		return Decision{Verdict: Replay, Outcome: *f.row.Outcome}
 	default:
 		return Decision{Verdict: OutcomeUnknown}
@@ -271,7 +271,7 @@
 // of a request that has run is never deleted or taken over by anybody.
 func (c *Claims) Finish(cl *Claim, o Outcome) {
 	if len(o.Body) > MaxBody {
-		o.Body, o.Cut = nil, true
+		o.Body, o.BodyOmitted = nil, true
 	}
 	done := cl.row
 	done.Outcome = &o
