--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -12,7 +12,7 @@
 // once runs a call that may run at most once and carries a key.
 func (p *Proxy) once(w http.ResponseWriter, c *call) {
 	key := c.r.Header.Get(HeaderKey)
-	if len(key) > claim.MaxKey || len(c.r.Header[HeaderKey]) != 1 {
+	if len(key) > claim.MaxKeyBytes || len(c.r.Header[HeaderKey]) != 1 {
 		p.fail(w, c, kind.Key, kind.RanNo, 0)
 		return
 	}
--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -41,8 +41,8 @@
 
 // Bounds of claims.
 const (
-	// MaxKey bounds an idempotency key, in bytes.
-	MaxKey = 255
+	// MaxKeyBytes bounds an idempotency key, in bytes.
+	MaxKeyBytes = 255
 	// MaxBody bounds the part of an answer that is kept for a replay.
 	MaxBody = 16 << 10
 	// KeepDays is for how many whole days a key is remembered.
