--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -78,7 +78,7 @@
 // Read implements io.Reader.
 func (b *kept) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	if len(b.k.body)+n > claim.MaxBody {
+	if len(b.k.body)+n > claim.MaxBodyBytes {
 		b.k.cut = true
 		b.k.body = nil
 	}
--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -43,8 +43,8 @@
 const (
 	// MaxKeyBytes bounds an idempotency key, in bytes.
 	MaxKeyBytes = 255
-	// MaxBody bounds the part of an answer that is kept for a replay.
-	MaxBody = 16 << 10
+	// MaxBodyBytes bounds the part of an answer that is kept for a replay.
+	MaxBodyBytes = 16 << 10
 	// KeepDays is for how many whole days a key is remembered.
 	KeepDays = 1
 	// within bounds the decision on one claim.
@@ -270,7 +270,7 @@
 // claims. That is safe, and stays safe when it is done twice, since the row
 // of a request that has run is never deleted or taken over by anybody.
 func (c *Claims) Finish(cl *Claim, o Outcome) {
-	if len(o.Body) > MaxBody {
+	if len(o.Body) > MaxBodyBytes {
 		o.Body, o.BodyOmitted = nil, true
 	}
 	done := cl.row
