--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -45,8 +45,8 @@
 	MaxKeyBytes = 255
 	// MaxBodyBytes bounds the part of an answer that is kept for a replay.
 	MaxBodyBytes = 16 << 10
-	// KeepDays is for how many whole days a key is remembered.
-	KeepDays = 1
+	// RetentionDays is for how many whole days a key is remembered.
+	RetentionDays = 1
 	// within bounds the decision on one claim.
 	within = 3 * time.Second
 	// finishWithin bounds the attempts to keep an outcome.
--- a/briarrockd/claim/sweep.go
+++ b/briarrockd/claim/sweep.go
@@ -22,7 +22,7 @@
 // how many. Claims of yesterday, today and tomorrow are looked at by Begin;
 // one more day is left, so that hosts' clocks can differ by hours.
 func (c *Claims) Sweep(ctx context.Context, now time.Time) (int, error) {
-	oldest := Prefix + day(now.UTC(), -KeepDays-1) + "/"
+	oldest := Prefix + day(now.UTC(), -RetentionDays-1) + "/"
 	swept := 0
 	for range sweepBatches {
 		rows, err := c.store.List(ctx, platform.Scan{Prefix: Prefix, Limit: sweepRows})
