--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -167,9 +167,9 @@
 // burst is how many transactions a node may do at once after a quiet time.
 const burst = 20
 
-// Share sets this node's part of TransactionsPerSecond, as one of n nodes that
+// SetCommitters sets this node's part of TransactionsPerSecond, as one of n nodes that
 // commit claims.
-func (c *Claims) Share(n int) {
+func (c *Claims) SetCommitters(n int) {
 	c.pace.SetLimit(rate.Limit(TransactionsPerSecond) / rate.Limit(max(n, 1)))
 }
 
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -245,7 +245,7 @@
 func (n *Node) shareClaims() {
 	committers := 1
 	n.peers.Ask(func(h *peer.Core) { _, committers = h.Committers() })
-	n.claims.Share(committers)
+	n.claims.SetCommitters(committers)
 }
 
 // tell passes a message to the Core; before there is one, nothing can happen.
