--- a/briarrockd/claim/claim_test.go
+++ b/briarrockd/claim/claim_test.go
@@ -246,7 +246,7 @@
 		}
 		c.Check(begin("k1"), qt.Equals, Run)
 		c.Check(begin("k1"), qt.Equals, OutcomeUnknown)
-		fail = ErrHere
+		fail = ErrCommitLocally
 		c.Check(begin("k2"), qt.Equals, Run)
 		fail = nil
 		lose = true
--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -45,8 +45,8 @@
 // any other error if the orders may have been sent.
 type Forward func(ctx context.Context, orders []byte) ([]byte, error)
 
-// ErrHere says that claims are committed by this node itself.
-var ErrHere = errors.New("claim: commit here")
+// ErrCommitLocally says that claims are committed by this node itself.
+var ErrCommitLocally = errors.New("claim: commit here")
 
 // ErrOrders says that bytes from a peer are no orders or results.
 var ErrOrders = errors.New("claim: malformed orders")
@@ -57,7 +57,7 @@
 	defer cancel()
 	results, err := c.ask(ctx, batch)
 	switch {
-	case errors.Is(err, ErrHere):
+	case errors.Is(err, ErrCommitLocally):
 		for _, p := range batch {
 			enqueue(c.queueOf(p), p)
 		}
@@ -77,7 +77,7 @@
 	}
 	b, err := codec.Encode(orders)
 	if err != nil {
-		return nil, ErrHere
+		return nil, ErrCommitLocally
 	}
 	answer, err := c.forward(ctx, b)
 	if err != nil {
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -236,7 +236,7 @@
 func (n *Node) handClaims(ctx context.Context, orders []byte) ([]byte, error) {
 	b, err := n.peers.HandClaims(ctx, orders)
 	if errors.Is(err, peer.ErrNoRoot) {
-		return nil, claim.ErrHere
+		return nil, claim.ErrCommitLocally
 	}
 	return b, errors.WithStack(err)
 }
