--- a/briarrockd/claim/claim_test.go
+++ b/briarrockd/claim/claim_test.go
@@ -263,7 +263,7 @@
 			b, err := codec.Encode([]Order{o})
 			c.Assert(err, qt.IsNil)
 			_, err = root.Serve(context.Background(), b)
-			c.Check(err, qt.Equals, ErrOrders)
+			c.Check(err, qt.Equals, ErrMalformed)
 		}
 		a.Close()
 		root.Close()
--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -48,8 +48,8 @@
 // ErrCommitLocally says that claims are committed by this node itself.
 var ErrCommitLocally = errors.New("claim: commit here")
 
-// ErrOrders says that bytes from a peer are no orders or results.
-var ErrOrders = errors.New("claim: malformed orders")
+// ErrMalformed says that bytes from a peer are no orders or results.
+var ErrMalformed = errors.New("claim: malformed orders")
 
 // handOn hands a batch to the node that gathers, or commits it here.
 func (c *Claims) handOn(batch []*pending) {
@@ -85,7 +85,7 @@
 	}
 	var results []Result
 	if err := codec.Decode(answer, &results); err != nil || len(results) != len(batch) {
-		return nil, ErrOrders
+		return nil, ErrMalformed
 	}
 	return results, nil
 }
@@ -103,11 +103,11 @@
 func (c *Claims) Serve(ctx context.Context, b []byte) ([]byte, error) {
 	var orders []Order
 	if err := codec.Decode(b, &orders); err != nil || len(orders) > batchMost {
-		return nil, ErrOrders
+		return nil, ErrMalformed
 	}
 	for _, o := range orders {
 		if !o.valid() {
-			return nil, ErrOrders
+			return nil, ErrMalformed
 		}
 	}
 	results := make([]Result, len(orders))
