--- a/briarrockd/claim/claim_test.go
+++ b/briarrockd/claim/claim_test.go
@@ -255,12 +255,12 @@
 		time.Sleep(time.Minute)
 		c.Check(begin("k3"), qt.Equals, Run)
 		// A peer writes claims by this way and nothing else.
-		for _, o := range []Order{
+		for _, o := range []ForwardedWrite{
 			{ID: "x", Key: "head", Value: []byte("{}")},
 			{ID: "x", Key: Prefix + "20260101/a", Value: []byte("{}"), Absent: []string{"head"}},
 			{ID: "x", Key: Prefix + "20260101/a"},
 		} {
-			b, err := codec.Encode([]Order{o})
+			b, err := codec.Encode([]ForwardedWrite{o})
 			c.Assert(err, qt.IsNil)
 			_, err = root.Serve(context.Background(), b)
 			c.Check(err, qt.Equals, ErrMalformed)
--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -20,8 +20,8 @@
 // any node may gather, two may at once, and if the one that was asked does not
 // answer, the claim is as one whose answer the platform lost.
 
-// Order is a claim that is handed on.
-type Order struct {
+// ForwardedWrite is a claim that is handed on.
+type ForwardedWrite struct {
 	ID     string   `cbor:"1,keyasint"`
 	Key    string   `cbor:"2,keyasint"`
 	Value  []byte   `cbor:"3,keyasint"`
@@ -71,9 +71,9 @@
 }
 
 func (c *Claims) ask(ctx context.Context, batch []*pending) ([]Result, error) {
-	orders := make([]Order, 0, len(batch))
+	orders := make([]ForwardedWrite, 0, len(batch))
 	for _, p := range batch {
-		orders = append(orders, Order{p.id, p.write.Key, p.write.Value, p.absent, p.late})
+		orders = append(orders, ForwardedWrite{p.id, p.write.Key, p.write.Value, p.absent, p.late})
 	}
 	b, err := codec.Encode(orders)
 	if err != nil {
@@ -101,7 +101,7 @@
 // Serve commits orders of other nodes of the domain, together with this
 // node's own, and returns the encoded results.
 func (c *Claims) Serve(ctx context.Context, b []byte) ([]byte, error) {
-	var orders []Order
+	var orders []ForwardedWrite
 	if err := codec.Decode(b, &orders); err != nil || len(orders) > batchMost {
 		return nil, ErrMalformed
 	}
@@ -120,7 +120,7 @@
 }
 
 // valid bounds an order: whatever a peer asks for, it writes claims only.
-func (o Order) valid() bool {
+func (o ForwardedWrite) valid() bool {
 	ok := isClaim(o.Key) && len(o.Value) > 0 && len(o.Value) <= platform.MaxValue && len(o.Absent) <= maxAbsent
 	for _, key := range o.Absent {
 		ok = ok && isClaim(key)
@@ -135,7 +135,7 @@
 	return len(key) <= platform.MaxKey && len(key) > len(Prefix) && key[:len(Prefix)] == Prefix
 }
 
-func (c *Claims) serve(ctx context.Context, o Order) Result {
+func (c *Claims) serve(ctx context.Context, o ForwardedWrite) Result {
 	p := &pending{
 		write: platform.Write{Key: o.Key, Value: o.Value}, absent: o.Absent, id: o.ID,
 		decided: make(chan found, 1), late: o.Late,
