--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -32,8 +32,8 @@
 	Late bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Result is what became of an Order.
-type Result struct {
+// ForwardedResult is what became of an Order.
+type ForwardedResult struct {
 	Ours   bool   `cbor:"1,keyasint,omitempty"`
 	Held   []byte `cbor:"2,keyasint,omitempty"` // the row that was there, if not ours
 	Unsure bool   `cbor:"3,keyasint,omitempty"`
@@ -70,7 +70,7 @@
 	}
 }
 
-func (c *Claims) ask(ctx context.Context, batch []*pending) ([]Result, error) {
+func (c *Claims) ask(ctx context.Context, batch []*pending) ([]ForwardedResult, error) {
 	orders := make([]ForwardedWrite, 0, len(batch))
 	for _, p := range batch {
 		orders = append(orders, ForwardedWrite{p.id, p.write.Key, p.write.Value, p.absent, p.late})
@@ -83,14 +83,14 @@
 	if err != nil {
 		return nil, err
 	}
-	var results []Result
+	var results []ForwardedResult
 	if err := codec.Decode(answer, &results); err != nil || len(results) != len(batch) {
 		return nil, ErrMalformed
 	}
 	return results, nil
 }
 
-func (r Result) found() found {
+func (r ForwardedResult) found() found {
 	f := found{ours: r.Ours, unsure: r.Unsure, maybe: r.Maybe}
 	if !r.Ours && !r.Unsure && json.Unmarshal(r.Held, &f.row) != nil {
 		return found{unsure: true, maybe: true}
@@ -110,7 +110,7 @@
 			return nil, ErrMalformed
 		}
 	}
-	results := make([]Result, len(orders))
+	results := make([]ForwardedResult, len(orders))
 	var wg sync.WaitGroup
 	for i, o := range orders {
 		wg.Go(func() { results[i] = c.serve(ctx, o) })
@@ -135,25 +135,25 @@
 	return len(key) <= platform.MaxKey && len(key) > len(Prefix) && key[:len(Prefix)] == Prefix
 }
 
-func (c *Claims) serve(ctx context.Context, o ForwardedWrite) Result {
+func (c *Claims) serve(ctx context.Context, o ForwardedWrite) ForwardedResult {
 	p := &pending{
 		write: platform.Write{Key: o.Key, Value: o.Value}, absent: o.Absent, id: o.ID,
 		decided: make(chan found, 1), late: o.Late,
 	}
 	enqueue(c.queueOf(p), p)
 	if o.Late && len(p.decided) == 0 {
-		return Result{Ours: true}
+		return ForwardedResult{Ours: true}
 	}
 	select {
 	case f := <-p.decided:
-		r := Result{Ours: f.ours, Unsure: f.unsure, Maybe: f.maybe}
+		r := ForwardedResult{Ours: f.ours, Unsure: f.unsure, Maybe: f.maybe}
 		if !f.ours && !f.unsure {
 			r.Held, _ = json.Marshal(f.row)
 		}
 		return r
 	case <-ctx.Done():
-		return Result{Unsure: true, Maybe: true}
+		return ForwardedResult{Unsure: true, Maybe: true}
 	case <-c.done:
-		return Result{Unsure: true, Maybe: true}
+		return ForwardedResult{Unsure: true, Maybe: true}
 	}
 }
