--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -34,10 +34,10 @@
 
 // ForwardedResult is what became of an Order.
 type ForwardedResult struct {
-	Ours   bool   `cbor:"1,keyasint,omitempty"`
-	Held   []byte `cbor:"2,keyasint,omitempty"` // the row that was there, if not ours
-	Unsure bool   `cbor:"3,keyasint,omitempty"`
-	Maybe  bool   `cbor:"4,keyasint,omitempty"`
+	Applied bool   `cbor:"1,keyasint,omitempty"`
+	Held    []byte `cbor:"2,keyasint,omitempty"` // the row that was there, if not ours
+	Unsure  bool   `cbor:"3,keyasint,omitempty"`
+	Maybe   bool   `cbor:"4,keyasint,omitempty"`
 }
 
 // Forward sends encoded orders to the node that gathers, and returns the
@@ -91,8 +91,8 @@
 }
 
 func (r ForwardedResult) found() found {
-	f := found{ours: r.Ours, unsure: r.Unsure, maybe: r.Maybe}
-	if !r.Ours && !r.Unsure && json.Unmarshal(r.Held, &f.row) != nil {
+	f := found{ours: r.Applied, unsure: r.Unsure, maybe: r.Maybe}
+	if !r.Applied && !r.Unsure && json.Unmarshal(r.Held, &f.row) != nil {
 		return found{unsure: true, maybe: true}
 	}
 	return f
@@ -142,11 +142,11 @@
 	}
 	enqueue(c.queueOf(p), p)
 	if o.Late && len(p.decided) == 0 {
-		return ForwardedResult{Ours: true}
+		return ForwardedResult{Applied: true}
 	}
 	select {
 	case f := <-p.decided:
-		r := ForwardedResult{Ours: f.ours, Unsure: f.unsure, Maybe: f.maybe}
+		r := ForwardedResult{Applied: f.ours, Unsure: f.unsure, Maybe: f.maybe}
 		if !f.ours && !f.unsure {
 			r.Held, _ = json.Marshal(f.row)
 		}
