--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -35,7 +35,7 @@
 // ForwardedResult is what became of an Order.
 type ForwardedResult struct {
 	Applied bool   `cbor:"1,keyasint,omitempty"`
-	Held    []byte `cbor:"2,keyasint,omitempty"` // the row that was there, if not ours
+	Row     []byte `cbor:"2,keyasint,omitempty"` // the row that was there, if not ours
 	Unsure  bool   `cbor:"3,keyasint,omitempty"`
 	Maybe   bool   `cbor:"4,keyasint,omitempty"`
 }
@@ -92,7 +92,7 @@
 
 func (r ForwardedResult) found() found {
 	f := found{ours: r.Applied, unsure: r.Unsure, maybe: r.Maybe}
-	if !r.Applied && !r.Unsure && json.Unmarshal(r.Held, &f.row) != nil {
+	if !r.Applied && !r.Unsure && json.Unmarshal(r.Row, &f.row) != nil {
 		return found{unsure: true, maybe: true}
 	}
 	return f
@@ -148,7 +148,7 @@
 	case f := <-p.decided:
 		r := ForwardedResult{Applied: f.ours, Unsure: f.unsure, Maybe: f.maybe}
 		if !f.ours && !f.unsure {
-			r.Held, _ = json.Marshal(f.row)
+			r.Row, _ = json.Marshal(f.row)
 		}
 		return r
 	case <-ctx.Done():
