--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -34,10 +34,10 @@
 
 // ForwardedResult is what became of an Order.
 type ForwardedResult struct {
-	Applied bool   `cbor:"1,keyasint,omitempty"`
-	Row     []byte `cbor:"2,keyasint,omitempty"` // the row that was there, if not ours
-	Unsure  bool   `cbor:"3,keyasint,omitempty"`
-	Maybe   bool   `cbor:"4,keyasint,omitempty"`
+	Applied   bool   `cbor:"1,keyasint,omitempty"`
+	Row       []byte `cbor:"2,keyasint,omitempty"` // the row that was there, if not ours
+	Undecided bool   `cbor:"3,keyasint,omitempty"`
+	Maybe     bool   `cbor:"4,keyasint,omitempty"`
 }
 
 // Forward sends encoded orders to the node that gathers, and returns the
@@ -91,8 +91,8 @@
 }
 
 func (r ForwardedResult) found() found {
-	f := found{ours: r.Applied, unsure: r.Unsure, maybe: r.Maybe}
-	if !r.Applied && !r.Unsure && json.Unmarshal(r.Row, &f.row) != nil {
+	f := found{ours: r.Applied, unsure: r.Undecided, maybe: r.Maybe}
+	if !r.Applied && !r.Undecided && json.Unmarshal(r.Row, &f.row) != nil {
 		return found{unsure: true, maybe: true}
 	}
 	return f
@@ -146,14 +146,14 @@
 	}
 	select {
 	case f := <-p.decided:
-		r := ForwardedResult{Applied: f.ours, Unsure: f.unsure, Maybe: f.maybe}
+		r := ForwardedResult{Applied: f.ours, Undecided: f.unsure, Maybe: f.maybe}
 		if !f.ours && !f.unsure {
 			r.Row, _ = json.Marshal(f.row)
 		}
 		return r
 	case <-ctx.Done():
-		return ForwardedResult{Unsure: true, Maybe: true}
+		return ForwardedResult{Undecided: true, Maybe: true}
 	case <-c.done:
-		return ForwardedResult{Unsure: true, Maybe: true}
+		return ForwardedResult{Undecided: true, Maybe: true}
 	}
 }
