--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -26,10 +26,10 @@
 	Key    string   `cbor:"2,keyasint"`
 	Value  []byte   `cbor:"3,keyasint"`
 	Absent []string `cbor:"4,keyasint,omitempty"`
-	// Late is set for an outcome. It is answered as soon as it is in line: if
+	// IsOutcome is set for an outcome. It is answered as soon as it is in line: if
 	// the gathering node dies with it, a repeat is told that the outcome isn't
 	// known, which is true.
-	Late bool `cbor:"5,keyasint,omitempty"`
+	IsOutcome bool `cbor:"5,keyasint,omitempty"`
 }
 
 // ForwardedResult is what became of an Order.
@@ -138,10 +138,10 @@
 func (c *Claims) serve(ctx context.Context, o ForwardedWrite) ForwardedResult {
 	p := &pending{
 		write: platform.Write{Key: o.Key, Value: o.Value}, absent: o.Absent, id: o.ID,
-		decided: make(chan found, 1), late: o.Late,
+		decided: make(chan found, 1), late: o.IsOutcome,
 	}
 	enqueue(c.queueOf(p), p)
-	if o.Late && len(p.decided) == 0 {
+	if o.IsOutcome && len(p.decided) == 0 {
 		return ForwardedResult{Applied: true}
 	}
 	select {
