--- a/briarrockd/claim/claim_test.go
+++ b/briarrockd/claim/claim_test.go
@@ -235,7 +235,7 @@
 			if fail != nil {
 				return nil, fail
 			}
-			out, err := root.Serve(ctx, b)
+			out, err := root.CommitForwarded(ctx, b)
 			if lose {
 				return nil, context.DeadlineExceeded
 			}
@@ -262,7 +262,7 @@
 		} {
 			b, err := codec.Encode([]ForwardedWrite{o})
 			c.Assert(err, qt.IsNil)
-			_, err = root.Serve(context.Background(), b)
+			_, err = root.CommitForwarded(context.Background(), b)
 			c.Check(err, qt.Equals, ErrMalformed)
 		}
 		a.Close()
--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -98,9 +98,9 @@
 	return f
 }
 
-// Serve commits orders of other nodes of the domain, together with this
+// CommitForwarded commits orders of other nodes of the domain, together with this
 // node's own, and returns the encoded results.
-func (c *Claims) Serve(ctx context.Context, b []byte) ([]byte, error) {
+func (c *Claims) CommitForwarded(ctx context.Context, b []byte) ([]byte, error) {
 	var orders []ForwardedWrite
 	if err := codec.Decode(b, &orders); err != nil || len(orders) > batchMost {
 		return nil, ErrMalformed
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -192,7 +192,7 @@
 	n.follow = newFollow(n.tell, n.log)
 	n.peers = peer.NewLinks(n.peerConfig(), peer.Deps{
 		Store: st, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
-		Dial: d.Dial, Claims: n.claims.Serve,
+		Dial: d.Dial, Claims: n.claims.CommitForwarded,
 		Hooks: peer.Hooks{Use: n.use, Publish: n.publish, Held: n.held, Watch: n.follow.set},
 	})
 	n.operators = operator.New(operator.Deps{
