--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -68,7 +68,7 @@
 	targets   *target.Targets
 	proxy     *caller.Proxy
 	claims    *claim.Claims
-	operators *operator.Interface
+	operators *operator.API
 	listeners map[string]net.Listener
 	servers   []server
 	transport transport
--- a/briarrockd/operator/apply.go
+++ b/briarrockd/operator/apply.go
@@ -25,7 +25,7 @@
 // writeRule is the form of the id of an edit.
 var writeRule = regexp.MustCompile(`^[A-Za-z0-9-]{8,64}$`)
 
-func (o *Interface) apply(w http.ResponseWriter, r *http.Request) {
+func (o *API) apply(w http.ResponseWriter, r *http.Request) {
 	var a api.Apply
 	dec := json.NewDecoder(io.LimitReader(r.Body, maxRequest))
 	dec.DisallowUnknownFields()
@@ -49,7 +49,7 @@
 
 // edit is one edit on its way in.
 type edit struct {
-	o     *Interface
+	o     *API
 	in    api.Apply
 	who   string
 	from  string
--- a/briarrockd/operator/history.go
+++ b/briarrockd/operator/history.go
@@ -44,7 +44,7 @@
 // watchConverge waits until a version is in force everywhere and keeps how
 // long that took. It asks seldom after a while: a domain that is cut off may
 // take long.
-func (o *Interface) watchConverge(a platform.Audit) {
+func (o *API) watchConverge(a platform.Audit) {
 	ctx, cancel := context.WithTimeout(o.ctx, watchFor)
 	defer cancel()
 	began := time.Now()
@@ -62,12 +62,12 @@
 	}
 }
 
-func (o *Interface) keepConverged(ctx context.Context, version uint64, c converged) {
+func (o *API) keepConverged(ctx context.Context, version uint64, c converged) {
 	o.deps.Metrics.GetOrCreateHistogram("briarrock_converge_seconds").Update(float64(c.Millis) / 1000)
 	o.keep(ctx, versionKey(convergedPrefix, version), c)
 }
 
-func (o *Interface) keepAttempt(a api.Attempt) {
+func (o *API) keepAttempt(a api.Attempt) {
 	ctx, cancel := context.WithTimeout(o.ctx, timeout)
 	defer cancel()
 	o.keep(ctx, attemptPrefix+a.At.Format("20060102T150405.000000000")+"-"+a.Write, a)
@@ -75,7 +75,7 @@
 
 // keep writes one row that nothing depends on; a failure is not worth more
 // than what the log has already.
-func (o *Interface) keep(ctx context.Context, key string, v any) {
+func (o *API) keep(ctx context.Context, key string, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return
@@ -83,7 +83,7 @@
 	_ = o.deps.Store.Transact(ctx, platform.Transaction{Writes: []platform.Write{{Key: key, Value: b}}})
 }
 
-func (o *Interface) history(w http.ResponseWriter, r *http.Request) {
+func (o *API) history(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	before, err := strconv.ParseUint(q.Get("before"), 10, 64)
 	limit, lerr := strconv.Atoi(q.Get("limit"))
@@ -99,7 +99,7 @@
 	reply(w, h)
 }
 
-func (o *Interface) page(ctx context.Context, before uint64, limit int) (api.History, error) {
+func (o *API) page(ctx context.Context, before uint64, limit int) (api.History, error) {
 	var h api.History
 	rows, err := o.deps.Store.List(ctx, platform.AuditScan(before, limit))
 	if err != nil {
@@ -124,7 +124,7 @@
 	return h, err
 }
 
-func (o *Interface) addConverged(ctx context.Context, entries []api.Entry, before uint64, limit int) error {
+func (o *API) addConverged(ctx context.Context, entries []api.Entry, before uint64, limit int) error {
 	scan := platform.Scan{Prefix: convergedPrefix, Limit: limit, Reverse: true}
 	if before > 0 {
 		scan.After = versionKey(convergedPrefix, before)
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (o *Interface) attempts(ctx context.Context) ([]api.Attempt, error) {
+func (o *API) attempts(ctx context.Context) ([]api.Attempt, error) {
 	rows, err := o.deps.Store.List(ctx, platform.Scan{Prefix: attemptPrefix, Limit: attemptsShow, Reverse: true})
 	if err != nil {
 		return nil, errors.Wrap(err, "operator: history")
--- a/briarrockd/operator/operator.go
+++ b/briarrockd/operator/operator.go
@@ -54,8 +54,8 @@
 	Ready    func() bool
 }
 
-// Interface is the operators' interface of one node; it is an http.Handler.
-type Interface struct {
+// API is the operators' interface of one node; it is an http.Handler.
+type API struct {
 	http.Handler
 	deps   Deps
 	ctx    context.Context
@@ -67,9 +67,9 @@
 const maxRequest = 2 * text.MaxBytes
 
 // New returns the interface. Close ends what it does in the background.
-func New(d Deps) *Interface {
+func New(d Deps) *API {
 	ctx, cancel := context.WithCancel(context.Background())
-	o := &Interface{deps: d, ctx: ctx, cancel: cancel}
+	o := &API{deps: d, ctx: ctx, cancel: cancel}
 	r := chi.NewRouter()
 	r.Get("/metrics", o.metrics)
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "alive\n") })
@@ -87,17 +87,17 @@
 }
 
 // Close stops the interface.
-func (o *Interface) Close() {
+func (o *API) Close() {
 	o.cancel()
 	o.wg.Wait()
 }
 
-func (o *Interface) metrics(w http.ResponseWriter, _ *http.Request) {
+func (o *API) metrics(w http.ResponseWriter, _ *http.Request) {
 	o.deps.Metrics.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
-func (o *Interface) ready(w http.ResponseWriter, _ *http.Request) {
+func (o *API) ready(w http.ResponseWriter, _ *http.Request) {
 	if !o.deps.Ready() {
 		http.Error(w, "not ready: no configuration yet, or leaving", http.StatusServiceUnavailable)
 		return
@@ -107,7 +107,7 @@
 
 type whoKey struct{}
 
-func (o *Interface) authenticate(next http.Handler) http.Handler {
+func (o *API) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		who, err := o.deps.Identify(r.TLS, token)
@@ -131,11 +131,11 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func (o *Interface) status(w http.ResponseWriter, r *http.Request) {
+func (o *API) status(w http.ResponseWriter, r *http.Request) {
 	reply(w, o.statusNow(r.Context()))
 }
 
-func (o *Interface) statusNow(ctx context.Context) api.Status {
+func (o *API) statusNow(ctx context.Context) api.Status {
 	s := o.deps.Peers.Status(ctx)
 	out := api.Status{Host: o.deps.Host, Version: s.Version, Hash: s.Hash, Whole: s.Whole, Store: s.Store}
 	for _, d := range s.Domains {
@@ -156,12 +156,12 @@
 	return out
 }
 
-func (o *Interface) explain(w http.ResponseWriter, r *http.Request) {
+func (o *API) explain(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	reply(w, o.deps.Explain(q.Get("method"), q.Get("url"), q.Get("caller")))
 }
 
-func (o *Interface) text(w http.ResponseWriter, r *http.Request) {
+func (o *API) text(w http.ResponseWriter, r *http.Request) {
 	n, err := strconv.ParseUint(r.URL.Query().Get("version"), 10, 64)
 	if err != nil {
 		http.Error(w, "version must be a number", http.StatusBadRequest)
@@ -184,7 +184,7 @@
 }
 
 // readText reads a version's text; 0 stands for the head.
-func (o *Interface) readText(ctx context.Context, n uint64) (api.Version, error) {
+func (o *API) readText(ctx context.Context, n uint64) (api.Version, error) {
 	var hash string
 	if n == 0 {
 		_, head, err := o.head(ctx)
@@ -207,7 +207,7 @@
 	return api.Version{Version: n, Text: b}, err
 }
 
-func (o *Interface) object(ctx context.Context, hash string) ([]byte, error) {
+func (o *API) object(ctx context.Context, hash string) ([]byte, error) {
 	h, err := snapshot.ParseHash(hash)
 	if err != nil {
 		return nil, errors.Wrap(err, "operator")
@@ -219,7 +219,7 @@
 }
 
 // head reads the head row and what it says; both are zero for none yet.
-func (o *Interface) head(ctx context.Context) (platform.Row, platform.Head, error) {
+func (o *API) head(ctx context.Context) (platform.Row, platform.Head, error) {
 	row, err := o.deps.Store.Get(ctx, platform.HeadKey)
 	if errors.Is(err, platform.ErrMissing) {
 		return platform.Row{}, platform.Head{}, nil
