--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -100,7 +100,7 @@
 	var p peer.Keys
 	if k != nil {
 		p = peer.Keys{
-			Client: k.Client, Server: k.Server,
+			Client: k.Client, Server: k.ServerConfig,
 			Peer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
 		}
 	}
--- a/briarrockd/keys/keys.go
+++ b/briarrockd/keys/keys.go
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// Server returns settings for a listener: the other side must have a
+// ServerConfig returns settings for a listener: the other side must have a
 // certificate of the same authority.
-func (k *Keys) Server() *tls.Config {
+func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -155,7 +155,7 @@
 	if n.keys == nil {
 		return nil
 	}
-	return n.keys.Server()
+	return n.keys.ServerConfig()
 }
 
 func (n *Node) peerKeys() peer.Keys {
@@ -163,7 +163,7 @@
 		return peer.Keys{}
 	}
 	return peer.Keys{
-		Server: n.keys.Server, Client: n.keys.Client,
+		Server: n.keys.ServerConfig, Client: n.keys.Client,
 		Peer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
 	}
 }
