--- a/briarrock/command/command.go
+++ b/briarrock/command/command.go
@@ -119,7 +119,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.Transport = &http.Transport{TLSClientConfig: k.Client(), TLSHandshakeTimeout: answerTimeout}
+		c.Transport = &http.Transport{TLSClientConfig: k.ClientConfig(), TLSHandshakeTimeout: answerTimeout}
 	}
 	node := e.node
 	if !strings.Contains(node, "://") {
--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -312,7 +312,7 @@
 	if err == nil {
 		var k *keys.Keys
 		if k, err = keys.Load(keys.Files{Cert: files.Cert, Key: files.Key, CA: files.CA}); err == nil {
-			c.Transport = &http.Transport{TLSClientConfig: k.Client()}
+			c.Transport = &http.Transport{TLSClientConfig: k.ClientConfig()}
 		}
 	}
 	return api.New(c, "https://"+m.Nodes[i].Cfg.Operator, "")
--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -38,7 +38,7 @@
 	c.Assert(err, qt.IsNil)
 	k, err := keys.Load(keys.Files{Cert: files.Cert, Key: files.Key, CA: files.CA})
 	c.Assert(err, qt.IsNil)
-	return &http.Client{Transport: &http.Transport{TLSClientConfig: k.Client()}, Timeout: patience}, k
+	return &http.Client{Transport: &http.Transport{TLSClientConfig: k.ClientConfig()}, Timeout: patience}, k
 }
 
 // TestSecure runs a mesh with certificates and knocks at its doors without the
@@ -100,7 +100,7 @@
 	var p peer.Keys
 	if k != nil {
 		p = peer.Keys{
-			Client: k.Client, Server: k.ServerConfig,
+			Client: k.ClientConfig, Server: k.ServerConfig,
 			Peer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
 		}
 	}
@@ -132,7 +132,7 @@
 	n := m.Nodes[0]
 	serial := func() string {
 		_, k := clientFor(c, a, "someone", keys.Node)
-		conn, err := tls.Dial("tcp", n.Cfg.Call, k.Client())
+		conn, err := tls.Dial("tcp", n.Cfg.Call, k.ClientConfig())
 		c.Assert(err, qt.IsNil)
 		defer func() { _ = conn.Close() }()
 		return conn.ConnectionState().PeerCertificates[0].SerialNumber.String()
--- a/briarrockd/keys/keys.go
+++ b/briarrockd/keys/keys.go
@@ -89,10 +89,10 @@
 	}
 }
 
-// Client returns settings for connecting to a node. Nodes are known by
+// ClientConfig returns settings for connecting to a node. Nodes are known by
 // address, not by a name in DNS, so instead of a host name it is checked that
 // the certificate is of the authority and of a node.
-func (k *Keys) Client() *tls.Config {
+func (k *Keys) ClientConfig() *tls.Config {
 	l := k.now.Load()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -163,7 +163,7 @@
 		return peer.Keys{}
 	}
 	return peer.Keys{
-		Server: n.keys.ServerConfig, Client: n.keys.Client,
+		Server: n.keys.ServerConfig, Client: n.keys.ClientConfig,
 		Peer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
 	}
 }
@@ -217,7 +217,7 @@
 		if err != nil {
 			return nil, err
 		}
-		conf := n.keys.Client()
+		conf := n.keys.ClientConfig()
 		if !own {
 			conf.NextProtos = []string{"h2"}
 		}
