--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -101,7 +101,7 @@
 	if k != nil {
 		p = peer.Keys{
 			Client: k.ClientConfig, Server: k.ServerConfig,
-			Peer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
+			Peer: func(cs tls.ConnectionState) (string, error) { return keys.PeerName(cs, keys.Node) },
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/briarrockd/keys/keys.go
+++ b/briarrockd/keys/keys.go
@@ -103,7 +103,7 @@
 			if err := verify(cs, l.pool); err != nil {
 				return err
 			}
-			_, err := Name(cs, Node)
+			_, err := PeerName(cs, Node)
 			return err
 		},
 	}
@@ -125,8 +125,8 @@
 	return errors.Wrap(err, "keys")
 }
 
-// Name returns the common name of the other side's certificate, or ErrRole.
-func Name(cs tls.ConnectionState, role Role) (string, error) {
+// PeerName returns the common name of the other side's certificate, or ErrRole.
+func PeerName(cs tls.ConnectionState, role Role) (string, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return "", ErrRole
 	}
--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -164,7 +164,7 @@
 	}
 	return peer.Keys{
 		Server: n.keys.ServerConfig, Client: n.keys.ClientConfig,
-		Peer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
+		Peer: func(cs tls.ConnectionState) (string, error) { return keys.PeerName(cs, keys.Node) },
 	}
 }
 
@@ -174,7 +174,7 @@
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, err := keys.Name(*r.TLS, keys.Node); err != nil {
+		if _, err := keys.PeerName(*r.TLS, keys.Node); err != nil {
 			n.log.Emit(event.PeerRefused, event.Fields{event.Subject: r.RemoteAddr, "error": err.Error()})
 			relay.Fail(w, kind.Caller, kind.RanNo, 0)
 			return
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -396,7 +396,7 @@
 		return name, nil
 	}
 	if cs != nil {
-		name, err := keys.Name(*cs, keys.Operator)
+		name, err := keys.PeerName(*cs, keys.Operator)
 		return name, errors.WithStack(err)
 	}
 	if n.cfg.Security.Plain && len(n.cfg.Operators) == 0 {
