--- a/bench/calls.go
+++ b/bench/calls.go
@@ -235,9 +235,9 @@
 		var near, far []string
 		for _, n := range m.Nodes {
 			if n.Target.Service() == callService {
-				near = append(near, n.Cfg.Caller)
+				near = append(near, n.Cfg.CallerAddr)
 			} else {
-				far = append(far, n.Cfg.Caller)
+				far = append(far, n.Cfg.CallerAddr)
 			}
 		}
 		ways = append(ways, way{"entry is the target's node, " + name, near}, way{"two nodes, " + name, far})
--- a/bench/load.go
+++ b/bench/load.go
@@ -38,7 +38,7 @@
 func entries(m *local.Mesh) []string {
 	var out []string
 	for _, n := range m.Nodes {
-		out = append(out, n.Cfg.Caller)
+		out = append(out, n.Cfg.CallerAddr)
 	}
 	return out
 }
@@ -292,7 +292,7 @@
 		wg.Go(func() {
 			for i := range onceAll / atOnce {
 				began := time.Now()
-				addr := m.Nodes[(w+i)%len(m.Nodes)].Cfg.Caller
+				addr := m.Nodes[(w+i)%len(m.Nodes)].Cfg.CallerAddr
 				req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+addr+"/orders", nil)
 				if err != nil {
 					continue
--- a/briarrock/demo/demo.go
+++ b/briarrock/demo/demo.go
@@ -281,7 +281,7 @@
 	for i := range callers {
 		l.wg.Go(func() {
 			for n := i; ctx.Err() == nil; n++ {
-				l.once(ctx, l.mesh.Nodes[n%len(l.mesh.Nodes)].Cfg.Caller)
+				l.once(ctx, l.mesh.Nodes[n%len(l.mesh.Nodes)].Cfg.CallerAddr)
 			}
 		})
 	}
--- a/briarrock/local/call_test.go
+++ b/briarrock/local/call_test.go
@@ -99,7 +99,7 @@
 
 // call sends one request through node i.
 func call(m *local.Mesh, i int, method, path, body string, headers ...string) answer {
-	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+m.Nodes[i].Cfg.Caller+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+m.Nodes[i].Cfg.CallerAddr+path, strings.NewReader(body))
 	if err != nil {
 		return answer{err: err}
 	}
@@ -167,7 +167,7 @@
 	m := start(c, targetin.Config{Echo: true})
 	const size = 16 << 20
 	r, w := io.Pipe()
-	req, err := http.NewRequest(http.MethodPut, "http://"+m.Nodes[0].Cfg.Caller+"/files/1", r)
+	req, err := http.NewRequest(http.MethodPut, "http://"+m.Nodes[0].Cfg.CallerAddr+"/files/1", r)
 	c.Assert(err, qt.IsNil)
 	req.Host = "orderdesk"
 	first := make(chan struct{})
@@ -216,7 +216,7 @@
 	r, w := io.Pipe()
 	defer func() { _ = w.Close() }()
 	go func() { _, _ = w.Write(make([]byte, 1000)) }() // and nothing more
-	req, err := http.NewRequest(http.MethodPut, "http://"+m.Nodes[0].Cfg.Caller+"/files/1", r)
+	req, err := http.NewRequest(http.MethodPut, "http://"+m.Nodes[0].Cfg.CallerAddr+"/files/1", r)
 	c.Assert(err, qt.IsNil)
 	req.Host = "orderdesk"
 	res, err := http.DefaultTransport.RoundTrip(req)
@@ -226,7 +226,7 @@
 	}
 	c.Check(local.Until(patience, free), qt.IsNil)
 
-	conn, err := net.Dial("tcp", m.Nodes[0].Cfg.Caller)
+	conn, err := net.Dial("tcp", m.Nodes[0].Cfg.CallerAddr)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
 	_ = conn.(*net.TCPConn).SetReadBuffer(4 << 10)
--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -130,7 +130,7 @@
 	port := "127.0.0.1:0"
 	cfg := settings.Settings{
 		Host: fmt.Sprintf("%s-%d", p.Domain, i), Domain: p.Domain, Region: p.Region,
-		Caller: port, Call: port, Peer: port, Operator: port, Announce: port,
+		CallerAddr: port, Call: port, Peer: port, Operator: port, Announce: port,
 		Contacts: append([]string(nil), m.contacts...),
 		Platform: settings.Platform{URL: m.store, Region: m.Spec.StoreRegion},
 		Security: settings.Security{Plain: true},
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -116,7 +116,7 @@
 		n.platform = *d.Platform
 	}
 	n.start(st, d)
-	n.log.Emit(event.Started, event.Fields{"domain": cfg.Domain, "region": cfg.Region, "caller": cfg.Caller, "plain": cfg.Security.Plain})
+	n.log.Emit(event.Started, event.Fields{"domain": cfg.Domain, "region": cfg.Region, "caller": cfg.CallerAddr, "plain": cfg.Security.Plain})
 	return n, nil
 }
 
@@ -152,7 +152,7 @@
 
 func (n *Node) listen() error {
 	for name, addr := range map[string]*string{
-		callers: &n.cfg.Caller, calls: &n.cfg.Call, peers: &n.cfg.Peer,
+		callers: &n.cfg.CallerAddr, calls: &n.cfg.Call, peers: &n.cfg.Peer,
 		operators: &n.cfg.Operator, announce: &n.cfg.Announce,
 	} {
 		l, err := http1.ListenConfig().Listen(context.Background(), "tcp", *addr)
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -29,11 +29,11 @@
 	Region string
 
 	// Addresses to listen at; the first three are also told to others.
-	Caller   string // callers
-	Call     string // calls from peers
-	Peer     string // peers
-	Operator string // operators, metrics and health
-	Announce string // targets of this host
+	CallerAddr string // callers
+	Call       string // calls from peers
+	Peer       string // peers
+	Operator   string // operators, metrics and health
+	Announce   string // targets of this host
 	// Announced is the peer address to tell others instead of Peer, where
 	// they reach it by another one.
 	Announced string
@@ -133,7 +133,7 @@
 		"host":          {Read: func(n *yaml.Node) { s.Host = r.Name(n) }, Need: true},
 		"domain":        {Read: func(n *yaml.Node) { s.Domain = r.Name(n) }, Need: true},
 		"region":        {Read: func(n *yaml.Node) { s.Region = r.Name(n) }, Need: true},
-		"caller":        {Read: func(n *yaml.Node) { s.Caller = r.address(n) }, Need: true},
+		"caller":        {Read: func(n *yaml.Node) { s.CallerAddr = r.address(n) }, Need: true},
 		"call":          {Read: func(n *yaml.Node) { s.Call = r.address(n) }, Need: true},
 		"peer":          {Read: func(n *yaml.Node) { s.Peer = r.address(n) }, Need: true},
 		"announced":     {Read: func(n *yaml.Node) { s.Announced = r.address(n) }},
