--- a/briarrock/local/call_test.go
+++ b/briarrock/local/call_test.go
@@ -445,10 +445,10 @@
 	m := start(c, targetin.Config{})
 	var wires []*wire.Proxy
 	for _, n := range m.Nodes {
-		p, err := wire.New("127.0.0.1:0", n.Cfg.Call)
+		p, err := wire.New("127.0.0.1:0", n.Cfg.CallAddr)
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(p.Close)
-		m.Via(n.Cfg.Call, p.Addr())
+		m.Via(n.Cfg.CallAddr, p.Addr())
 		n.Peers() // the mesh goes on by its own links
 		wires = append(wires, p)
 	}
--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -74,14 +74,14 @@
 	_, err = api.New(asNode, "https://"+node.Operator, "").Status(ctx)
 	c.Check(err, qt.ErrorMatches, ".*401.*")
 	// An operator's is no node's, where calls come in.
-	r, err := asOperator.Get("https://" + node.Call + "/orders")
+	r, err := asOperator.Get("https://" + node.CallAddr + "/orders")
 	c.Assert(err, qt.IsNil)
 	_ = r.Body.Close()
 	c.Check(r.Header.Get(kind.HeaderKind), qt.Equals, string(kind.Caller))
 	// Another authority's, or none, ends in the handshake.
-	_, err = stranger.Get("https://" + node.Call + "/orders")
+	_, err = stranger.Get("https://" + node.CallAddr + "/orders")
 	c.Check(err, qt.IsNotNil)
-	plain, err := http.Get("http://" + node.Call + "/orders")
+	plain, err := http.Get("http://" + node.CallAddr + "/orders")
 	if err == nil {
 		_ = plain.Body.Close()
 		c.Check(plain.StatusCode, qt.Equals, http.StatusBadRequest)
@@ -132,7 +132,7 @@
 	n := m.Nodes[0]
 	serial := func() string {
 		_, k := clientFor(c, a, "someone", keys.Node)
-		conn, err := tls.Dial("tcp", n.Cfg.Call, k.ClientConfig())
+		conn, err := tls.Dial("tcp", n.Cfg.CallAddr, k.ClientConfig())
 		c.Assert(err, qt.IsNil)
 		defer func() { _ = conn.Close() }()
 		return conn.ConnectionState().PeerCertificates[0].SerialNumber.String()
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -30,7 +30,7 @@
 
 	// Addresses to listen at; the first three are also told to others.
 	CallerAddr string // callers
-	Call       string // calls from peers
+	CallAddr   string // calls from peers
 	Peer       string // peers
 	Operator   string // operators, metrics and health
 	Announce   string // targets of this host
@@ -134,7 +134,7 @@
 		"domain":        {Read: func(n *yaml.Node) { s.Domain = r.Name(n) }, Need: true},
 		"region":        {Read: func(n *yaml.Node) { s.Region = r.Name(n) }, Need: true},
 		"caller":        {Read: func(n *yaml.Node) { s.CallerAddr = r.address(n) }, Need: true},
-		"call":          {Read: func(n *yaml.Node) { s.Call = r.address(n) }, Need: true},
+		"call":          {Read: func(n *yaml.Node) { s.CallAddr = r.address(n) }, Need: true},
 		"peer":          {Read: func(n *yaml.Node) { s.Peer = r.address(n) }, Need: true},
 		"announced":     {Read: func(n *yaml.Node) { s.Announced = r.address(n) }},
 		"announcedcall": {Read: func(n *yaml.Node) { s.AnnouncedCall = r.address(n) }},
