--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -130,7 +130,7 @@
 	port := "127.0.0.1:0"
 	cfg := settings.Settings{
 		Host: fmt.Sprintf("%s-%d", p.Domain, i), Domain: p.Domain, Region: p.Region,
-		CallerAddr: port, CallAddr: port, Peer: port, Operator: port, Announce: port,
+		CallerAddr: port, CallAddr: port, PeerAddr: port, Operator: port, Announce: port,
 		Contacts: append([]string(nil), m.contacts...),
 		Platform: settings.Platform{URL: m.store, Region: m.Spec.StoreRegion},
 		Security: settings.Security{Plain: true},
@@ -156,7 +156,7 @@
 	}
 	m.Nodes = append(m.Nodes, n)
 	if len(m.contacts) < m.Spec.Contacts {
-		m.contacts = append(m.contacts, n.Cfg.Peer)
+		m.contacts = append(m.contacts, n.Cfg.PeerAddr)
 	}
 	return nil
 }
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	m.mu.Lock()
-	for _, addr := range []string{n.Settings().Peer, n.Settings().CallAddr} {
+	for _, addr := range []string{n.Settings().PeerAddr, n.Settings().CallAddr} {
 		m.at[addr] = here
 	}
 	m.mu.Unlock()
--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -88,10 +88,10 @@
 	}
 
 	// A peer must be what its certificate says.
-	c.Check(linkAs(c, node.Peer, operatorKeys, "eve"), qt.IsFalse)
-	c.Check(linkAs(c, node.Peer, nodeKeys, "millbank-0"), qt.IsFalse)
-	c.Check(linkAs(c, node.Peer, nodeKeys, "northgate-9"), qt.IsTrue)
-	c.Check(linkAs(c, node.Peer, nil, "northgate-9"), qt.IsFalse)
+	c.Check(linkAs(c, node.PeerAddr, operatorKeys, "eve"), qt.IsFalse)
+	c.Check(linkAs(c, node.PeerAddr, nodeKeys, "millbank-0"), qt.IsFalse)
+	c.Check(linkAs(c, node.PeerAddr, nodeKeys, "northgate-9"), qt.IsTrue)
+	c.Check(linkAs(c, node.PeerAddr, nil, "northgate-9"), qt.IsFalse)
 }
 
 // linkAs tries to open a link to a node under a name, and tells whether the
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -152,7 +152,7 @@
 
 func (n *Node) listen() error {
 	for name, addr := range map[string]*string{
-		callers: &n.cfg.CallerAddr, calls: &n.cfg.CallAddr, peers: &n.cfg.Peer,
+		callers: &n.cfg.CallerAddr, calls: &n.cfg.CallAddr, peers: &n.cfg.PeerAddr,
 		operators: &n.cfg.Operator, announce: &n.cfg.Announce,
 	} {
 		l, err := http1.ListenConfig().Listen(context.Background(), "tcp", *addr)
@@ -256,7 +256,7 @@
 }
 
 func (n *Node) peerConfig() peer.Config {
-	addr, call := cmp.Or(n.cfg.Announced, n.cfg.Peer), cmp.Or(n.cfg.AnnouncedCall, n.cfg.CallAddr)
+	addr, call := cmp.Or(n.cfg.Announced, n.cfg.PeerAddr), cmp.Or(n.cfg.AnnouncedCall, n.cfg.CallAddr)
 	return peer.Config{
 		Self: peer.Member{
 			Host: n.cfg.Host, Domain: n.cfg.Domain, Region: n.cfg.Region,
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -31,7 +31,7 @@
 	// Addresses to listen at; the first three are also told to others.
 	CallerAddr string // callers
 	CallAddr   string // calls from peers
-	Peer       string // peers
+	PeerAddr   string // peers
 	Operator   string // operators, metrics and health
 	Announce   string // targets of this host
 	// Announced is the peer address to tell others instead of Peer, where
@@ -135,7 +135,7 @@
 		"region":        {Read: func(n *yaml.Node) { s.Region = r.Name(n) }, Need: true},
 		"caller":        {Read: func(n *yaml.Node) { s.CallerAddr = r.address(n) }, Need: true},
 		"call":          {Read: func(n *yaml.Node) { s.CallAddr = r.address(n) }, Need: true},
-		"peer":          {Read: func(n *yaml.Node) { s.Peer = r.address(n) }, Need: true},
+		"peer":          {Read: func(n *yaml.Node) { s.PeerAddr = r.address(n) }, Need: true},
 		"announced":     {Read: func(n *yaml.Node) { s.Announced = r.address(n) }},
 		"announcedcall": {Read: func(n *yaml.Node) { s.AnnouncedCall = r.address(n) }},
 		"operator":      {Read: func(n *yaml.Node) { s.Operator = r.address(n) }, Need: true},
