--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -130,7 +130,7 @@
 	port := "127.0.0.1:0"
 	cfg := settings.Settings{
 		Host: fmt.Sprintf("%s-%d", p.Domain, i), Domain: p.Domain, Region: p.Region,
-		CallerAddr: port, CallAddr: port, PeerAddr: port, Operator: port, Announce: port,
+		CallerAddr: port, CallAddr: port, PeerAddr: port, OperatorAddr: port, Announce: port,
 		Contacts: append([]string(nil), m.contacts...),
 		Platform: settings.Platform{URL: m.store, Region: m.Spec.StoreRegion},
 		Security: settings.Security{Plain: true},
@@ -300,7 +300,7 @@
 	if a := m.Spec.Authority; a != nil {
 		return m.secureOperator(i, a)
 	}
-	return api.New(http.DefaultClient, "http://"+m.Nodes[i].Cfg.Operator, "")
+	return api.New(http.DefaultClient, "http://"+m.Nodes[i].Cfg.OperatorAddr, "")
 }
 
 // operatorName is who edits a mesh with certificates.
@@ -315,7 +315,7 @@
 			c.Transport = &http.Transport{TLSClientConfig: k.ClientConfig()}
 		}
 	}
-	return api.New(c, "https://"+m.Nodes[i].Cfg.Operator, "")
+	return api.New(c, "https://"+m.Nodes[i].Cfg.OperatorAddr, "")
 }
 
 // ErrTimeout says that something did not happen in time.
--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -71,7 +71,7 @@
 	stranger, _ := clientFor(c, other, "northgate-9", keys.Node)
 
 	// A node's certificate is no operator's.
-	_, err = api.New(asNode, "https://"+node.Operator, "").Status(ctx)
+	_, err = api.New(asNode, "https://"+node.OperatorAddr, "").Status(ctx)
 	c.Check(err, qt.ErrorMatches, ".*401.*")
 	// An operator's is no node's, where calls come in.
 	r, err := asOperator.Get("https://" + node.CallAddr + "/orders")
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -29,11 +29,11 @@
 	Region string
 
 	// Addresses to listen at; the first three are also told to others.
-	CallerAddr string // callers
-	CallAddr   string // calls from peers
-	PeerAddr   string // peers
-	Operator   string // operators, metrics and health
-	Announce   string // targets of this host
+	CallerAddr   string // callers
+	CallAddr     string // calls from peers
+	PeerAddr     string // peers
+	OperatorAddr string // operators, metrics and health
+	Announce     string // targets of this host
 	// Announced is the peer address to tell others instead of Peer, where
 	// they reach it by another one.
 	Announced string
@@ -138,7 +138,7 @@
 		"peer":          {Read: func(n *yaml.Node) { s.PeerAddr = r.address(n) }, Need: true},
 		"announced":     {Read: func(n *yaml.Node) { s.Announced = r.address(n) }},
 		"announcedcall": {Read: func(n *yaml.Node) { s.AnnouncedCall = r.address(n) }},
-		"operator":      {Read: func(n *yaml.Node) { s.Operator = r.address(n) }, Need: true},
+		"operator":      {Read: func(n *yaml.Node) { s.OperatorAddr = r.address(n) }, Need: true},
 		"announce":      {Read: func(n *yaml.Node) { s.Announce = r.address(n) }, Need: true},
 		"contacts":      {Read: func(n *yaml.Node) { s.Contacts = r.addresses(n) }},
 		"hosts":         {Read: func(n *yaml.Node) { s.Hosts = r.Number(n, 1, maxHosts) }},
@@ -150,7 +150,7 @@
 		"drain":         {Read: func(n *yaml.Node) { s.Drain = r.Duration(n, 0, maxDrain) }},
 		"log":           {Read: r.log},
 	})
-	if secured && s.Security.Plain && len(s.Operators) == 0 && !loopback(s.Operator) {
+	if secured && s.Security.Plain && len(s.Operators) == 0 && !loopback(s.OperatorAddr) {
 		r.Add(root, "with \"security: plain\" the operator address must be on loopback, or operators must have tokens")
 	}
 }
