--- a/briarrock/demo/demo.go
+++ b/briarrock/demo/demo.go
@@ -217,7 +217,7 @@
 	}
 	before := n.Upstreams(service)
 	n.Target.Drain()
-	if err := n.Target.AnnounceOnce(ctx, "http://"+n.Cfg.Announce); err != nil {
+	if err := n.Target.AnnounceOnce(ctx, "http://"+n.Cfg.AnnounceAddr); err != nil {
 		return errors.WithStack(err)
 	}
 	began := time.Now()
--- a/briarrock/local/call_test.go
+++ b/briarrock/local/call_test.go
@@ -403,7 +403,7 @@
 	// A request that is refused without running gives its key back.
 	for _, n := range m.Nodes {
 		n.Target.Drain()
-		c.Assert(n.Target.AnnounceOnce(context.Background(), "http://"+n.Cfg.Announce), qt.IsNil)
+		c.Assert(n.Target.AnnounceOnce(context.Background(), "http://"+n.Cfg.AnnounceAddr), qt.IsNil)
 	}
 	a = send("drained")
 	c.Check(a.ran, qt.Equals, "no", qt.Commentf("%s", a))
--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -130,7 +130,7 @@
 	port := "127.0.0.1:0"
 	cfg := settings.Settings{
 		Host: fmt.Sprintf("%s-%d", p.Domain, i), Domain: p.Domain, Region: p.Region,
-		CallerAddr: port, CallAddr: port, PeerAddr: port, OperatorAddr: port, Announce: port,
+		CallerAddr: port, CallAddr: port, PeerAddr: port, OperatorAddr: port, AnnounceAddr: port,
 		Contacts: append([]string(nil), m.contacts...),
 		Platform: settings.Platform{URL: m.store, Region: m.Spec.StoreRegion},
 		Security: settings.Security{Plain: true},
@@ -233,7 +233,7 @@
 	n.addr = cfg.Addr
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	go n.Target.Announce(ctx, "http://"+n.Cfg.Announce)
+	go n.Target.Announce(ctx, "http://"+n.Cfg.AnnounceAddr)
 	return nil
 }
 
@@ -253,7 +253,7 @@
 	n.server = m.serve(l, n.Target)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	go n.Target.Announce(ctx, "http://"+n.Cfg.Announce)
+	go n.Target.Announce(ctx, "http://"+n.Cfg.AnnounceAddr)
 	return nil
 }
 
--- a/briarrock/local/matrix_test.go
+++ b/briarrock/local/matrix_test.go
@@ -238,7 +238,7 @@
 	c.Cleanup(m.Close)
 	out := &matrixMesh{Mesh: m}
 	for i := range out.targets {
-		out.targets[i] = newRawTarget(c, m.Nodes[i].Cfg.Announce)
+		out.targets[i] = newRawTarget(c, m.Nodes[i].Cfg.AnnounceAddr)
 		c.Cleanup(out.targets[i].close)
 	}
 	putInForce(c, m, matrixText, 2)
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -153,7 +153,7 @@
 func (n *Node) listen() error {
 	for name, addr := range map[string]*string{
 		callers: &n.cfg.CallerAddr, calls: &n.cfg.CallAddr, peers: &n.cfg.PeerAddr,
-		operators: &n.cfg.OperatorAddr, announce: &n.cfg.Announce,
+		operators: &n.cfg.OperatorAddr, announce: &n.cfg.AnnounceAddr,
 	} {
 		l, err := http1.ListenConfig().Listen(context.Background(), "tcp", *addr)
 		if err != nil {
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -33,7 +33,7 @@
 	CallAddr     string // calls from peers
 	PeerAddr     string // peers
 	OperatorAddr string // operators, metrics and health
-	Announce     string // targets of this host
+	AnnounceAddr string // targets of this host
 	// Announced is the peer address to tell others instead of Peer, where
 	// they reach it by another one.
 	Announced string
@@ -139,7 +139,7 @@
 		"announced":     {Read: func(n *yaml.Node) { s.Announced = r.address(n) }},
 		"announcedcall": {Read: func(n *yaml.Node) { s.AnnouncedCall = r.address(n) }},
 		"operator":      {Read: func(n *yaml.Node) { s.OperatorAddr = r.address(n) }, Need: true},
-		"announce":      {Read: func(n *yaml.Node) { s.Announce = r.address(n) }, Need: true},
+		"announce":      {Read: func(n *yaml.Node) { s.AnnounceAddr = r.address(n) }, Need: true},
 		"contacts":      {Read: func(n *yaml.Node) { s.Contacts = r.addresses(n) }},
 		"hosts":         {Read: func(n *yaml.Node) { s.Hosts = r.Number(n, 1, maxHosts) }},
 		"platform":      {Read: r.platform, Need: true},
