--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -34,9 +34,9 @@
 	PeerAddr     string // peers
 	OperatorAddr string // operators, metrics and health
 	AnnounceAddr string // targets of this host
-	// Announced is the peer address to tell others instead of Peer, where
+	// AdvertisedPeerAddr is the peer address to tell others instead of Peer, where
 	// they reach it by another one.
-	Announced string
+	AdvertisedPeerAddr string
 	// AnnouncedCall is the same for Call.
 	AnnouncedCall string
 
@@ -136,7 +136,7 @@
 		"caller":        {Read: func(n *yaml.Node) { s.CallerAddr = r.address(n) }, Need: true},
 		"call":          {Read: func(n *yaml.Node) { s.CallAddr = r.address(n) }, Need: true},
 		"peer":          {Read: func(n *yaml.Node) { s.PeerAddr = r.address(n) }, Need: true},
-		"announced":     {Read: func(n *yaml.Node) { s.Announced = r.address(n) }},
+		"announced":     {Read: func(n *yaml.Node) { s.AdvertisedPeerAddr = r.address(n) }},
 		"announcedcall": {Read: func(n *yaml.Node) { s.AnnouncedCall = r.address(n) }},
 		"operator":      {Read: func(n *yaml.Node) { s.OperatorAddr = r.address(n) }, Need: true},
 		"announce":      {Read: func(n *yaml.Node) { s.AnnounceAddr = r.address(n) }, Need: true},
