--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -256,7 +256,7 @@
 }
 
 func (n *Node) peerConfig() peer.Config {
-	addr, call := cmp.Or(n.cfg.AdvertisedPeerAddr, n.cfg.PeerAddr), cmp.Or(n.cfg.AnnouncedCall, n.cfg.CallAddr)
+	addr, call := cmp.Or(n.cfg.AdvertisedPeerAddr, n.cfg.PeerAddr), cmp.Or(n.cfg.AdvertisedCallAddr, n.cfg.CallAddr)
 	return peer.Config{
 		Self: peer.Member{
 			Host: n.cfg.Host, Domain: n.cfg.Domain, Region: n.cfg.Region,
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -37,8 +37,8 @@
 	// AdvertisedPeerAddr is the peer address to tell others instead of Peer, where
 	// they reach it by another one.
 	AdvertisedPeerAddr string
-	// AnnouncedCall is the same for Call.
-	AnnouncedCall string
+	// AdvertisedCallAddr is the same for Call.
+	AdvertisedCallAddr string
 
 	Contacts []string
 	// Hosts is about how many hosts the mesh has.
@@ -137,7 +137,7 @@
 		"call":          {Read: func(n *yaml.Node) { s.CallAddr = r.address(n) }, Need: true},
 		"peer":          {Read: func(n *yaml.Node) { s.PeerAddr = r.address(n) }, Need: true},
 		"announced":     {Read: func(n *yaml.Node) { s.AdvertisedPeerAddr = r.address(n) }},
-		"announcedcall": {Read: func(n *yaml.Node) { s.AnnouncedCall = r.address(n) }},
+		"announcedcall": {Read: func(n *yaml.Node) { s.AdvertisedCallAddr = r.address(n) }},
 		"operator":      {Read: func(n *yaml.Node) { s.OperatorAddr = r.address(n) }, Need: true},
 		"announce":      {Read: func(n *yaml.Node) { s.AnnounceAddr = r.address(n) }, Need: true},
 		"contacts":      {Read: func(n *yaml.Node) { s.Contacts = r.addresses(n) }},
