--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -131,13 +131,13 @@
 	cfg := settings.Settings{
 		Host: fmt.Sprintf("%s-%d", p.Domain, i), Domain: p.Domain, Region: p.Region,
 		CallerAddr: port, CallAddr: port, PeerAddr: port, OperatorAddr: port, AnnounceAddr: port,
-		Contacts: append([]string(nil), m.contacts...),
-		Platform: settings.Platform{URL: m.store, Region: m.Spec.StoreRegion},
-		Security: settings.Security{Plain: true},
-		Stall:    m.Spec.Stall, Drain: time.Minute,
+		Contacts:     append([]string(nil), m.contacts...),
+		Platform:     settings.Platform{URL: m.store, Region: m.Spec.StoreRegion},
+		Security:     settings.Security{Plain: true},
+		StallTimeout: m.Spec.Stall, Drain: time.Minute,
 	}
-	if cfg.Stall == 0 {
-		cfg.Stall = time.Minute
+	if cfg.StallTimeout == 0 {
+		cfg.StallTimeout = time.Minute
 	}
 	if m.Spec.Authority != nil {
 		var err error
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -176,7 +176,7 @@
 		Changed:   func(t []peer.Target) { n.tell(peer.TargetsChanged{Targets: t}) },
 		Crashed:   func(c peer.Crashed) { n.tell(c) },
 		Suspicion: n.suspicion,
-		Log:       n.log, Metrics: n.metrics, Stall: n.cfg.Stall,
+		Log:       n.log, Metrics: n.metrics, Stall: n.cfg.StallTimeout,
 		Dialect: n.platform.Targets, Belongs: n.platform.Belongs, Silent: n.platform.Silent, Link: n.platform.Link, NoTurns: n.platform.Caller != "",
 	})
 	n.claims = claim.New(claim.Deps{Store: st, Log: n.log, Host: n.cfg.Host, Metrics: n.metrics, Forward: n.handClaims})
@@ -186,7 +186,7 @@
 		Chooser: caller.NewChooser(n.cfg.Domain, n.cfg.Region, rand.Uint64()),
 		Budget:  n.budget, Claims: n.claims,
 		Transport: n.transport, Scheme: n.scheme(), Suspicion: n.suspicion, Runs: n.targets.Runs,
-		Caller: n.callerName(), Log: n.log, Metrics: n.metrics, Stall: n.cfg.Stall,
+		Caller: n.callerName(), Log: n.log, Metrics: n.metrics, Stall: n.cfg.StallTimeout,
 		Hedge: d.Platform != nil,
 	})
 	n.follow = newFollow(n.tell, n.log)
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -49,8 +49,8 @@
 	Operators Tokens
 	Callers   Tokens
 
-	// Stall bounds the time without a byte moving in a call.
-	Stall time.Duration
+	// StallTimeout bounds the time without a byte moving in a call.
+	StallTimeout time.Duration
 	// Drain bounds the time that a stopping node waits for calls in flight.
 	Drain time.Duration
 
@@ -108,7 +108,7 @@
 
 // Parse reads settings from YAML. Its error is strict.Mistakes.
 func Parse(b []byte) (Settings, error) {
-	r := reader{s: Settings{Hosts: defaultHosts, Stall: defaultStall, Drain: defaultDrain, Level: logrus.InfoLevel}}
+	r := reader{s: Settings{Hosts: defaultHosts, StallTimeout: defaultStall, Drain: defaultDrain, Level: logrus.InfoLevel}}
 	if len(b) > maxFile {
 		r.AddAt(0, 0, "the settings are larger than %d bytes", maxFile)
 		return r.s, r.Err()
@@ -146,7 +146,7 @@
 		"security":      {Read: func(n *yaml.Node) { secured = true; r.security(n) }, Need: true},
 		"operators":     {Read: func(n *yaml.Node) { s.Operators = r.tokens(n) }},
 		"callers":       {Read: func(n *yaml.Node) { s.Callers = r.tokens(n) }},
-		"stall":         {Read: func(n *yaml.Node) { s.Stall = r.Duration(n, minStall, maxStall) }},
+		"stall":         {Read: func(n *yaml.Node) { s.StallTimeout = r.Duration(n, minStall, maxStall) }},
 		"drain":         {Read: func(n *yaml.Node) { s.Drain = r.Duration(n, 0, maxDrain) }},
 		"log":           {Read: r.log},
 	})
