--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -134,7 +134,7 @@
 		Contacts:     append([]string(nil), m.contacts...),
 		Platform:     settings.Platform{URL: m.store, Region: m.Spec.StoreRegion},
 		Security:     settings.Security{Plain: true},
-		StallTimeout: m.Spec.Stall, Drain: time.Minute,
+		StallTimeout: m.Spec.Stall, DrainTimeout: time.Minute,
 	}
 	if cfg.StallTimeout == 0 {
 		cfg.StallTimeout = time.Minute
--- a/briarrockd/main.go
+++ b/briarrockd/main.go
@@ -71,7 +71,7 @@
 		return exitFailed
 	}
 	wait(n)
-	ctx, cancel := context.WithTimeout(context.Background(), cfg.Drain)
+	ctx, cancel := context.WithTimeout(context.Background(), cfg.DrainTimeout)
 	defer cancel()
 	n.Stop(ctx)
 	return 0
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -51,8 +51,8 @@
 
 	// StallTimeout bounds the time without a byte moving in a call.
 	StallTimeout time.Duration
-	// Drain bounds the time that a stopping node waits for calls in flight.
-	Drain time.Duration
+	// DrainTimeout bounds the time that a stopping node waits for calls in flight.
+	DrainTimeout time.Duration
 
 	JSON  bool
 	Level logrus.Level
@@ -108,7 +108,7 @@
 
 // Parse reads settings from YAML. Its error is strict.Mistakes.
 func Parse(b []byte) (Settings, error) {
-	r := reader{s: Settings{Hosts: defaultHosts, StallTimeout: defaultStall, Drain: defaultDrain, Level: logrus.InfoLevel}}
+	r := reader{s: Settings{Hosts: defaultHosts, StallTimeout: defaultStall, DrainTimeout: defaultDrain, Level: logrus.InfoLevel}}
 	if len(b) > maxFile {
 		r.AddAt(0, 0, "the settings are larger than %d bytes", maxFile)
 		return r.s, r.Err()
@@ -147,7 +147,7 @@
 		"operators":     {Read: func(n *yaml.Node) { s.Operators = r.tokens(n) }},
 		"callers":       {Read: func(n *yaml.Node) { s.Callers = r.tokens(n) }},
 		"stall":         {Read: func(n *yaml.Node) { s.StallTimeout = r.Duration(n, minStall, maxStall) }},
-		"drain":         {Read: func(n *yaml.Node) { s.Drain = r.Duration(n, 0, maxDrain) }},
+		"drain":         {Read: func(n *yaml.Node) { s.DrainTimeout = r.Duration(n, 0, maxDrain) }},
 		"log":           {Read: r.log},
 	})
 	if secured && s.Security.Plain && len(s.Operators) == 0 && !loopback(s.OperatorAddr) {
