--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -54,8 +54,8 @@
 	// DrainTimeout bounds the time that a stopping node waits for calls in flight.
 	DrainTimeout time.Duration
 
-	JSON  bool
-	Level logrus.Level
+	LogJSON bool
+	Level   logrus.Level
 }
 
 // Platform is where the platform's service is.
@@ -241,7 +241,7 @@
 func (r *reader) log(n *yaml.Node) {
 	r.Fields(n, "log", map[string]strict.Field{
 		"format": {Read: func(n *yaml.Node) {
-			r.s.JSON = strict.Choice(&r.Reader, n, map[string]bool{"text": false, "json": true})
+			r.s.LogJSON = strict.Choice(&r.Reader, n, map[string]bool{"text": false, "json": true})
 		}},
 		"level": {Read: func(n *yaml.Node) {
 			r.s.Level = strict.Choice(&r.Reader, n, map[string]logrus.Level{
