--- a/briarrockd/main.go
+++ b/briarrockd/main.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return complain(path, err)
 	}
-	events := event.New(os.Stderr, cfg.LogJSON, cfg.Level, cfg.Host)
+	events := event.New(os.Stderr, cfg.LogJSON, cfg.LogLevel, cfg.Host)
 	log.SetFlags(0)
 	log.SetOutput(events.Writer(event.Library))
 	n, err := node.New(cfg, node.Deps{Log: events})
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -54,8 +54,8 @@
 	// DrainTimeout bounds the time that a stopping node waits for calls in flight.
 	DrainTimeout time.Duration
 
-	LogJSON bool
-	Level   logrus.Level
+	LogJSON  bool
+	LogLevel logrus.Level
 }
 
 // Platform is where the platform's service is.
@@ -108,7 +108,7 @@
 
 // Parse reads settings from YAML. Its error is strict.Mistakes.
 func Parse(b []byte) (Settings, error) {
-	r := reader{s: Settings{Hosts: defaultHosts, StallTimeout: defaultStall, DrainTimeout: defaultDrain, Level: logrus.InfoLevel}}
+	r := reader{s: Settings{Hosts: defaultHosts, StallTimeout: defaultStall, DrainTimeout: defaultDrain, LogLevel: logrus.InfoLevel}}
 	if len(b) > maxFile {
 		r.AddAt(0, 0, "the settings are larger than %d bytes", maxFile)
 		return r.s, r.Err()
@@ -244,7 +244,7 @@
 			r.s.LogJSON = strict.Choice(&r.Reader, n, map[string]bool{"text": false, "json": true})
 		}},
 		"level": {Read: func(n *yaml.Node) {
-			r.s.Level = strict.Choice(&r.Reader, n, map[string]logrus.Level{
+			r.s.LogLevel = strict.Choice(&r.Reader, n, map[string]logrus.Level{
 				"debug": logrus.DebugLevel, "info": logrus.InfoLevel,
 				"warn": logrus.WarnLevel, "error": logrus.ErrorLevel,
 			})
