--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -264,7 +264,7 @@
 		},
 		Contacts:    n.cfg.Contacts,
 		StoreRegion: n.cfg.Platform.Region,
-		Hosts:       n.cfg.Hosts,
+		Hosts:       n.cfg.ExpectedHosts,
 		HeadFed:     n.platform.Watch != nil,
 		Bootstrap:   n.platform.Bootstrap,
 	}
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -41,10 +41,10 @@
 	AdvertisedCallAddr string
 
 	Contacts []string
-	// Hosts is about how many hosts the mesh has.
-	Hosts    int
-	Platform Platform
-	Security Security
+	// ExpectedHosts is about how many hosts the mesh has.
+	ExpectedHosts int
+	Platform      Platform
+	Security      Security
 	// Operators and Callers map the SHA-256 of a token to a name.
 	Operators Tokens
 	Callers   Tokens
@@ -108,7 +108,7 @@
 
 // Parse reads settings from YAML. Its error is strict.Mistakes.
 func Parse(b []byte) (Settings, error) {
-	r := reader{s: Settings{Hosts: defaultHosts, StallTimeout: defaultStall, DrainTimeout: defaultDrain, LogLevel: logrus.InfoLevel}}
+	r := reader{s: Settings{ExpectedHosts: defaultHosts, StallTimeout: defaultStall, DrainTimeout: defaultDrain, LogLevel: logrus.InfoLevel}}
 	if len(b) > maxFile {
 		r.AddAt(0, 0, "the settings are larger than %d bytes", maxFile)
 		return r.s, r.Err()
@@ -141,7 +141,7 @@
 		"operator":      {Read: func(n *yaml.Node) { s.OperatorAddr = r.address(n) }, Need: true},
 		"announce":      {Read: func(n *yaml.Node) { s.AnnounceAddr = r.address(n) }, Need: true},
 		"contacts":      {Read: func(n *yaml.Node) { s.Contacts = r.addresses(n) }},
-		"hosts":         {Read: func(n *yaml.Node) { s.Hosts = r.Number(n, 1, maxHosts) }},
+		"hosts":         {Read: func(n *yaml.Node) { s.ExpectedHosts = r.Number(n, 1, maxHosts) }},
 		"platform":      {Read: r.platform, Need: true},
 		"security":      {Read: func(n *yaml.Node) { secured = true; r.security(n) }, Need: true},
 		"operators":     {Read: func(n *yaml.Node) { s.Operators = r.tokens(n) }},
