--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -173,7 +173,7 @@
 	here := Place{cfg.Domain, cfg.Region}
 	deps := node.Deps{Log: log, HTTP1: m.Spec.HTTP1, Dial: m.dialFrom(here)}
 	if m.Spec.Used != nil {
-		deps.Used = func(version uint64) { m.Spec.Used(cfg.Host, version) }
+		deps.OnVersion = func(version uint64) { m.Spec.Used(cfg.Host, version) }
 	}
 	n, err := node.New(cfg, deps)
 	if err != nil {
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -53,8 +53,8 @@
 	Metrics *metrics.Set
 	// Dial, if set, opens the connections to peers and to the platform.
 	Dial relay.DialFunc
-	// Used, if set, is told of each version that callers are served by.
-	Used func(version uint64)
+	// OnVersion, if set, is told of each version that callers are served by.
+	OnVersion func(version uint64)
 }
 
 // Node is one running node. New makes one.
@@ -111,7 +111,7 @@
 	if st == nil {
 		st = platform.NewHTTP(storeClient(d.Dial), cfg.Platform.URL, cfg.Platform.Token)
 	}
-	n.used = d.Used
+	n.used = d.OnVersion
 	if d.Platform != nil {
 		n.platform = *d.Platform
 	}
