--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -338,7 +338,7 @@
 func (m *Mesh) Joined(timeout time.Duration) error {
 	return Until(timeout, func() bool {
 		for _, n := range m.Nodes {
-			if n.Known() < len(m.Nodes) {
+			if n.LiveMembers() < len(m.Nodes) {
 				return false
 			}
 		}
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -202,7 +202,7 @@
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.wg.Go(n.keepClaims)
 	n.metrics.GetOrCreateGauge("briarrock_version", func() float64 { return float64(n.Version()) })
-	n.metrics.GetOrCreateGauge("briarrock_members", func() float64 { return float64(n.Known()) })
+	n.metrics.GetOrCreateGauge("briarrock_members", func() float64 { return float64(n.LiveMembers()) })
 	n.serveAll(d)
 	if watch := n.platform.Watch; watch != nil {
 		n.wg.Go(func() { watch(n.ctx, n.follow) })
@@ -332,7 +332,7 @@
 	if n.proxy.Table() == nil || n.leaving.Load() {
 		return false
 	}
-	return n.platform.Watch == nil || n.Known() > 1 || time.Since(n.startedAt) > alone
+	return n.platform.Watch == nil || n.LiveMembers() > 1 || time.Since(n.startedAt) > alone
 }
 
 // Version is the version that callers are served by; 0 before the first.
@@ -405,8 +405,8 @@
 	return "", errors.New("node: no token or certificate of an operator")
 }
 
-// Known returns how many live members the node knows, itself included.
-func (n *Node) Known() int {
+// LiveMembers returns how many live members the node knows, itself included.
+func (n *Node) LiveMembers() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.members)
