--- a/bench/calls.go
+++ b/bench/calls.go
@@ -69,7 +69,7 @@
 	}
 	return errors.Wrap(local.Until(joinWithin, func() bool {
 		for _, n := range m.Nodes {
-			if n.Upstreams(callService) < len(m.Nodes)/len(m.Spec.Services) {
+			if n.LiveTargets(callService) < len(m.Nodes)/len(m.Spec.Services) {
 				return false
 			}
 		}
--- a/briarrock/demo/demo.go
+++ b/briarrock/demo/demo.go
@@ -168,7 +168,7 @@
 	service, path := d.route()
 	if err := local.Until(joinTimeout, func() bool {
 		for _, n := range d.mesh.Nodes {
-			if n.Upstreams(service) < len(d.mesh.Spec.Places) {
+			if n.LiveTargets(service) < len(d.mesh.Spec.Places) {
 				return false
 			}
 		}
@@ -207,7 +207,7 @@
 	service, _ := d.route()
 	var n *local.Node
 	for _, x := range d.mesh.Nodes {
-		if x.Upstreams(service) > 0 && x.Target != nil && x.Target.Service() == service {
+		if x.LiveTargets(service) > 0 && x.Target != nil && x.Target.Service() == service {
 			n = x
 			break
 		}
@@ -215,7 +215,7 @@
 	if n == nil {
 		return errors.New("no target to drain")
 	}
-	before := n.Upstreams(service)
+	before := n.LiveTargets(service)
 	n.Target.Drain()
 	if err := n.Target.AnnounceOnce(ctx, "http://"+n.Cfg.AnnounceAddr); err != nil {
 		return errors.WithStack(err)
@@ -223,7 +223,7 @@
 	began := time.Now()
 	err := local.Until(drainTimeout, func() bool {
 		for _, x := range d.mesh.Nodes {
-			if x.Upstreams(service) >= before {
+			if x.LiveTargets(service) >= before {
 				return false
 			}
 		}
--- a/briarrock/local/call_test.go
+++ b/briarrock/local/call_test.go
@@ -79,7 +79,7 @@
 func waitUpstreams(c *qt.C, m *local.Mesh, n int) {
 	c.Assert(local.Until(patience, func() bool {
 		for _, x := range m.Nodes {
-			if x.Upstreams("orderdesk") != n {
+			if x.LiveTargets("orderdesk") != n {
 				return false
 			}
 		}
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -412,8 +412,8 @@
 	return len(n.members)
 }
 
-// Upstreams returns how many targets the node knows of a service.
-func (n *Node) Upstreams(service string) int {
+// LiveTargets returns how many targets the node knows of a service.
+func (n *Node) LiveTargets(service string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
