--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -213,8 +213,8 @@
 func (n *Node) serveAll(d Deps) {
 	plain := d.HTTP1 && n.keys == nil
 	var fromCallers http.Handler = n.proxy
-	if n.platform.Callers != nil {
-		fromCallers = n.platform.Callers(n.proxy)
+	if n.platform.WrapCallers != nil {
+		fromCallers = n.platform.WrapCallers(n.proxy)
 	}
 	announcements := n.targets.Announcements()
 	if n.platform.Announcements != nil {
--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -18,8 +18,8 @@
 	// Watch looks at the platform when it is this node's turn, until ctx ends.
 	// The node then reads no versions by itself.
 	Watch func(ctx context.Context, f *Follow)
-	// Callers wraps the handler of callers' requests.
-	Callers func(http.Handler) http.Handler
+	// WrapCallers wraps the handler of callers' requests.
+	WrapCallers func(http.Handler) http.Handler
 	// Targets wraps the connections to targets.
 	Targets func(http.RoundTripper) http.RoundTripper
 	// Belongs tells whether a target's answer is the one to a request.
