--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -20,8 +20,8 @@
 	Watch func(ctx context.Context, f *Follow)
 	// WrapCallers wraps the handler of callers' requests.
 	WrapCallers func(http.Handler) http.Handler
-	// Targets wraps the connections to targets.
-	Targets func(http.RoundTripper) http.RoundTripper
+	// WrapTargets wraps the connections to targets.
+	WrapTargets func(http.RoundTripper) http.RoundTripper
 	// Belongs tells whether a target's answer is the one to a request.
 	Belongs func(req *http.Request, res *http.Response) bool
 	// Announcements makes the handler of targets' announcements.
