--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -22,8 +22,8 @@
 	WrapCallers func(http.Handler) http.Handler
 	// WrapTargets wraps the connections to targets.
 	WrapTargets func(http.RoundTripper) http.RoundTripper
-	// Belongs tells whether a target's answer is the one to a request.
-	Belongs func(req *http.Request, res *http.Response) bool
+	// AnswersRequest tells whether a target's answer is the one to a request.
+	AnswersRequest func(req *http.Request, res *http.Response) bool
 	// Announcements makes the handler of targets' announcements.
 	Announcements func(*target.Targets) http.Handler
 	// Caller is the name of all callers at this node; empty if they name
