--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -233,7 +233,7 @@
 // callerName returns how callers are known: by a token, where the settings
 // list them, or else by what they call themselves.
 func (n *Node) callerName() func(h http.Header) (string, bool) {
-	if name := n.platform.Caller; name != "" {
+	if name := n.platform.CallerName; name != "" {
 		return func(http.Header) (string, bool) { return name, true }
 	}
 	if len(n.cfg.Callers) == 0 {
--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -26,9 +26,9 @@
 	AnswersRequest func(req *http.Request, res *http.Response) bool
 	// Announcements makes the handler of targets' announcements.
 	Announcements func(*target.Targets) http.Handler
-	// Caller is the name of all callers at this node; empty if they name
+	// CallerName is the name of all callers at this node; empty if they name
 	// themselves.
-	Caller string
+	CallerName string
 	// Silent is how long a target may be silent before it is taken for gone.
 	Silent time.Duration
 	// Lame is how long a stopping node still serves its callers, until they
