--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -29,8 +29,8 @@
 	// CallerName is the name of all callers at this node; empty if they name
 	// themselves.
 	CallerName string
-	// Silent is how long a target may be silent before it is taken for gone.
-	Silent time.Duration
+	// SilenceTimeout is how long a target may be silent before it is taken for gone.
+	SilenceTimeout time.Duration
 	// Lame is how long a stopping node still serves its callers, until they
 	// have been sent elsewhere; 0 for the usual time.
 	Lame time.Duration
