--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -31,9 +31,9 @@
 	CallerName string
 	// SilenceTimeout is how long a target may be silent before it is taken for gone.
 	SilenceTimeout time.Duration
-	// Lame is how long a stopping node still serves its callers, until they
+	// LameDuck is how long a stopping node still serves its callers, until they
 	// have been sent elsewhere; 0 for the usual time.
-	Lame time.Duration
+	LameDuck time.Duration
 	// Bootstrap is set when the whole mesh starts for the first time.
 	Bootstrap bool
 	// Link is the bandwidth of the host's link in bytes a second; 0 if unknown.
--- a/briarrockd/node/stop.go
+++ b/briarrockd/node/stop.go
@@ -32,7 +32,7 @@
 	for _, s := range n.servers {
 		s.Drain()
 	}
-	platform.Pause(ctx, max(lame, n.platform.Lame)-handOver)
+	platform.Pause(ctx, max(lame, n.platform.LameDuck)-handOver)
 	n.targets.Drain()
 	n.peers.Tell(peer.Leave{})
 	platform.Pause(ctx, handOver)
