--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -177,7 +177,7 @@
 		Crashed:   func(c peer.Crashed) { n.tell(c) },
 		Suspicion: n.suspicion,
 		Log:       n.log, Metrics: n.metrics, Stall: n.cfg.StallTimeout,
-		Dialect: n.platform.WrapTargets, Belongs: n.platform.AnswersRequest, Silent: n.platform.SilenceTimeout, Link: n.platform.Link, NoTurns: n.platform.CallerName != "",
+		Dialect: n.platform.WrapTargets, Belongs: n.platform.AnswersRequest, Silent: n.platform.SilenceTimeout, Link: n.platform.LinkBytesPerSecond, NoTurns: n.platform.CallerName != "",
 	})
 	n.claims = claim.New(claim.Deps{Store: st, Log: n.log, Host: n.cfg.Host, Metrics: n.metrics, Forward: n.handClaims})
 	n.transport = n.newTransport(d.HTTP1, d.Dial)
--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -36,8 +36,8 @@
 	LameDuck time.Duration
 	// Bootstrap is set when the whole mesh starts for the first time.
 	Bootstrap bool
-	// Link is the bandwidth of the host's link in bytes a second; 0 if unknown.
-	Link float64
+	// LinkBytesPerSecond is the bandwidth of the host's link in bytes a second; 0 if unknown.
+	LinkBytesPerSecond float64
 	// Files is how many descriptors the process may have open; 0 if unknown.
 	Files int
 	// Retries is how many retries all nodes together may have saved up.
