--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -77,7 +77,7 @@
 )
 
 func (n *Node) maxConns(name string) int {
-	most, files := maxConns[name], n.platform.Files
+	most, files := maxConns[name], n.platform.MaxFiles
 	switch {
 	case files == 0:
 		return most
--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -38,8 +38,8 @@
 	Bootstrap bool
 	// LinkBytesPerSecond is the bandwidth of the host's link in bytes a second; 0 if unknown.
 	LinkBytesPerSecond float64
-	// Files is how many descriptors the process may have open; 0 if unknown.
-	Files int
+	// MaxFiles is how many descriptors the process may have open; 0 if unknown.
+	MaxFiles int
 	// Retries is how many retries all nodes together may have saved up.
 	Retries float64
 }
