--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -287,8 +287,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.members = p.Members
-	if n.platform.Retries > 0 {
-		n.budget.Share(n.platform.Retries, len(p.Members))
+	if n.platform.RetryBudget > 0 {
+		n.budget.Share(n.platform.RetryBudget, len(p.Members))
 	}
 	n.retable()
 }
--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -40,8 +40,8 @@
 	LinkBytesPerSecond float64
 	// MaxFiles is how many descriptors the process may have open; 0 if unknown.
 	MaxFiles int
-	// Retries is how many retries all nodes together may have saved up.
-	Retries float64
+	// RetryBudget is how many retries all nodes together may have saved up.
+	RetryBudget float64
 }
 
 // Version is one version of the configuration as the platform holds it.
