--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -51,7 +51,7 @@
 	// LogPosition is the position in the platform's record of changes up to which this
 	// is the newest, At the time of the look.
 	LogPosition uint64
-	At          time.Time
+	ReadAt      time.Time
 }
 
 // limits are the bounds for callers of the version in use.
@@ -117,7 +117,7 @@
 		f.log.Emit(event.VersionRefused, event.Fields{event.Subject: "platform", "version": v.Number, "error": err.Error()})
 		return
 	}
-	f.tell(peer.Committed{Version: v.Number, Hash: snapshot.Sum(b), Content: b, Seen: v.LogPosition, At: v.At})
+	f.tell(peer.Committed{Version: v.Number, Hash: snapshot.Sum(b), Content: b, Seen: v.LogPosition, At: v.ReadAt})
 }
 
 // Failed says that a look had no answer.
