--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -74,7 +74,7 @@
 	transport transport
 	budget    *caller.Budget
 	platform  Platform
-	follow    *Watcher
+	follow    *WatchHandle
 	wg        sync.WaitGroup
 
 	// mu guards what the next table is made of.
--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -17,7 +17,7 @@
 type Platform struct {
 	// Watch looks at the platform when it is this node's turn, until ctx ends.
 	// The node then reads no versions by itself.
-	Watch func(ctx context.Context, f *Watcher)
+	Watch func(ctx context.Context, f *WatchHandle)
 	// WrapCallers wraps the handler of callers' requests.
 	WrapCallers func(http.Handler) http.Handler
 	// WrapTargets wraps the connections to targets.
@@ -66,8 +66,8 @@
 	n.log.Emit(event.Panicked, event.Fields{"panic": v, "stack": string(stack)})
 }
 
-// Watcher is a node's side of its watch of the platform.
-type Watcher struct {
+// WatchHandle is a node's side of its watch of the platform.
+type WatchHandle struct {
 	tell func(peer.Msg)
 	log  *event.Log
 
@@ -76,12 +76,12 @@
 	changed chan struct{} // closed when turn changes
 }
 
-func newFollow(tell func(peer.Msg), log *event.Log) *Watcher {
-	return &Watcher{tell: tell, log: log, changed: make(chan struct{})}
+func newFollow(tell func(peer.Msg), log *event.Log) *WatchHandle {
+	return &WatchHandle{tell: tell, log: log, changed: make(chan struct{})}
 }
 
 // set takes the Core's decision.
-func (f *Watcher) set(w peer.Watch) {
+func (f *WatchHandle) set(w peer.Watch) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.turn = w
@@ -92,7 +92,7 @@
 
 // Turn waits until this node is to look at the platform, and says how. It
 // returns false when ctx ends.
-func (f *Watcher) Turn(ctx context.Context) (peer.Watch, bool) {
+func (f *WatchHandle) Turn(ctx context.Context) (peer.Watch, bool) {
 	for {
 		f.mu.Lock()
 		turn, changed := f.turn, f.changed
@@ -111,7 +111,7 @@
 }
 
 // Tell passes on a version that was found.
-func (f *Watcher) Tell(v Version) {
+func (f *WatchHandle) Tell(v Version) {
 	b, err := snapshot.Encode(v.Snapshot)
 	if err != nil {
 		f.log.Emit(event.VersionRefused, event.Fields{event.Subject: "platform", "version": v.Number, "error": err.Error()})
@@ -121,7 +121,7 @@
 }
 
 // Failed says that a look had no answer.
-func (f *Watcher) Failed() { f.tell(peer.PollFailed{}) }
+func (f *WatchHandle) Failed() { f.tell(peer.PollFailed{}) }
 
 // Polled says that a poll found nothing newer than what was told.
-func (f *Watcher) Polled(l peer.Polled) { f.tell(l) }
+func (f *WatchHandle) Polled(l peer.Polled) { f.tell(l) }
