--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -90,9 +90,9 @@
 	f.log.Emit(event.WatchTurn, event.Fields{"on": w.On, "spare": w.Spare, "seen": w.Seen, "wait": w.Wait.Milliseconds()})
 }
 
-// Turn waits until this node is to look at the platform, and says how. It
+// WaitForTurn waits until this node is to look at the platform, and says how. It
 // returns false when ctx ends.
-func (f *WatchHandle) Turn(ctx context.Context) (peer.Watch, bool) {
+func (f *WatchHandle) WaitForTurn(ctx context.Context) (peer.Watch, bool) {
 	for {
 		f.mu.Lock()
 		turn, changed := f.turn, f.changed
