--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Tell passes on a version that was found.
-func (f *WatchHandle) Tell(v Version) {
+// ReportVersion passes on a version that was found.
+func (f *WatchHandle) ReportVersion(v Version) {
 	b, err := snapshot.Encode(v.Snapshot)
 	if err != nil {
 		f.log.Emit(event.VersionRefused, event.Fields{event.Subject: "platform", "version": v.Number, "error": err.Error()})
