--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -120,8 +120,8 @@
 	f.tell(peer.Committed{Version: v.Number, Hash: snapshot.Sum(b), Content: b, Seen: v.LogPosition, At: v.ReadAt})
 }
 
-// Failed says that a look had no answer.
-func (f *WatchHandle) Failed() { f.tell(peer.PollFailed{}) }
+// ReportFailure says that a look had no answer.
+func (f *WatchHandle) ReportFailure() { f.tell(peer.PollFailed{}) }
 
 // Polled says that a poll found nothing newer than what was told.
 func (f *WatchHandle) Polled(l peer.Polled) { f.tell(l) }
