--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -123,5 +123,5 @@
 // ReportFailure says that a look had no answer.
 func (f *WatchHandle) ReportFailure() { f.tell(peer.PollFailed{}) }
 
-// Polled says that a poll found nothing newer than what was told.
-func (f *WatchHandle) Polled(l peer.Polled) { f.tell(l) }
+// ReportUnchanged says that a poll found nothing newer than what was told.
+func (f *WatchHandle) ReportUnchanged(l peer.Polled) { f.tell(l) }
