--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -41,12 +41,12 @@
 
 // Bounds of claims.
 const (
-	// MaxKey bounds an idempotency key, in bytes.
-	MaxKey = 255
-	// MaxBody bounds the part of an answer that is kept for a replay.
-	MaxBody = 16 << 10
-	// KeepDays is for how many whole days a key is remembered.
-	KeepDays = 1
+	// MaxKeyBytes bounds an idempotency key, in bytes.
+	MaxKeyBytes = 255
+	// MaxBodyBytes bounds the part of an answer that is kept for a replay.
+	MaxBodyBytes = 16 << 10
+	// RetentionDays is for how many whole days a key is remembered.
+	RetentionDays = 1
 	// within bounds the decision on one claim.
 	within = 3 * time.Second
 	// finishWithin bounds the attempts to keep an outcome.
@@ -59,10 +59,10 @@
 
 // The verdicts.
 const (
-	Unsure Verdict = iota
+	Undecided Verdict = iota
 	Run
 	Replay
-	Repeat
+	OutcomeUnknown
 	Conflict
 )
 
@@ -70,18 +70,18 @@
 type Request struct {
 	Service string
 	Key     string
-	// Print tells requests apart: the same key with another print is another
+	// Fingerprint tells requests apart: the same key with another print is another
 	// request.
-	Print uint64
+	Fingerprint uint64
 }
 
 // Outcome is an answer that is kept for a replay.
 type Outcome struct {
-	Status int    `json:"status"`
-	Type   string `json:"type,omitempty"`
-	Body   []byte `json:"body,omitempty"`
-	// Cut is set when the body was larger than MaxBody and is not kept.
-	Cut bool `json:"cut,omitempty"`
+	Status      int    `json:"status"`
+	ContentType string `json:"type,omitempty"`
+	Body        []byte `json:"body,omitempty"`
+	// BodyOmitted is set when the body was larger than MaxBody and is not kept.
+	BodyOmitted bool `json:"cut,omitempty"`
 }
 
 // row is the value of a claim in the table.
@@ -167,9 +167,9 @@
 // burst is how many transactions a node may do at once after a quiet time.
 const burst = 20
 
-// Share sets this node's part of TransactionsPerSecond, as one of n nodes that
+// SetCommitters sets this node's part of TransactionsPerSecond, as one of n nodes that
 // commit claims.
-func (c *Claims) Share(n int) {
+func (c *Claims) SetCommitters(n int) {
 	c.pace.SetLimit(rate.Limit(TransactionsPerSecond) / rate.Limit(max(n, 1)))
 }
 
@@ -197,7 +197,7 @@
 	now := time.Now().UTC()
 	cl := &Claim{
 		key: rowKey(now, 0, r),
-		row: row{ID: newID(), Print: r.Print, Host: c.host},
+		row: row{ID: newID(), Print: r.Fingerprint, Host: c.host},
 	}
 	value, err := json.Marshal(cl.row)
 	if err != nil {
@@ -214,7 +214,7 @@
 		c.release(cl, false)
 		return Decision{}
 	}
-	return decide(cl, f, r.Print)
+	return decide(cl, f, r.Fingerprint)
 }
 
 func decide(cl *Claim, f found, mark uint64) Decision {
@@ -225,10 +225,10 @@
 		return Decision{Verdict: Run, Claim: cl}
 	case f.row.Print != mark:
 		return Decision{Verdict: Conflict}
-	case f.row.Outcome != nil && !f.row.Outcome.Cut:
+	case f.row.Outcome != nil && !f.row.Outcome.BodyOmitted:
 		return Decision{Verdict: Replay, Outcome: *f.row.Outcome}
 	default:
-		return Decision{Verdict: Repeat}
+		return Decision{Verdict: OutcomeUnknown}
 	}
 }
 
@@ -270,8 +270,8 @@
 // claims. That is safe, and stays safe when it is done twice, since the row
 // of a request that has run is never deleted or taken over by anybody.
 func (c *Claims) Finish(cl *Claim, o Outcome) {
-	if len(o.Body) > MaxBody {
-		o.Body, o.Cut = nil, true
+	if len(o.Body) > MaxBodyBytes {
+		o.Body, o.BodyOmitted = nil, true
 	}
 	done := cl.row
 	done.Outcome = &o
@@ -370,8 +370,8 @@
 	return []string{rowKey(now, 0, r), rowKey(now, -1, r), rowKey(now, 1, r)}
 }
 
-// Print is the fingerprint of a request.
-func Print(service, method, target string, length int64, start []byte) uint64 {
+// Fingerprint is the fingerprint of a request.
+func Fingerprint(service, method, target string, length int64, start []byte) uint64 {
 	d := xxhash.New()
 	_, _ = fmt.Fprintf(d, "%s\x00%s\x00%s\x00%d\x00", service, method, target, length)
 	_, _ = d.Write(start)
--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -20,24 +20,24 @@
 // any node may gather, two may at once, and if the one that was asked does not
 // answer, the claim is as one whose answer the platform lost.
 
-// Order is a claim that is handed on.
-type Order struct {
+// ForwardedWrite is a claim that is handed on.
+type ForwardedWrite struct {
 	ID     string   `cbor:"1,keyasint"`
 	Key    string   `cbor:"2,keyasint"`
 	Value  []byte   `cbor:"3,keyasint"`
 	Absent []string `cbor:"4,keyasint,omitempty"`
-	// Late is set for an outcome. It is answered as soon as it is in line: if
+	// IsOutcome is set for an outcome. It is answered as soon as it is in line: if
 	// the gathering node dies with it, a repeat is told that the outcome isn't
 	// known, which is true.
-	Late bool `cbor:"5,keyasint,omitempty"`
+	IsOutcome bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Result is what became of an Order.
-type Result struct {
-	Ours   bool   `cbor:"1,keyasint,omitempty"`
-	Held   []byte `cbor:"2,keyasint,omitempty"` // the row that was there, if not ours
-	Unsure bool   `cbor:"3,keyasint,omitempty"`
-	Maybe  bool   `cbor:"4,keyasint,omitempty"`
+// ForwardedResult is what became of an Order.
+type ForwardedResult struct {
+	Applied   bool   `cbor:"1,keyasint,omitempty"`
+	Row       []byte `cbor:"2,keyasint,omitempty"` // the row that was there, if not ours
+	Undecided bool   `cbor:"3,keyasint,omitempty"`
+	MayApply  bool   `cbor:"4,keyasint,omitempty"`
 }
 
 // Forward sends encoded orders to the node that gathers, and returns the
@@ -45,11 +45,11 @@
 // any other error if the orders may have been sent.
 type Forward func(ctx context.Context, orders []byte) ([]byte, error)
 
-// ErrHere says that claims are committed by this node itself.
-var ErrHere = errors.New("claim: commit here")
+// ErrCommitLocally says that claims are committed by this node itself.
+var ErrCommitLocally = errors.New("claim: commit here")
 
-// ErrOrders says that bytes from a peer are no orders or results.
-var ErrOrders = errors.New("claim: malformed orders")
+// ErrMalformed says that bytes from a peer are no orders or results.
+var ErrMalformed = errors.New("claim: malformed orders")
 
 // handOn hands a batch to the node that gathers, or commits it here.
 func (c *Claims) handOn(batch []*pending) {
@@ -57,7 +57,7 @@
 	defer cancel()
 	results, err := c.ask(ctx, batch)
 	switch {
-	case errors.Is(err, ErrHere):
+	case errors.Is(err, ErrCommitLocally):
 		for _, p := range batch {
 			enqueue(c.queueOf(p), p)
 		}
@@ -70,47 +70,47 @@
 	}
 }
 
-func (c *Claims) ask(ctx context.Context, batch []*pending) ([]Result, error) {
-	orders := make([]Order, 0, len(batch))
+func (c *Claims) ask(ctx context.Context, batch []*pending) ([]ForwardedResult, error) {
+	orders := make([]ForwardedWrite, 0, len(batch))
 	for _, p := range batch {
-		orders = append(orders, Order{p.id, p.write.Key, p.write.Value, p.absent, p.late})
+		orders = append(orders, ForwardedWrite{p.id, p.write.Key, p.write.Value, p.absent, p.late})
 	}
 	b, err := codec.Encode(orders)
 	if err != nil {
-		return nil, ErrHere
+		return nil, ErrCommitLocally
 	}
 	answer, err := c.forward(ctx, b)
 	if err != nil {
 		return nil, err
 	}
-	var results []Result
+	var results []ForwardedResult
 	if err := codec.Decode(answer, &results); err != nil || len(results) != len(batch) {
-		return nil, ErrOrders
+		return nil, ErrMalformed
 	}
 	return results, nil
 }
 
-func (r Result) found() found {
-	f := found{ours: r.Ours, unsure: r.Unsure, maybe: r.Maybe}
-	if !r.Ours && !r.Unsure && json.Unmarshal(r.Held, &f.row) != nil {
+func (r ForwardedResult) found() found {
+	f := found{ours: r.Applied, unsure: r.Undecided, maybe: r.MayApply}
+	if !r.Applied && !r.Undecided && json.Unmarshal(r.Row, &f.row) != nil {
 		return found{unsure: true, maybe: true}
 	}
 	return f
 }
 
-// Serve commits orders of other nodes of the domain, together with this
+// CommitForwarded commits orders of other nodes of the domain, together with this
 // node's own, and returns the encoded results.
-func (c *Claims) Serve(ctx context.Context, b []byte) ([]byte, error) {
-	var orders []Order
+func (c *Claims) CommitForwarded(ctx context.Context, b []byte) ([]byte, error) {
+	var orders []ForwardedWrite
 	if err := codec.Decode(b, &orders); err != nil || len(orders) > batchMost {
-		return nil, ErrOrders
+		return nil, ErrMalformed
 	}
 	for _, o := range orders {
 		if !o.valid() {
-			return nil, ErrOrders
+			return nil, ErrMalformed
 		}
 	}
-	results := make([]Result, len(orders))
+	results := make([]ForwardedResult, len(orders))
 	var wg sync.WaitGroup
 	for i, o := range orders {
 		wg.Go(func() { results[i] = c.serve(ctx, o) })
@@ -120,7 +120,7 @@
 }
 
 // valid bounds an order: whatever a peer asks for, it writes claims only.
-func (o Order) valid() bool {
+func (o ForwardedWrite) valid() bool {
 	ok := isClaim(o.Key) && len(o.Value) > 0 && len(o.Value) <= platform.MaxValue && len(o.Absent) <= maxAbsent
 	for _, key := range o.Absent {
 		ok = ok && isClaim(key)
@@ -135,25 +135,25 @@
 	return len(key) <= platform.MaxKey && len(key) > len(Prefix) && key[:len(Prefix)] == Prefix
 }
 
-func (c *Claims) serve(ctx context.Context, o Order) Result {
+func (c *Claims) serve(ctx context.Context, o ForwardedWrite) ForwardedResult {
 	p := &pending{
 		write: platform.Write{Key: o.Key, Value: o.Value}, absent: o.Absent, id: o.ID,
-		decided: make(chan found, 1), late: o.Late,
+		decided: make(chan found, 1), late: o.IsOutcome,
 	}
 	enqueue(c.queueOf(p), p)
-	if o.Late && len(p.decided) == 0 {
-		return Result{Ours: true}
+	if o.IsOutcome && len(p.decided) == 0 {
+		return ForwardedResult{Applied: true}
 	}
 	select {
 	case f := <-p.decided:
-		r := Result{Ours: f.ours, Unsure: f.unsure, Maybe: f.maybe}
+		r := ForwardedResult{Applied: f.ours, Undecided: f.unsure, MayApply: f.maybe}
 		if !f.ours && !f.unsure {
-			r.Held, _ = json.Marshal(f.row)
+			r.Row, _ = json.Marshal(f.row)
 		}
 		return r
 	case <-ctx.Done():
-		return Result{Unsure: true, Maybe: true}
+		return ForwardedResult{Undecided: true, MayApply: true}
 	case <-c.done:
-		return Result{Unsure: true, Maybe: true}
+		return ForwardedResult{Undecided: true, MayApply: true}
 	}
 }
--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -77,7 +77,7 @@
 )
 
 func (n *Node) maxConns(name string) int {
-	most, files := maxConns[name], n.platform.Files
+	most, files := maxConns[name], n.platform.MaxFiles
 	switch {
 	case files == 0:
 		return most
@@ -155,7 +155,7 @@
 	if n.keys == nil {
 		return nil
 	}
-	return n.keys.Server()
+	return n.keys.ServerConfig()
 }
 
 func (n *Node) peerKeys() peer.Keys {
@@ -163,8 +163,8 @@
 		return peer.Keys{}
 	}
 	return peer.Keys{
-		Server: n.keys.Server, Client: n.keys.Client,
-		Peer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
+		Server: n.keys.ServerConfig, Client: n.keys.ClientConfig,
+		Peer: func(cs tls.ConnectionState) (string, error) { return keys.PeerName(cs, keys.Node) },
 	}
 }
 
@@ -174,7 +174,7 @@
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, err := keys.Name(*r.TLS, keys.Node); err != nil {
+		if _, err := keys.PeerName(*r.TLS, keys.Node); err != nil {
 			n.log.Emit(event.PeerRefused, event.Fields{event.Subject: r.RemoteAddr, "error": err.Error()})
 			relay.WriteFailure(w, kind.Caller, kind.RanNo, 0)
 			return
@@ -217,7 +217,7 @@
 		if err != nil {
 			return nil, err
 		}
-		conf := n.keys.Client()
+		conf := n.keys.ClientConfig()
 		if !own {
 			conf.NextProtos = []string{"h2"}
 		}
@@ -233,7 +233,7 @@
 // callerName returns how callers are known: by a token, where the settings
 // list them, or else by what they call themselves.
 func (n *Node) callerName() func(h http.Header) (string, bool) {
-	if name := n.platform.Caller; name != "" {
+	if name := n.platform.CallerName; name != "" {
 		return func(http.Header) (string, bool) { return name, true }
 	}
 	if len(n.cfg.Callers) == 0 {
