--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -1,18 +1,19 @@
-// Package relay carries one HTTP exchange from one connection to another, as
-// a stream in both directions, and knows at each failure how far it came.
+// Package relay forwards one HTTP exchange from an incoming connection to an
+// outgoing one, streams the bodies in both directions, and reports for each
+// failure whether any byte of the request was sent.
 //
-// Both halves of a call's way use it: the node at the entry, towards the
-// target's node, and the target's node, towards the target.
+// Both hops of a call use it: the entry node, which forwards to the target's
+// node, and the target's node, which forwards to the target.
 //
 //	res, out := relay.Send(ctx, relay.Call{In: r, URL: url, Transport: tr, Body: body})
 //	if out.Kind != kind.None {
-//		// out.Kind says what failed and out.Sent whether any byte went out
+//		// out.Kind is the failure; out.Sent reports whether any byte was sent
 //	}
-//	out = relay.Answer(w, res, stall)
+//	out = relay.CopyResponse(w, res, stallTimeout)
 //
-// Send never sends twice: a request that failed is the caller's to retry.
-// Sent is measured, not guessed: the connection counts the bytes written, and
-// only if it wrote none did the request provably not run.
+// Send makes one attempt; retries are up to its caller. Outcome.Sent is measured:
+// the connection counts the bytes written to it, and only if it wrote none is it
+// certain that the request was not executed.
 package relay
 
 import (
@@ -34,69 +35,75 @@
 	"briarrock.example/mesh/kind"
 )
 
-// Causes by which this package cancels an exchange.
+// Causes with which this package cancels the context of an exchange.
 var (
-	ErrStall    = errors.New("relay: no byte moved for too long")
-	ErrDeadline = errors.New("relay: deadline")
+	// ErrStall is the cause if no body bytes were transferred within the stall timeout.
+	ErrStall = errors.New("relay: no body bytes transferred within the stall timeout")
+	// ErrDeadline is the cause if no response headers were received before Call.Deadline.
+	ErrDeadline = errors.New("relay: no response headers before the deadline")
 )
 
-// HeaderPrefix begins each header that nodes use among themselves or towards
-// callers. Nothing with this prefix passes through from outside.
+// HeaderPrefix is the prefix of all headers that nodes send to each other or to
+// callers. Headers with this prefix are removed from forwarded requests and
+// responses, so that nobody else can set them.
 const HeaderPrefix = "Briarrock-"
 
-// HeaderSeal is the one exception: a target's proof that an answer is its own,
-// which passes to the caller as it is.
+// HeaderSeal is the only exception: it carries a target's signature of its
+// response, and is forwarded to the caller unchanged.
 const HeaderSeal = HeaderPrefix + "Seal"
 
-// Call is one exchange to be sent.
+// Call describes one request to forward.
 type Call struct {
-	// In is the request as it came in.
+	// In is the incoming request.
 	In *http.Request
-	// URL is where to send it.
+	// URL is the URL to send the request to.
 	URL *url.URL
-	// Host is the Host header to send.
+	// Host is the value of the Host header to send.
 	Host string
-	// ExtraHeader are headers to set, after the hop's own were removed.
+	// ExtraHeader has headers to set on the outgoing request, after the hop-by-hop
+	// headers were removed.
 	ExtraHeader http.Header
-	// Body is what to send; nil for none.
+	// Body is the body to send; nil for none.
 	Body io.Reader
-	// ContentLength is the number of bytes in Body, -1 if not known.
+	// ContentLength is the number of bytes in Body, -1 if unknown.
 	ContentLength int64
-	// Transport sends. Its connections must come from Dialer.
+	// Transport sends the request. Its connections must be opened by Dialer.
 	Transport http.RoundTripper
-	// StallTimeout bounds the time without a byte moving while Body is sent.
+	// StallTimeout is the longest time between two reads of Body.
 	StallTimeout time.Duration
-	// Once is set for a request that must not be sent twice by anybody.
+	// Once is set for a request that must be sent at most once, which also forbids
+	// retries inside Transport.
 	Once bool
-	// Deadline is when the answer's head must be there.
+	// Deadline is the time until which the response headers must be received.
 	Deadline time.Time
-	// ForwardAfterBody is set for a request of which the other side passes nothing on before
-	// it has asked for the body and got it. It has not been sent as long as nothing of
-	// the body has.
+	// ForwardAfterBody is set if the next hop forwards the request only after it has
+	// sent 100 Continue and received the body. Until the first byte of the body is
+	// read for sending, such a request counts as not sent.
 	ForwardAfterBody bool
-	// Streamed is set for a body whose sending may take any time as long as
-	// it moves: the time until Deadline then counts from the body's end.
+	// Streamed is set for a body that may take any time to send as long as it does
+	// not stall. The time until Deadline then starts at the end of the body.
 	Streamed bool
 }
 
-// MaxBufferedBody bounds the bodies that are sent as one piece; larger ones, and
-// those of unknown length, are streamed.
+// MaxBufferedBody is the size in bytes up to which a request body is buffered.
+// Larger bodies, and those of unknown length, are streamed.
 const MaxBufferedBody = 64 << 10
 
-// MaxBufferedResponse bounds the answers that are read whole before any of them is passed
-// on. One that breaks off then costs no connection, the request can still be
-// sent again, and its caller gets a clear failure.
+// MaxBufferedResponse is the size in bytes up to which a response body is buffered
+// before it is forwarded. If a buffered response is truncated, the connection to
+// the caller stays open, the request can still be retried, and the caller
+// gets an error response.
 const MaxBufferedResponse = 64 << 10
 
-// IsStreamed tells whether a request's body is streamed.
+// IsStreamed reports whether the body of a request is streamed instead of buffered.
 func IsStreamed(r *http.Request) bool {
 	return r.ContentLength < 0 || r.ContentLength > MaxBufferedBody
 }
 
-// ReadBody reads a request's body of known length into memory. A body that has not come
-// within the given time is closed, and the read fails.
-func ReadBody(r *http.Request, within time.Duration) ([]byte, error) {
-	timer := time.AfterFunc(within, func() { _ = r.Body.Close() })
+// ReadBody reads a request body of known length into memory. If the body is not
+// complete within timeout, it is closed and an error is returned.
+func ReadBody(r *http.Request, timeout time.Duration) ([]byte, error) {
+	timer := time.AfterFunc(timeout, func() { _ = r.Body.Close() })
 	defer timer.Stop()
 	b := make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, b); err != nil {
@@ -105,73 +112,78 @@
 	return b, nil
 }
 
-// Outcome is how far an exchange came.
+// Outcome is the result of an exchange, or of a part of it.
 type Outcome struct {
-	// Kind is None for an exchange that came to its end.
+	// Kind is the failure kind; None on success.
 	Kind kind.Kind
-	// Sent tells whether any byte of the request can have left this process.
+	// Sent reports whether any byte of the request can have been sent.
 	Sent bool
-	// Err is the cause, for the log.
+	// Err is the cause of the failure, for the log.
 	Err error
 }
 
-// Send sends the request and returns the answer's head, its body still to be
-// read. The Outcome's Kind is None exactly if the response is not nil.
+// Send sends the request and waits for the response headers. The caller reads and
+// closes the response body. Outcome.Kind is None if and only if the response is
+// not nil.
 func Send(ctx context.Context, c Call) (*http.Response, Outcome) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	ctx = context.WithValue(ctx, cancelKey{}, cancel)
-	var w watch
-	req, err := request(httptrace.WithClientTrace(ctx, w.trace()), c)
+	var tracker sendTracker
+	req, err := newRequest(httptrace.WithClientTrace(ctx, tracker.trace()), c)
 	if err != nil {
 		cancel(nil)
 		return nil, Outcome{Kind: kind.Request, Err: err}
 	}
-	left := time.Until(c.Deadline)
-	timer := time.AfterFunc(left, func() { cancel(ErrDeadline) })
-	var g *guard
+	timeout := time.Until(c.Deadline)
+	timer := time.AfterFunc(timeout, func() { cancel(ErrDeadline) })
+	var body *stallGuard
 	if c.Body != nil {
-		g = newGuard(req.Body, c.StallTimeout, func() { cancel(ErrStall) })
-		req.Body = g
+		body = newStallGuard(req.Body, c.StallTimeout, func() { cancel(ErrStall) })
+		req.Body = body
 	}
-	if c.Streamed && g != nil {
+	if c.Streamed && body != nil {
 		timer.Stop()
-		g.ended = func() { timer.Reset(left) }
+		body.onEnd = func() { timer.Reset(timeout) }
 	}
 	res, err := c.Transport.RoundTrip(req)
-	if g != nil {
-		g.stop()
+	if body != nil {
+		body.stop()
 	}
 	timer.Stop()
 	if err != nil {
-		out := w.outcome(ctx, err, w.sent() && !c.isWithheld(g))
+		out := tracker.outcome(ctx, err, tracker.sent() && !c.isForwardPending(body))
 		cancel(nil)
 		return nil, out
 	}
-	res.Body = &closing{ReadCloser: res.Body, cancel: cancel}
+	res.Body = &cancelOnClose{ReadCloser: res.Body, cancel: cancel}
 	return res, Outcome{Sent: true}
 }
 
-// isWithheld tells whether the other side still waits for the body, whose guard is g.
-func (c *Call) isWithheld(g *guard) bool { return c.ForwardAfterBody && g != nil && !g.begun.Load() }
+// isForwardPending reports whether the next hop holds the request back since no byte
+// of the body has been read for sending. body is nil for a request without one.
+func (c *Call) isForwardPending(body *stallGuard) bool {
+	return c.ForwardAfterBody && body != nil && !body.started.Load()
+}
 
-func request(ctx context.Context, c Call) (*http.Request, error) {
+// newRequest builds the outgoing request.
+func newRequest(ctx context.Context, c Call) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, c.In.Method, c.URL.String(), nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "relay: request")
+		return nil, errors.Wrap(err, "relay: invalid outgoing request")
 	}
 	req.Host = c.Host
-	req.Header = endToEnd(c.In.Header)
+	req.Header = endToEndHeader(c.In.Header)
 	for k, v := range c.ExtraHeader {
 		req.Header[k] = v
 	}
 	if _, ok := req.Header["User-Agent"]; !ok {
 		req.Header.Set("User-Agent", "")
 	}
-	// net/http sends a request again by itself when its connection breaks, if
-	// it takes the request for one that may be repeated, and it takes every
-	// request with an Idempotency-Key for one. The symptom would be an order
-	// that lands twice. It can't do so with a body that it has no GetBody for,
-	// and that is why a request which may run only once gets even an empty one.
+	// net/http's Transport retries a request on a broken connection if it considers
+	// the request idempotent, and every request with an Idempotency-Key header
+	// counts as that. An order would be placed twice. It cannot retry a request
+	// that has a body and no GetBody, so a request that may be sent only once gets
+	// a body even if that is empty.
 	switch {
 	case c.Body != nil:
 		req.Body = io.NopCloser(c.Body)
@@ -185,17 +197,19 @@
 	return req, nil
 }
 
-// EnableFullDuplex lets an answer begin while its request's body is still coming in.
-// HTTP/1.1 servers otherwise read the body to its end first, and a target that
-// answers as it reads would wait for a caller that waits for it.
+// EnableFullDuplex allows the response to start while the request body is still being
+// received. net/http's HTTP/1.1 server otherwise reads the whole body before it sends
+// the response headers, which deadlocks if the target responds while it reads the
+// body and the caller waits for that response before it sends the rest.
 func EnableFullDuplex(w http.ResponseWriter, r *http.Request) {
 	if IsStreamed(r) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
 }
 
-// RebaseURL is the URL of the request in at another address. The path goes on in
-// the form in which it came, so that no escape changes its meaning on the way.
+// RebaseURL returns the URL of the request in with the scheme and host of base. The
+// escaped form of the path is preserved, since decoding and encoding it again could
+// change its meaning.
 func RebaseURL(base *url.URL, in *http.Request) *url.URL {
 	u := *in.URL
 	u.Scheme = base.Scheme
@@ -203,35 +217,41 @@
 	return &u
 }
 
-// watch finds out whether a request can have left the process.
-type watch struct {
-	conn   atomic.Pointer[CountingConn]
-	before atomic.Int64
-	// got is set when a connection was had that does not count its bytes.
-	got atomic.Bool
+// sendTracker determines whether any byte of a request was written to a connection.
+type sendTracker struct {
+	conn atomic.Pointer[CountingConn]
+	// writtenBefore is the byte count of conn before the request.
+	writtenBefore atomic.Int64
+	// uncounted is set if the request used a connection that is no CountingConn.
+	uncounted atomic.Bool
 }
 
-func (w *watch) trace() *httptrace.ClientTrace {
-	return &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
-		c := counted(i.Conn)
+// trace returns hooks that record the connection on which the request is sent.
+func (t *sendTracker) trace() *httptrace.ClientTrace {
+	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
+		c := countingConn(info.Conn)
 		if c == nil {
-			w.got.Store(true)
+			t.uncounted.Store(true)
 			return
 		}
-		w.before.Store(c.written.Load())
-		w.conn.Store(c)
+		t.writtenBefore.Store(c.written.Load())
+		t.conn.Store(c)
 	}}
 }
 
-func (w *watch) sent() bool {
-	if w.got.Load() {
+// sent reports whether any byte of the request can have been sent. Without a counting
+// connection it has to assume so as soon as a connection was obtained.
+func (t *sendTracker) sent() bool {
+	if t.uncounted.Load() {
 		return true
 	}
-	c := w.conn.Load()
-	return c != nil && c.written.Load() > w.before.Load()
+	c := t.conn.Load()
+	return c != nil && c.written.Load() > t.writtenBefore.Load()
 }
 
-func (w *watch) outcome(ctx context.Context, err error, sent bool) Outcome {
+// outcome classifies a failed round trip by the cause for which ctx was canceled, if
+// it was, and by whether any byte was sent.
+func (t *sendTracker) outcome(ctx context.Context, err error, sent bool) Outcome {
 	out := Outcome{Sent: sent, Err: err, Kind: kind.Refused}
 	cause := context.Cause(ctx)
 	switch {
@@ -250,9 +270,9 @@
 	return out
 }
 
-// BufferResponse reads the body of an answer into memory if it has at most limit bytes,
-// so that an answer which breaks off is noticed before any of it is passed on.
-// A larger one is left to be streamed. The error is that of the body.
+// BufferResponse reads a response body of at most limit bytes into memory, so that a
+// truncated response is detected before any of it is forwarded. A larger body
+// is left to be streamed. The returned error is that of reading the body.
 func BufferResponse(res *http.Response, limit int64) error {
 	if res.ContentLength > limit {
 		return nil
@@ -263,7 +283,7 @@
 		return errors.WithStack(err)
 	}
 	if int64(len(b)) > limit {
-		res.Body = &resumed{io.MultiReader(bytes.NewReader(b), res.Body), res.Body}
+		res.Body = &prefixedBody{io.MultiReader(bytes.NewReader(b), res.Body), res.Body}
 		return nil
 	}
 	_ = res.Body.Close()
@@ -276,53 +296,58 @@
 	return nil
 }
 
-// resumed is a body of which the beginning has been read already.
-type resumed struct {
+// prefixedBody is a response body whose beginning was already read into memory: Reader
+// returns that beginning and then the rest.
+type prefixedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// CopyResponse copies an answer to the caller. When it fails half-way the only
-// honest thing left is to break the connection to the caller, so that a short
-// answer can't pass as a whole one: the Outcome's Kind is then not None and
-// the handler must panic with http.ErrAbortHandler.
-func CopyResponse(w http.ResponseWriter, res *http.Response, stall time.Duration) Outcome {
+// CopyResponse copies a response to the caller and closes its body. stallTimeout is the
+// longest time between two reads of the body, and the time limit of each write. If
+// copying fails, Outcome.Kind is not None and the handler must panic with
+// http.ErrAbortHandler: this closes the connection, so that the caller cannot take
+// a truncated response for a complete one.
+func CopyResponse(w http.ResponseWriter, res *http.Response, stallTimeout time.Duration) Outcome {
 	defer func() { _ = res.Body.Close() }()
 	announceTrailers(w.Header(), res.Trailer)
-	copyHeader(w.Header(), endToEnd(res.Header))
+	copyHeader(w.Header(), endToEndHeader(res.Header))
 	w.WriteHeader(res.StatusCode)
-	out := stream(w, res, stall)
+	out := copyBody(w, res, stallTimeout)
 	for k, v := range res.Trailer {
 		w.Header()[k] = v
 	}
 	return out
 }
 
+// announceTrailers adds the Trailer header, which net/http needs before the body.
 func announceTrailers(h http.Header, trailer http.Header) {
 	for k := range trailer {
 		h.Add("Trailer", k)
 	}
 }
 
-const bufferSize = 32 << 10
+const copyBufferSize = 32 << 10
 
-// buffers are used again: a fresh one for each answer was most of what the
-// garbage collector had to do under load.
-var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
+// bufferPool reuses copy bufferPool. Under load, allocating one for each response was
+// most of the garbage collector's work.
+var bufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-func stream(w http.ResponseWriter, res *http.Response, stall time.Duration) Outcome {
+// copyBody copies the response body. It flushes after each read if the length is
+// unknown, since the caller may be waiting for each part of such a response.
+func copyBody(w http.ResponseWriter, res *http.Response, stallTimeout time.Duration) Outcome {
 	ctl := http.NewResponseController(w)
 	ctx := res.Request.Context()
-	timer := time.AfterFunc(stall, func() { cancelExchange(ctx) })
+	timer := time.AfterFunc(stallTimeout, func() { cancelStalled(ctx) })
 	defer timer.Stop()
-	pooled, _ := buffers.Get().(*[bufferSize]byte)
-	defer buffers.Put(pooled)
+	pooled, _ := bufferPool.Get().(*[copyBufferSize]byte)
+	defer bufferPool.Put(pooled)
 	buf := pooled[:]
 	for {
 		n, err := res.Body.Read(buf)
-		timer.Reset(stall)
+		timer.Reset(stallTimeout)
 		if n > 0 {
-			_ = ctl.SetWriteDeadline(time.Now().Add(stall))
+			_ = ctl.SetWriteDeadline(time.Now().Add(stallTimeout))
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return Outcome{Kind: kind.Cancel, Sent: true, Err: werr}
 			}
@@ -334,22 +359,24 @@
 			return Outcome{Sent: true}
 		}
 		if err != nil {
-			return Outcome{Kind: bodyKind(ctx), Sent: true, Err: err}
+			return Outcome{Kind: bodyErrorKind(ctx), Sent: true, Err: err}
 		}
 	}
 }
 
-// cancelKey finds the function that ends an exchange in its context, behind
-// whatever its answer's body has been wrapped in since.
+// cancelKey is the context key of the function that cancels an exchange. It is kept in
+// the context since the response body may have been wrapped in the meantime.
 type cancelKey struct{}
 
-func cancelExchange(ctx context.Context) {
+// cancelStalled cancels the exchange of ctx with ErrStall.
+func cancelStalled(ctx context.Context) {
 	if cancel, ok := ctx.Value(cancelKey{}).(context.CancelCauseFunc); ok {
 		cancel(ErrStall)
 	}
 }
 
-func bodyKind(ctx context.Context) kind.Kind {
+// bodyErrorKind returns the failure kind of an error in reading a response body.
+func bodyErrorKind(ctx context.Context) kind.Kind {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, ErrStall):
@@ -361,78 +388,79 @@
 	}
 }
 
-// closing is an answer's body that ends its exchange when it is closed.
-type closing struct {
+// cancelOnClose is a response body that cancels its exchange when it is closed.
+type cancelOnClose struct {
 	io.ReadCloser
 	cancel context.CancelCauseFunc
 }
 
 // Close implements io.Closer.
-func (c *closing) Close() error {
-	// The exchange is cancelled first: closing an HTTP/2 answer waits until its
-	// request has been sent, and if the caller has stopped in the midst of its
-	// body that is never. The call would hold its slot for good.
+func (c *cancelOnClose) Close() error {
+	// Cancel first: closing an HTTP/2 response body waits until the request has been
+	// sent, which never happens if the caller has stopped in the middle of its
+	// body. The call would then occupy its concurrency slot forever.
 	c.cancel(nil)
 	return errors.WithStack(c.ReadCloser.Close())
 }
 
-// guard is a request's body that gives up when no byte moves for too long.
-type guard struct {
+// stallGuard is a request body that calls a function if two successful reads are more
+// than timeout apart.
+type stallGuard struct {
 	io.ReadCloser
-	timer *time.Timer
-	d     time.Duration
-	// ended is called when the body has been read to its end.
-	ended func()
-	begun atomic.Bool
-	over  atomic.Bool
+	timer   *time.Timer
+	timeout time.Duration
+	// onEnd is called when a read returns io.EOF or another error.
+	onEnd   func()
+	started atomic.Bool // a read has begun
+	done    atomic.Bool // the body has ended, or stop was called
 }
 
-func newGuard(b io.ReadCloser, d time.Duration, expire func()) *guard {
-	return &guard{ReadCloser: b, timer: time.AfterFunc(d, expire), d: d}
+func newStallGuard(b io.ReadCloser, timeout time.Duration, onStall func()) *stallGuard {
+	return &stallGuard{ReadCloser: b, timer: time.AfterFunc(timeout, onStall), timeout: timeout}
 }
 
 // Read implements io.Reader.
-func (g *guard) Read(p []byte) (int, error) {
-	g.begun.Store(true)
+func (g *stallGuard) Read(p []byte) (int, error) {
+	g.started.Store(true)
 	n, err := g.ReadCloser.Read(p)
 	switch {
 	case err == nil:
-		g.timer.Reset(g.d)
-	case g.over.CompareAndSwap(false, true):
+		g.timer.Reset(g.timeout)
+	case g.done.CompareAndSwap(false, true):
 		g.timer.Stop()
-		if g.ended != nil {
-			g.ended()
+		if g.onEnd != nil {
+			g.onEnd()
 		}
 	}
-	return n, err //nolint:wrapcheck // io.EOF must pass as it is
+	return n, err //nolint:wrapcheck // the caller compares with io.EOF
 }
 
-// stop is called when the answer's head is there. A body of which the target
-// read no more than it needed is no stall.
-func (g *guard) stop() {
-	g.over.Store(true)
+// stop ends the supervision once the response headers have been received. A target
+// may respond without reading the whole body; that is not a stall.
+func (g *stallGuard) stop() {
+	g.done.Store(true)
 	g.timer.Stop()
 }
 
-// CountingConn is a connection that counts the bytes that were written to it.
+// CountingConn is a net.Conn that counts the bytes written to it.
 type CountingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
-// Write implements net.Conn. The count goes up before the bytes go out, so
-// that a write that is cut off counts as sent.
+// Write implements net.Conn. It counts before it writes, so that the bytes of an
+// interrupted write count as sent.
 func (c *CountingConn) Write(b []byte) (int, error) {
 	c.written.Add(int64(len(b)))
 	n, err := c.Conn.Write(b)
-	return n, err //nolint:wrapcheck // net/http looks at the error's type
+	return n, err //nolint:wrapcheck // net/http inspects the type of the error
 }
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Dialer returns a dial function whose connections are counted. dial, if not
-// nil, opens them.
+// Dialer returns a dial function whose connections are of type CountingConn. They are
+// opened by dial, or if that is nil by a net.Dialer with the given timeout.
 func Dialer(timeout time.Duration, dial DialFunc) DialFunc {
 	if dial == nil {
 		d := &net.Dialer{Timeout: timeout, KeepAlive: timeout}
@@ -447,7 +475,9 @@
 	}
 }
 
-func counted(c net.Conn) *CountingConn {
+// countingConn returns the CountingConn below a connection, which may be a TLS one; nil
+// if there is none.
+func countingConn(c net.Conn) *CountingConn {
 	if x, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = x.NetConn()
 	}
@@ -455,14 +485,15 @@
 	return cc
 }
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd copies the headers that concern the exchange as a whole.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeader returns the headers to forward: neither hop-by-hop headers nor those
+// that nodes use among themselves.
+func endToEndHeader(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for k, v := range h {
 		if !strings.HasPrefix(k, HeaderPrefix) || k == HeaderSeal {
@@ -474,14 +505,14 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(out, name)
 	}
 	return out
 }
 
-func copyHeader(to, from http.Header) {
-	for k, v := range from {
-		to[k] = append(to[k], v...)
+func copyHeader(dst, src http.Header) {
+	for k, v := range src {
+		dst[k] = append(dst[k], v...)
 	}
 }
