--- a/briarrockd/http1/body.go
+++ b/briarrockd/http1/body.go
@@ -7,36 +7,36 @@
 	"github.com/pkg/errors"
 )
 
-// answerBody is the body of an answer. Its end makes the connection free.
-type answerBody struct {
+// responseBody is the body of a response. Reading it to its end releases the connection.
+type responseBody struct {
 	io.ReadCloser
-	l    *link
-	x    *trip
-	keep bool
-	once sync.Once
+	pc       *persistConn
+	pr       *pendingRequest
+	reusable bool // the response does not say that the connection closes
+	once     sync.Once
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	switch {
 	case err == nil:
 	case errors.Is(err, io.EOF):
-		b.pass(b.keep)
+		b.release(b.reusable)
 	default:
-		if why := b.l.reason(); why != nil {
-			err = why
+		if reason := b.pc.closeReason(); reason != nil {
+			err = reason
 		}
-		b.pass(false)
+		b.release(false)
 	}
-	return n, err //nolint:wrapcheck // io.EOF must pass as it is
+	return n, err //nolint:wrapcheck // the caller compares with io.EOF
 }
 
-// Close implements io.Closer. A body that is closed before its end takes its
-// connection with it.
-func (b *answerBody) Close() error {
-	b.pass(false)
+// Close implements io.Closer. If the body has not been read to its end, the connection
+// is closed.
+func (b *responseBody) Close() error {
+	b.release(false)
 	return nil
 }
 
-func (b *answerBody) pass(ok bool) { b.once.Do(func() { b.l.pass(b.x, ok) }) }
+func (b *responseBody) release(ok bool) { b.once.Do(func() { b.pc.release(b.pr, ok) }) }
--- a/briarrockd/http1/conn.go
+++ b/briarrockd/http1/conn.go
@@ -13,57 +13,60 @@
 	"github.com/pkg/errors"
 )
 
-// conn is one connection of a server. One goroutine reads requests; each
-// request has another one that handles it. The answers take turns: each waits
-// until the one before it is complete.
+// conn is one connection of a server. One goroutine reads the requests, and each request
+// is handled in its own goroutine. The responses are written in the order of the requests:
+// each waits until the one before it is complete.
 type conn struct {
 	s      *Server
 	nc     net.Conn
-	head   *bounded
+	head   *limitedReader
 	br     *bufio.Reader
 	bw     *bufio.Writer
 	ctx    context.Context
 	cancel context.CancelFunc
-	slots  chan struct{}
+	// pipelineSlots limits the pending requests to its capacity.
+	pipelineSlots chan struct{}
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// pending is the number of requests that were read and have not ended.
 	pending int
-	// begun are the pending exchanges that have been given to the handler.
-	begun map[*exchange]struct{}
-	// closing is set once an answer has said that the connection closes: what
-	// is read after that counts as not read.
+	// handling are the pending requests for which the handler was called.
+	handling map[*exchange]struct{}
+	// closing is set once a response with "Connection: close" was sent, or the connection
+	// has to be closed for another reason. Requests that are read later are discarded.
 	closing bool
-	// reading is set while the next head is on its way, so that the idle time
-	// doesn't run.
-	reading bool
+	// readingHeader is set while the headers of a request are being received. The idle
+	// timeout does not apply then.
+	readingHeader bool
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	c := &conn{s: s, nc: nc, slots: make(chan struct{}, maxPipeline)}
+	c := &conn{s: s, nc: nc, pipelineSlots: make(chan struct{}, maxPipelinedRequests)}
 	c.ctx, c.cancel = context.WithCancel(s.ctx)
-	c.head = &bounded{r: nc}
+	c.head = &limitedReader{r: nc}
 	c.br = bufio.NewReaderSize(c.head, bufferSize)
 	c.bw = bufio.NewWriterSize(nc, bufferSize)
 	return c
 }
 
-// abort ends the connection at once.
+// abort cancels all requests and closes the connection immediately.
 func (c *conn) abort() {
 	c.cancel()
 	_ = c.nc.Close()
 }
 
-func (c *conn) pendingNow() int {
+func (c *conn) pendingCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending
 }
 
-// closeIfIdle closes the connection if nothing is under way on it.
+// closeIfIdle closes the connection if it has no pending request and none is being
+// received. It reports whether it did.
 func (c *conn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pending > 0 || c.reading {
+	if c.pending > 0 || c.readingHeader {
 		return false
 	}
 	c.closing = true
@@ -71,37 +74,37 @@
 	return true
 }
 
-// serve reads requests until the connection ends, and then waits for what is
-// under way.
+// serve reads requests until the connection closes or may carry no further request, and
+// then waits for the pending ones.
 func (c *conn) serve() {
 	defer c.abort()
-	turn := make(chan struct{})
-	close(turn)
+	prevDone := make(chan struct{})
+	close(prevDone)
 	for {
-		x := c.next(turn)
+		x := c.readRequest(prevDone)
 		if x == nil {
 			break
 		}
-		turn = x.done
+		prevDone = x.done
 		go x.run()
-		if !c.passed(x) {
+		if !c.awaitBodyRead(x) {
 			break
 		}
 	}
-	<-turn
-	c.linger()
+	<-prevDone
+	c.closeGracefully()
 }
 
-// passed waits until the body of a request has been read, so that the next
-// request can be. It returns false if none may follow.
-func (c *conn) passed(x *exchange) bool {
+// awaitBodyRead waits until the body of a request has been read, since the next request
+// follows it. It returns false if no further request may be read.
+func (c *conn) awaitBodyRead(x *exchange) bool {
 	if x.body != nil {
 		select {
 		case <-x.body.ended:
 		case <-x.done:
 		}
 	}
-	if x.req.Close || x.refusal != 0 {
+	if x.req.Close || x.rejectStatus != 0 {
 		return false
 	}
 	c.mu.Lock()
@@ -109,50 +112,51 @@
 	return !c.closing
 }
 
-// next reads one request; nil at the end of the connection.
-func (c *conn) next(turn chan struct{}) *exchange {
+// readRequest reads the headers of one request. It returns nil if no request can be
+// handled on the connection any more.
+func (c *conn) readRequest(prevDone chan struct{}) *exchange {
 	select {
-	case c.slots <- struct{}{}:
+	case c.pipelineSlots <- struct{}{}:
 	case <-c.ctx.Done():
 		return nil
 	}
 	limits := c.s.limits()
-	c.wait(limits.IdleTime)
-	c.head.armed = false
+	c.startIdleTimeout(limits.IdleTime)
+	c.head.enabled = false
 	if _, err := c.br.Peek(1); err != nil {
-		c.over()
+		c.cancelUnlessClosing()
 		return nil
 	}
-	c.begin(limits.HeaderTime)
-	c.head.armed, c.head.left = true, max(limits.HeaderBytes-c.br.Buffered(), 1)
+	c.startHeaderTimeout(limits.HeaderTime)
+	c.head.enabled, c.head.remaining = true, max(limits.HeaderBytes-c.br.Buffered(), 1)
 	req, err := http.ReadRequest(c.br)
-	c.head.armed = false
+	c.head.enabled = false
 	_ = c.nc.SetReadDeadline(time.Time{})
-	x := &exchange{c: c, turn: turn, done: make(chan struct{}), length: -1}
+	x := &exchange{c: c, prevDone: prevDone, done: make(chan struct{}), contentLength: -1}
 	if err != nil {
 		x.req = &http.Request{Method: http.MethodGet, ProtoMajor: 1, ProtoMinor: 1, Close: true, Header: make(http.Header)}
-		x.refusal = refusalOf(err)
-		if x.refusal == 0 {
+		x.rejectStatus = readErrorStatus(err)
+		if x.rejectStatus == 0 {
 			c.cancel()
 			return nil
 		}
 	} else {
 		c.prepare(x, req, limits.BodyBytes)
 	}
-	if err == nil && !req.Close && c.br.Buffered() == 0 && hasGone(c.nc) {
+	if err == nil && !req.Close && c.br.Buffered() == 0 && isPeerClosed(c.nc) {
 		c.cancel()
 		return nil
 	}
-	if !c.admit() {
+	if !c.addPending() {
 		return nil
 	}
 	return x
 }
 
-// over is called when nothing more can be read. Unless the connection is to be
-// closed anyway, the caller has gone or was idle for too long, and what is
-// under way is of no use to anybody.
-func (c *conn) over() {
+// cancelUnlessClosing is called when no further request can be read. Unless the connection
+// is closing anyway, the caller has closed it or was idle for too long, and nobody needs
+// the responses to the pending requests.
+func (c *conn) cancelUnlessClosing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closing {
@@ -160,38 +164,39 @@
 	}
 }
 
-// refusalOf is the status for a head that can't be read; 0 if the connection
-// has just ended.
-func refusalOf(err error) int {
-	var timeout net.Error
+// readErrorStatus returns the response status for request headers that cannot be read;
+// 0 if the connection was closed.
+func readErrorStatus(err error) int {
+	var netErr net.Error
 	switch {
 	case errors.Is(err, ErrTooLarge):
 		return http.StatusRequestHeaderFieldsTooLarge
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return http.StatusRequestTimeout
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &timeout):
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &netErr):
 		return 0
 	default:
 		return http.StatusBadRequest
 	}
 }
 
-// prepare completes a request as net/http's server would.
+// prepare sets the fields of a request that net/http's server would set, and rejects
+// invalid and too large requests.
 func (c *conn) prepare(x *exchange, req *http.Request, maxBody int64) {
 	req.RemoteAddr = c.nc.RemoteAddr().String()
 	if !req.ProtoAtLeast(1, 1) {
-		req.Close = true // no answer to 1.0 keeps its connection
+		req.Close = true // HTTP/1.0 connections are not kept alive
 	} else if req.Host == "" {
-		x.refusal = http.StatusBadRequest
+		x.rejectStatus = http.StatusBadRequest
 	}
 	if maxBody > 0 && req.ContentLength > maxBody {
-		x.refusal = http.StatusRequestEntityTooLarge
+		x.rejectStatus = http.StatusRequestEntityTooLarge
 	}
 	if req.ContentLength != 0 {
 		x.body = &body{
-			x: x, r: req.Body, most: maxBody, ended: make(chan struct{}),
-			expected: strings.EqualFold(req.Header.Get("Expect"), ExpectContinue),
-			held:     req.Header.Get(HeaderHeld) != "",
+			x: x, r: req.Body, limit: maxBody, ended: make(chan struct{}),
+			awaitsContinue: strings.EqualFold(req.Header.Get("Expect"), ExpectContinue),
+			heldBack:       req.Header.Get(HeaderHeld) != "",
 		}
 		req.Body = x.body
 	}
@@ -201,11 +206,11 @@
 	x.req = req.WithContext(ctx)
 }
 
-// wait lets the idle time run if nothing is under way.
-func (c *conn) wait(idle time.Duration) {
+// startIdleTimeout sets the read deadline to the idle timeout if no request is pending.
+func (c *conn) startIdleTimeout(idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reading = false
+	c.readingHeader = false
 	if c.pending == 0 {
 		_ = c.nc.SetReadDeadline(time.Now().Add(idle))
 		return
@@ -213,20 +218,21 @@
 	_ = c.nc.SetReadDeadline(time.Time{})
 }
 
-// begin notes that the first byte of a head has come.
-func (c *conn) begin(within time.Duration) {
+// startHeaderTimeout is called when the first byte of a request was received.
+func (c *conn) startHeaderTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reading = true
-	_ = c.nc.SetReadDeadline(time.Now().Add(within))
+	c.readingHeader = true
+	_ = c.nc.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// admit counts an exchange as under way, unless an answer has already said
-// that the connection closes: the request then counts as not read.
-func (c *conn) admit() bool {
+// addPending counts a request as pending. It returns false if the connection is closing:
+// by HTTP/1.1 a request after a response with "Connection: close" is not processed, so
+// the caller can send it again.
+func (c *conn) addPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reading = false
+	c.readingHeader = false
 	if c.closing {
 		return false
 	}
@@ -234,42 +240,44 @@
 	return true
 }
 
-// begins gives an exchange to the handler, unless an answer has already said that
-// the connection closes: its request then counts as not read.
-func (c *conn) begins(x *exchange) bool {
-	ending := c.s.isEnding()
+// startHandling is called before the handler. It returns false if the request must not be
+// handled since the connection is closing, or the server is shutting down: the
+// caller then gets no response and can send the request again.
+func (c *conn) startHandling(x *exchange) bool {
+	shuttingDown := c.s.isShuttingDown()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing || ending {
+	if c.closing || shuttingDown {
 		return false
 	}
-	if c.begun == nil {
-		c.begun = make(map[*exchange]struct{})
+	if c.handling == nil {
+		c.handling = make(map[*exchange]struct{})
 	}
-	c.begun[x] = struct{}{}
+	c.handling[x] = struct{}{}
 	return true
 }
 
-// cutShort ends the work of the handlers if there are several, so that the answers
-// of the later ones are not held up by the first.
-func (c *conn) cutShort() {
+// cancelPipelined cancels the requests being handled if there are several, so that the
+// responses to later requests do not wait for that to the first.
+func (c *conn) cancelPipelined() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.begun) < 2 {
+	if len(c.handling) < 2 {
 		return
 	}
-	for x := range c.begun {
+	for x := range c.handling {
 		x.cancel()
 	}
 }
 
-// ended takes an exchange off. With the last one the idle time begins.
-func (c *conn) ended(x *exchange) {
+// removePending is called when a request has ended. After the last pending one it starts
+// the idle timeout.
+func (c *conn) removePending(x *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending--
-	delete(c.begun, x)
-	if c.pending == 0 && !c.reading && c.ctx.Err() == nil {
+	delete(c.handling, x)
+	if c.pending == 0 && !c.readingHeader && c.ctx.Err() == nil {
 		if c.closing {
 			_ = c.nc.SetReadDeadline(time.Now())
 			return
@@ -278,34 +286,35 @@
 	}
 }
 
-// closesAfter decides whether the answer of x is the last one of its
-// connection, and if so notes it. While requests behind x are being handled it is
-// not: their answers would be lost.
-func (c *conn) closesAfter(x *exchange, must bool) bool {
-	if !must && !x.req.Close && !c.s.sheds() {
+// decideClose decides whether the response of x is the last one on the connection, and
+// if so sets closing. must is set if the connection cannot be reused after it. Otherwise
+// the connection stays open while later requests are being handled, since their responses
+// would be lost.
+func (c *conn) decideClose(x *exchange, must bool) bool {
+	if !must && !x.req.Close && !c.s.shouldCloseConns() {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !must && len(c.begun) > 1 {
+	if !must && len(c.handling) > 1 {
 		return false
 	}
 	c.closing = true
 	return true
 }
 
-// linger closes the connection in a way that doesn't destroy an answer which
-// is still on its way: a socket that is closed with unread bytes in it is
-// reset, and the reset overtakes the answer.
-func (c *conn) linger() {
+// closeGracefully half-closes the connection and discards what the caller still sends.
+// Closing a socket with unread bytes resets the connection, and the caller may receive
+// the reset before it has read the response.
+func (c *conn) closeGracefully() {
 	const (
-		lingerFor   = 500 * time.Millisecond
-		lingerBytes = 1 << 20
+		drainTimeout  = 500 * time.Millisecond
+		maxDrainBytes = 1 << 20
 	)
-	half, ok := c.nc.(interface{ CloseWrite() error })
-	if !ok || c.ctx.Err() != nil || half.CloseWrite() != nil {
+	halfCloser, ok := c.nc.(interface{ CloseWrite() error })
+	if !ok || c.ctx.Err() != nil || halfCloser.CloseWrite() != nil {
 		return
 	}
-	_ = c.nc.SetReadDeadline(time.Now().Add(lingerFor))
-	_, _ = io.CopyN(io.Discard, c.nc, lingerBytes)
+	_ = c.nc.SetReadDeadline(time.Now().Add(drainTimeout))
+	_, _ = io.CopyN(io.Discard, c.nc, maxDrainBytes)
 }
--- a/briarrockd/http1/crowd_test.go
+++ b/briarrockd/http1/crowd_test.go
@@ -15,12 +15,12 @@
 	"briarrock.example/briarrockd/http1"
 )
 
-// TestGoneUnread has a caller send a request and give up before the server comes
-// to read it, as it does when its processor is short.
+// TestClosedBeforeRead has a caller that sends a request and closes the connection before
+// the server reads the request, as happens when the server is short of CPU time.
 //
-// The request must not be handled: it would run at a target for nobody, more than
-// half a second after its caller has left.
-func TestGoneUnread(t *testing.T) {
+// The request must not be handled: it would be executed by a target more than half a
+// second after its caller had closed the connection.
+func TestClosedBeforeRead(t *testing.T) {
 	c := qt.New(t)
 	l, err := http1.ListenConfig().Listen(context.Background(), "tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -42,43 +42,43 @@
 	c.Check(handled.Load(), qt.IsFalse)
 }
 
-// TestCrowd opens more connections than a server may hold, all of them idle
-// after one request, as refused callers leave them behind.
+// TestMaxConns opens more connections than MaxConns. All of them are idle after one
+// request, as connections of rejected callers are.
 //
-// From half of the bound on, answers say that their connection closes; a caller
-// who comes when all places are taken gets that of an idle one.
-func TestCrowd(t *testing.T) {
+// When more than half of MaxConns are open, responses close their connections. At the
+// limit, a new connection evicts an idle one.
+func TestMaxConns(t *testing.T) {
 	c := qt.New(t)
-	const most = 4
-	s, nc := serve(c, http1.ServerConfig{MaxConns: most, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	const maxConns = 4
+	s, nc := serve(c, http1.ServerConfig{MaxConns: maxConns, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "0")
 	})})
-	ask := func(nc net.Conn) *http.Response {
+	request := func(nc net.Conn) *http.Response {
 		send(c, nc, "GET / HTTP/1.1\nHost: a\n\n")
 		res, _, err := receive(bufio.NewReader(nc))
 		c.Assert(err, qt.IsNil)
 		return res
 	}
 	addr := nc.RemoteAddr().String()
-	c.Check(ask(nc).Close, qt.IsFalse)
-	c.Check(ask(dial(c, addr)).Close, qt.IsFalse)
-	c.Check(ask(dial(c, addr)).Close, qt.IsTrue)
-	for range 2 * most {
+	c.Check(request(nc).Close, qt.IsFalse)
+	c.Check(request(dial(c, addr)).Close, qt.IsFalse)
+	c.Check(request(dial(c, addr)).Close, qt.IsTrue)
+	for range 2 * maxConns {
 		idle := dial(c, addr)
-		ask(idle)
+		request(idle)
 	}
-	c.Check(s.OpenConns() <= most, qt.IsTrue)
-	c.Check(ask(dial(c, addr)).StatusCode, qt.Equals, http.StatusOK)
+	c.Check(s.OpenConns() <= maxConns, qt.IsTrue)
+	c.Check(request(dial(c, addr)).StatusCode, qt.Equals, http.StatusOK)
 }
 
-// TestDrainBehind drains a server while a request is under way, and sends another
-// one behind it on the same connection.
+// TestPipelinedWhileDraining drains a server while a request is handled, and pipelines a
+// second request on the same connection.
 //
-// The answer of the second could only be given after that of the first, which may
-// take until the server's end: it would be lost although it was ready. So it is not
-// handled; the first answer says that the connection closes, and the caller sends
-// the second one again elsewhere.
-func TestDrainBehind(t *testing.T) {
+// The second response could only be sent after the first, which may take until the server
+// closes the connection: it would be lost although it was ready. So the second request
+// is not handled. The first response closes the connection, and the caller sends the
+// second request again on another one.
+func TestPipelinedWhileDraining(t *testing.T) {
 	c := qt.New(t)
 	begun, end := make(chan string, 2), make(chan struct{})
 	s, nc := serve(c, http1.ServerConfig{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -89,7 +89,7 @@
 	c.Assert(<-begun, qt.Equals, "/1")
 	s.Drain()
 	send(c, nc, "GET /2 HTTP/1.1\nHost: a\n\n")
-	c.Assert(until(func() bool { return s.PendingRequests() == 2 }), qt.IsTrue)
+	c.Assert(eventually(func() bool { return s.PendingRequests() == 2 }), qt.IsTrue)
 	close(end)
 	br := bufio.NewReader(nc)
 	res, _, err := receive(br)
@@ -100,9 +100,9 @@
 	c.Check(begun, qt.HasLen, 0)
 }
 
-// until waits for a condition that comes true soon.
-func until(ok func() bool) bool {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+// eventually polls a condition until it is true, and returns false after testTimeout.
+func eventually(ok func() bool) bool {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
 			return true
 		}
@@ -110,12 +110,12 @@
 	return false
 }
 
-// TestReadyAtTheEnd ends a server while an answer is ready that waits for the one
-// before it, whose handler is still at work.
+// TestPipelinedAtShutdown shuts a server down while a response is ready that waits for the
+// response before it, whose handler is still running.
 //
-// The caller must get it: its request has run. The earlier one is cut short, and its
-// handler's last word goes first.
-func TestReadyAtTheEnd(t *testing.T) {
+// The caller must get it, since its request was executed. The earlier request is
+// canceled, and its response is sent first.
+func TestPipelinedAtShutdown(t *testing.T) {
 	c := qt.New(t)
 	begun := make(chan struct{}, 2)
 	s, nc := serve(c, http1.ServerConfig{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/briarrockd/http1/exchange.go
+++ b/briarrockd/http1/exchange.go
@@ -14,58 +14,59 @@
 	"github.com/pkg/errors"
 )
 
-// exchange is one request and its answer. It is the http.ResponseWriter that
-// the handler is given.
+// exchange is one request and its response. It is the http.ResponseWriter that is passed
+// to the handler.
 type exchange struct {
-	c       *conn
-	req     *http.Request
-	body    *body // nil for a request without one
-	refusal int   // a status to answer with instead of calling the handler
-	cancel  context.CancelFunc
-	turn    chan struct{} // closed when the answer before is complete
-	done    chan struct{} // closed when this one is
+	c            *conn
+	req          *http.Request
+	body         *body // nil for a request without one
+	rejectStatus int   // if not 0, the status to respond with instead of calling the handler
+	cancel       context.CancelFunc
+	prevDone     chan struct{} // closed when the previous response is complete
+	done         chan struct{} // closed when this one is
 
-	header  http.Header
-	wrote   bool
-	status  int
-	length  int64 // declared by the handler, -1 for not declared
-	sent    int64
-	chunks  io.WriteCloser
-	noBody  bool
-	err     error
-	stopped bool
+	header        http.Header
+	wroteHeader   bool
+	status        int
+	contentLength int64 // as set by the handler, -1 if it was not
+	written       int64 // bytes of the body
+	chunkWriter   io.WriteCloser
+	noBody        bool
+	err           error
+	closeAfter    bool // the connection closes after this response
 }
 
-// run handles the request and completes its answer.
+// run handles the request and completes its response.
 func (x *exchange) run() {
 	defer x.end()
-	if x.refusal != 0 {
+	if x.rejectStatus != 0 {
 		x.Header().Set("Content-Length", "0")
-		x.stopped = true
-		x.WriteHeader(x.refusal)
+		x.closeAfter = true
+		x.WriteHeader(x.rejectStatus)
 		return
 	}
-	// A request that may not be repeated is not begun behind others: if one of
-	// their answers closed the connection, the caller would send it again.
-	// Nor is any other while the server is about to end: an answer that has to
-	// wait for a long one before it would be lost with the connection.
+	// A request with a method other than GET and HEAD is not handled before the
+	// previous responses are complete: if one of them closed the connection, the
+	// caller would send the request again and it would be executed twice.
+	// While the server is draining this holds for all requests: a response that has to
+	// wait for a slow one before it would be lost when the connection is closed.
 	if x.req.Method != http.MethodGet && x.req.Method != http.MethodHead || x.c.s.isDraining() {
-		if !x.awaitTurn() {
+		if !x.awaitPrevious() {
 			return
 		}
 	}
-	if !x.c.begins(x) {
+	if !x.c.startHandling(x) {
 		x.err = ErrClosed
 		return
 	}
 	defer x.cancel()
-	defer x.recovered()
+	defer x.recoverPanic()
 	x.c.s.cfg.Handler.ServeHTTP(x, x.req)
 }
 
-// recovered ends the connection after a handler that could not complete its
-// answer: one that is cut short must not look complete.
-func (x *exchange) recovered() {
+// recoverPanic closes the connection after a handler has panicked, so that the truncated
+// response cannot be taken for a complete one.
+func (x *exchange) recoverPanic() {
 	v := recover()
 	if v == nil {
 		return
@@ -77,6 +78,8 @@
 	x.c.abort()
 }
 
+// end completes the response, discards the rest of the request body and lets the next
+// response be written.
 func (x *exchange) end() {
 	if x.err == nil {
 		x.finish()
@@ -84,15 +87,16 @@
 	if x.body != nil {
 		x.body.drain()
 	}
-	x.c.ended(x)
-	<-x.c.slots
+	x.c.removePending(x)
+	<-x.c.pipelineSlots
 	close(x.done)
 }
 
-// awaitTurn waits until the answer before is complete.
-func (x *exchange) awaitTurn() bool {
+// awaitPrevious waits until the previous response is complete. It returns false if the
+// connection was closed.
+func (x *exchange) awaitPrevious() bool {
 	select {
-	case <-x.turn:
+	case <-x.prevDone:
 		return x.c.ctx.Err() == nil
 	case <-x.c.ctx.Done():
 		x.err = ErrClosed
@@ -108,52 +112,53 @@
 	return x.header
 }
 
-// WriteHeader implements http.ResponseWriter. It waits for the answer's turn.
+// WriteHeader implements http.ResponseWriter. It waits until the previous response is
+// complete.
 func (x *exchange) WriteHeader(status int) {
-	if x.wrote {
+	if x.wroteHeader {
 		return
 	}
-	x.wrote = true
+	x.wroteHeader = true
 	x.status = status
-	if !x.awaitTurn() {
+	if !x.awaitPrevious() {
 		return
 	}
 	h := x.Header()
 	x.noBody = x.req.Method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 	if n, err := strconv.ParseInt(h.Get("Content-Length"), 10, 64); err == nil && n >= 0 {
-		x.length = n
+		x.contentLength = n
 	} else {
 		h.Del("Content-Length")
 	}
-	if x.length < 0 && !x.noBody {
+	if x.contentLength < 0 && !x.noBody {
 		if x.req.ProtoAtLeast(1, 1) {
 			h.Set("Transfer-Encoding", "chunked")
 		} else {
-			x.stopped = true
+			x.closeAfter = true
 		}
 	}
-	x.stopped = x.c.closesAfter(x, x.stopped || x.unread())
-	if x.stopped {
+	x.closeAfter = x.c.decideClose(x, x.closeAfter || x.hasLongUnreadBody())
+	if x.closeAfter {
 		h.Set("Connection", "close")
 	}
-	_ = x.c.nc.SetWriteDeadline(time.Now().Add(writeWithin))
+	_ = x.c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := fmt.Fprintf(x.c.bw, "HTTP/1.1 %03d %s\r\n", status, http.StatusText(status))
 	x.fail(err)
 	x.fail(h.Write(x.c.bw))
 	_, err = x.c.bw.WriteString("\r\n")
 	x.fail(err)
 	if h.Get("Transfer-Encoding") != "" {
-		x.chunks = httputil.NewChunkedWriter(x.c.bw)
+		x.chunkWriter = httputil.NewChunkedWriter(x.c.bw)
 	}
 }
 
-// unread tells whether so much of the request's body is left that closing the
-// connection is cheaper than reading it.
-func (x *exchange) unread() bool {
-	return x.body != nil && !x.body.over() && !x.body.withheld() && (x.req.ContentLength < 0 || x.req.ContentLength > maxDrain)
+// hasLongUnreadBody reports whether so much of the request body may be unread that closing
+// the connection is cheaper than reading it.
+func (x *exchange) hasLongUnreadBody() bool {
+	return x.body != nil && !x.body.atEOF() && !x.body.neverSent() && (x.req.ContentLength < 0 || x.req.ContentLength > maxDrainBytes)
 }
 
-// fail notes the first error of the connection and ends it.
+// fail records the first write error and closes the connection.
 func (x *exchange) fail(err error) {
 	if err == nil || x.err != nil {
 		return
@@ -164,7 +169,7 @@
 
 // Write implements http.ResponseWriter.
 func (x *exchange) Write(p []byte) (int, error) {
-	if !x.wrote {
+	if !x.wroteHeader {
 		x.WriteHeader(http.StatusOK)
 	}
 	if x.err != nil {
@@ -173,23 +178,23 @@
 	if x.noBody {
 		return len(p), nil
 	}
-	if x.length >= 0 && x.sent+int64(len(p)) > x.length {
+	if x.contentLength >= 0 && x.written+int64(len(p)) > x.contentLength {
 		return 0, http.ErrContentLength
 	}
-	_ = x.c.nc.SetWriteDeadline(time.Now().Add(writeWithin))
+	_ = x.c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	var w io.Writer = x.c.bw
-	if x.chunks != nil {
-		w = x.chunks
+	if x.chunkWriter != nil {
+		w = x.chunkWriter
 	}
 	n, err := w.Write(p)
-	x.sent += int64(n)
+	x.written += int64(n)
 	x.fail(err)
 	return n, err //nolint:wrapcheck // callers compare it
 }
 
 // Flush implements http.Flusher.
 func (x *exchange) Flush() {
-	if !x.wrote {
+	if !x.wroteHeader {
 		x.WriteHeader(http.StatusOK)
 	}
 	if x.err == nil {
@@ -197,52 +202,52 @@
 	}
 }
 
-// SetWriteDeadline lets http.ResponseController bound the writing.
+// SetWriteDeadline is used by http.ResponseController.
 func (x *exchange) SetWriteDeadline(t time.Time) error {
 	return x.c.nc.SetWriteDeadline(t) //nolint:wrapcheck // passed through
 }
 
-// EnableFullDuplex lets an answer begin before the request's body has ended:
-// with this server it always may.
+// EnableFullDuplex is used by http.ResponseController. It does nothing, since with this
+// server a response may always start before the request body has ended.
 func (x *exchange) EnableFullDuplex() error { return nil }
 
-// finish completes the answer.
+// finish completes the response.
 func (x *exchange) finish() {
-	if !x.wrote {
+	if !x.wroteHeader {
 		x.Header().Set("Content-Length", "0")
 		x.WriteHeader(http.StatusOK)
 	}
 	if x.err != nil {
 		return
 	}
-	if x.chunks != nil {
-		x.fail(x.chunks.Close())
+	if x.chunkWriter != nil {
+		x.fail(x.chunkWriter.Close())
 		_, err := x.c.bw.WriteString("\r\n")
 		x.fail(err)
 	}
-	if x.length >= 0 && !x.noBody && x.sent < x.length {
+	if x.contentLength >= 0 && !x.noBody && x.written < x.contentLength {
 		x.fail(io.ErrUnexpectedEOF)
 		return
 	}
 	x.fail(x.c.bw.Flush())
 }
 
-// maxDrain bounds what is read of a body that the handler left, to keep the
-// connection.
-const maxDrain = 256 << 10
+// maxDrainBytes limits how much of a request body that the handler did not read is
+// discarded in order to reuse the connection.
+const maxDrainBytes = 256 << 10
 
 // body is the body of a request.
 type body struct {
-	x        *exchange
-	r        io.ReadCloser
-	most     int64 // bytes that are allowed; 0 for no bound
-	got      int64
-	expected bool // the caller waits for 100 Continue
-	held     bool // and doesn't send the body without it
-	mu       sync.Mutex
-	closed   bool
-	err      error
-	ended    chan struct{}
+	x              *exchange
+	r              io.ReadCloser
+	limit          int64 // in bytes; 0 for no limit
+	received       int64 // bytes read
+	awaitsContinue bool  // the caller expects 100 Continue, which has not been sent
+	heldBack       bool  // the caller never sends the body without 100 Continue
+	mu             sync.Mutex
+	closed         bool // ended was closed
+	err            error
+	ended          chan struct{} // closed when the body was read to its end or has failed
 }
 
 // Read implements io.Reader.
@@ -252,38 +257,40 @@
 	if b.err != nil {
 		return 0, b.err
 	}
-	if b.expected {
-		b.expected = false
-		if !b.proceed() {
+	if b.awaitsContinue {
+		b.awaitsContinue = false
+		if !b.sendContinue() {
 			b.finish(ErrClosed)
 			return 0, b.err
 		}
 	}
-	_ = b.x.c.nc.SetReadDeadline(time.Now().Add(bodyWithin))
+	_ = b.x.c.nc.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	n, err := b.r.Read(p)
-	b.got += int64(n)
-	if b.most > 0 && b.got > b.most {
+	b.received += int64(n)
+	if b.limit > 0 && b.received > b.limit {
 		n, err = 0, ErrTooLarge
 	}
 	if err != nil {
 		_ = b.x.c.nc.SetReadDeadline(time.Time{})
 		b.finish(err)
 	}
-	return n, err //nolint:wrapcheck // io.EOF must pass as it is
+	return n, err //nolint:wrapcheck // the caller compares with io.EOF
 }
 
-// proceed asks the caller for the body.
-func (b *body) proceed() bool {
-	if b.x.wrote || !b.x.awaitTurn() {
+// sendContinue sends 100 Continue. It returns false if the response has already been
+// started or the connection was closed.
+func (b *body) sendContinue() bool {
+	if b.x.wroteHeader || !b.x.awaitPrevious() {
 		return false
 	}
-	_ = b.x.c.nc.SetWriteDeadline(time.Now().Add(writeWithin))
+	_ = b.x.c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := b.x.c.bw.WriteString("HTTP/1.1 100 Continue\r\n\r\n")
 	b.x.fail(err)
 	b.x.fail(b.x.c.bw.Flush())
 	return b.x.err == nil
 }
 
+// finish ends the body with err, which later reads return. b.mu must be held.
 func (b *body) finish(err error) {
 	b.err = err
 	if !b.closed {
@@ -292,38 +299,38 @@
 	}
 }
 
-// over tells whether the whole body has been read.
-func (b *body) over() bool {
+// atEOF reports whether the whole body has been read.
+func (b *body) atEOF() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return errors.Is(b.err, io.EOF)
 }
 
-// withheld tells whether the caller keeps the body back for good, since it was
-// not asked for.
-func (b *body) withheld() bool {
+// neverSent reports whether the caller will not send the body, since it did not receive
+// 100 Continue and has promised with HeaderHeld to wait for it.
+func (b *body) neverSent() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.held && b.expected
+	return b.heldBack && b.awaitsContinue
 }
 
-// Close implements io.Closer. A read that waits for bytes is ended by it.
+// Close implements io.Closer. It unblocks a pending Read.
 func (b *body) Close() error {
 	_ = b.x.c.nc.SetReadDeadline(time.Now())
 	return nil
 }
 
-// drain reads what the handler has left, so that the next request can be
-// read; if that is too much, the connection ends.
+// drain discards the part of the body that the handler did not read, so that the next
+// request can be read. If more than maxDrainBytes are left, the connection is closed.
 func (b *body) drain() {
-	if b.withheld() {
+	if b.neverSent() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.finish(io.EOF)
 		return
 	}
-	if b.x.err == nil && !b.x.stopped {
-		_, _ = io.CopyN(io.Discard, b, maxDrain)
+	if b.x.err == nil && !b.x.closeAfter {
+		_, _ = io.CopyN(io.Discard, b, maxDrainBytes)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/briarrockd/http1/expect_test.go
+++ b/briarrockd/http1/expect_test.go
@@ -16,14 +16,14 @@
 	"briarrock.example/briarrockd/http1"
 )
 
-// pipes is a listener whose connections are pipes in memory, so that their time
-// is the test's.
-type pipes struct {
+// pipeListener is a listener whose connections are in-memory pipes, so that their
+// deadlines use the fake clock of synctest.
+type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 }
 
-func (l *pipes) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case nc := <-l.conns:
 		return nc, nil
@@ -32,29 +32,29 @@
 	}
 }
 
-func (l *pipes) Close() error   { close(l.closed); return nil }
-func (l *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *pipeListener) Close() error   { close(l.closed); return nil }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestExpectLate sends two requests on a kept connection, the second one half a
-// minute after the first, with a body that waits to be asked for.
+// TestContinueAfterIdle sends two requests with "Expect: 100-continue" on one connection,
+// the second half a minute after the first.
 //
-// The time in which the first answer had to be written has long passed by then.
-// If it still held, the question for the body could not be written: the
-// connection would end, and the caller could not know whether its request ran.
-func TestExpectLate(t *testing.T) {
+// The write deadline of the first response has passed by then. If it still applied, 100
+// Continue could not be written: the connection would be closed, and the caller would not
+// know whether its request was executed.
+func TestContinueAfterIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		l := &pipes{conns: make(chan net.Conn), closed: make(chan struct{})}
+		l := &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 		s := http1.NewServer(http1.ServerConfig{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			b, err := io.ReadAll(r.Body)
 			c.Check(err, qt.IsNil)
 			_, _ = w.Write(b)
 		})})
 		go func() { _ = s.Serve(l) }()
-		near, far := net.Pipe()
-		l.conns <- far
-		br := bufio.NewReader(near)
-		answer := func() string {
+		clientEnd, serverEnd := net.Pipe()
+		l.conns <- serverEnd
+		br := bufio.NewReader(clientEnd)
+		readResponse := func() string {
 			res, err := http.ReadResponse(br, nil)
 			c.Assert(err, qt.IsNil)
 			b, err := io.ReadAll(res.Body)
@@ -62,26 +62,26 @@
 			return res.Status + " " + string(b)
 		}
 		for range 2 {
-			_, err := io.WriteString(near, "POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
+			_, err := io.WriteString(clientEnd, "POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
 			c.Assert(err, qt.IsNil)
-			c.Check(strings.TrimSpace(answer()), qt.Equals, "100 Continue")
-			_, err = io.WriteString(near, "abc")
+			c.Check(strings.TrimSpace(readResponse()), qt.Equals, "100 Continue")
+			_, err = io.WriteString(clientEnd, "abc")
 			c.Assert(err, qt.IsNil)
-			c.Check(answer(), qt.Equals, "200 OK abc")
+			c.Check(readResponse(), qt.Equals, "200 OK abc")
 			time.Sleep(30 * time.Second)
 		}
-		_ = near.Close()
+		_ = clientEnd.Close()
 		s.Close()
 	})
 }
 
-// TestHeld sends uploads to a server that refuses each second one without having
-// asked for its body, over one connection.
+// TestRejectedUploads sends uploads over one connection to a server that rejects every
+// second one without sending 100 Continue.
 //
-// The connection stays: nothing of a refused body has been sent, and nothing of
-// it may be taken for the next request. A client that has not promised to hold
-// its body back loses the connection, since its bytes may come at any time.
-func TestHeld(t *testing.T) {
+// The connection is kept: no byte of a rejected body was sent that could be parsed as the
+// next request. If the client has not promised with HeaderHeld to hold the body back,
+// the connection is closed, since the body may arrive at any time.
+func TestRejectedUploads(t *testing.T) {
 	c := qt.New(t)
 	n := 0
 	s := http1.NewServer(http1.ServerConfig{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/briarrockd/http1/gone.go
+++ b/briarrockd/http1/gone.go
@@ -8,14 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// hasGone tells whether the other side has closed or reset a connection on which
-// no more bytes wait to be read. It doesn't block, and takes nothing from the
-// connection.
+// isPeerClosed reports whether the peer has closed or reset a connection that has no
+// unread bytes. It neither blocks nor consumes bytes.
 //
-// Under load a request may be read long after it has come, when its caller has
-// given up and closed. Its end is only seen by the next read, and by then the
-// request would be on its way to a target.
-func hasGone(nc net.Conn) bool {
+// Under load a request may be read long after it was received, when the caller has
+// already timed out and closed the connection. Only the next read would detect that, and
+// by then the request would have been forwarded to a target.
+func isPeerClosed(nc net.Conn) bool {
 	c, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -24,15 +23,15 @@
 	if err != nil {
 		return true
 	}
-	gone := false
+	closed := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		if err == nil {
-			gone = n == 0
+			closed = n == 0
 			return
 		}
-		gone = errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE) || errors.Is(err, unix.ETIMEDOUT)
+		closed = errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE) || errors.Is(err, unix.ETIMEDOUT)
 	})
-	return gone || err != nil
+	return closed || err != nil
 }
--- a/briarrockd/http1/http1.go
+++ b/briarrockd/http1/http1.go
@@ -1,21 +1,22 @@
-// Package http1 speaks HTTP/1.1 with callers, targets and other nodes.
+// Package http1 implements the HTTP/1.1 server and client connections to callers,
+// targets and other nodes.
 //
-// Server serves an http.Handler. Unlike the one in net/http it handles the
-// requests that a caller pipelines on one connection at the same time, and
-// gives their answers in order: a short request then doesn't wait for the
-// work of a long one before it. It notices at any time that a caller has gone.
+// Server serves an http.Handler. Unlike net/http's server it handles the requests that
+// a caller pipelines on one connection concurrently and sends the responses in order,
+// so that the handling of a short request does not wait for that of a long one
+// before it. It detects at any time that a caller has closed its connection.
 //
 //	s := http1.NewServer(http1.ServerConfig{Handler: h, Limits: limits})
 //	go s.Serve(listener)
-//	s.Drain()       // answers say from now on that their connection closes
-//	s.Shutdown(ctx) // no request that has been read is cut off
+//	s.Drain()       // from now on responses have "Connection: close"
+//	s.Shutdown(ctx) // waits until the requests that were read have ended
 //
-// Pool is an http.RoundTripper over kept connections. It sends each request
-// once, and tells by httptrace which connection it used, so that package relay
-// can say whether any byte of the request has left. An answer that belongs to
-// another request is never given to this one.
+// Pool is an http.RoundTripper that reuses connections. It sends each request once,
+// and reports the connection through httptrace, so that package relay can determine
+// whether any byte of the request was sent. A response to another request is
+// detected and not returned for this one.
 //
-// The syntax of requests and answers is read by net/http.
+// Requests and responses are parsed by net/http.
 package http1
 
 import (
@@ -29,81 +30,83 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sentinel errors of connections.
+// Errors of connections.
 var (
-	// ErrClosed says that a server or a connection has been closed.
-	ErrClosed = errors.New("http1: closed")
-	// ErrTooLarge says that a head or a body is larger than allowed.
-	ErrTooLarge = errors.New("http1: too large")
-	// ErrUnsolicited says that bytes came that no request had asked for.
-	ErrUnsolicited = errors.New("http1: bytes without a request")
+	// ErrClosed is returned if a server, a pool or a connection has been closed.
+	ErrClosed = errors.New("http1: server, pool or connection closed")
+	// ErrTooLarge is returned if the headers or the body of a message exceed their
+	// size limit.
+	ErrTooLarge = errors.New("http1: headers or body exceed the size limit")
+	// ErrUnsolicited is returned if a server has sent bytes that belong to no request.
+	ErrUnsolicited = errors.New("http1: unsolicited response")
 )
 
-// bufferSize is enough for the head of nearly every message; each connection
-// keeps one buffer of this size for reading.
+// bufferSize is the size in bytes of a connection's read buffer. The headers of nearly
+// all messages fit into it.
 const bufferSize = 4 << 10
 
-// How a silent connection is found.
+// Detection of a peer that has become unreachable.
 const (
-	// probeEvery is the time between the probes of an idle connection, and
-	// until the first one: a second is the least that the kernel takes.
-	probeEvery = time.Second
-	// probeTries is how many probes may go unanswered. A peer that is cut off
-	// is noticed within three seconds.
-	probeTries = 2
-	// ackWithin is how long sent bytes may stay unacknowledged. It leaves room
-	// for a few packets lost in a row between regions.
-	ackWithin = 2 * time.Second
+	// keepAliveInterval is the time until the first TCP keep-alive probe of an idle
+	// connection and between probes. One second is the kernel's minimum.
+	keepAliveInterval = time.Second
+	// keepAliveProbes is the number of unanswered probes after which a connection is
+	// closed. An unreachable peer is detected within three seconds.
+	keepAliveProbes = 2
+	// userTimeout is the longest time for which sent bytes may stay unacknowledged
+	// (TCP_USER_TIMEOUT). It tolerates the loss of a few packets in a row between
+	// regions.
+	userTimeout = 2 * time.Second
 )
 
-func probes() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeTries}
+func keepAliveConfig() net.KeepAliveConfig {
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes}
 }
 
-// ListenConfig returns how to listen so that callers who vanish without a
-// word are noticed.
+// ListenConfig returns a listener configuration with which callers that become
+// unreachable without closing their connection are detected.
 func ListenConfig() *net.ListenConfig {
-	return &net.ListenConfig{KeepAliveConfig: probes(), Control: boundAck}
+	return &net.ListenConfig{KeepAliveConfig: keepAliveConfig(), Control: setUserTimeout}
 }
 
-// Dialer returns how to connect: each try ends after timeout, and a
-// connection whose other side has vanished is noticed.
+// Dialer returns a dial function with the given timeout. Its connections detect a peer
+// that has become unreachable.
 //
-// Without it a request on a connection that was cut would wait for its whole
-// deadline, since the kernel goes on sending for a quarter of an hour.
+// Without this, a request on such a connection would wait until its deadline, since
+// the kernel retransmits for a quarter of an hour.
 func Dialer(timeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
-	d := &net.Dialer{Timeout: timeout, KeepAliveConfig: probes(), Control: boundAck}
+	d := &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAliveConfig(), Control: setUserTimeout}
 	return d.DialContext
 }
 
-// boundAck bounds the time that sent bytes may stay unacknowledged. Where the
-// kernel doesn't know the option, the probes still find idle connections.
-func boundAck(_, _ string, c syscall.RawConn) error {
+// setUserTimeout limits the time for which sent bytes may stay unacknowledged. If the
+// kernel does not support the option, keep-alive probes still cover idle connections.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackWithin.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
 
-// bounded lets at most left bytes through while it is armed: the head of a
-// message must not fill the memory.
-type bounded struct {
-	r     io.Reader
-	left  int
-	armed bool
+// limitedReader fails with ErrTooLarge after remaining bytes while it is enabled. It
+// limits the memory for the headers of a message.
+type limitedReader struct {
+	r         io.Reader
+	remaining int
+	enabled   bool
 }
 
 // Read implements io.Reader.
-func (b *bounded) Read(p []byte) (int, error) {
-	if !b.armed {
-		return b.r.Read(p) //nolint:wrapcheck // io.EOF must pass as it is
+func (l *limitedReader) Read(p []byte) (int, error) {
+	if !l.enabled {
+		return l.r.Read(p) //nolint:wrapcheck // the caller compares with io.EOF
 	}
-	if b.left <= 0 {
+	if l.remaining <= 0 {
 		return 0, ErrTooLarge
 	}
-	if len(p) > b.left {
-		p = p[:b.left]
+	if len(p) > l.remaining {
+		p = p[:l.remaining]
 	}
-	n, err := b.r.Read(p)
-	b.left -= n
-	return n, err //nolint:wrapcheck // io.EOF must pass as it is
+	n, err := l.r.Read(p)
+	l.remaining -= n
+	return n, err //nolint:wrapcheck // the caller compares with io.EOF
 }
--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -16,257 +16,266 @@
 )
 
 const (
-	// maxAnswerHead bounds the head of an answer.
-	maxAnswerHead = 64 << 10
-	// maxUnsolicited is how many answers to other requests are dropped before a
-	// connection is given up.
-	maxUnsolicited = 4
-	// maxUnsolicitedBody bounds the body of an answer that is dropped.
-	maxUnsolicitedBody = 1 << 20
-	// keepMargin is how much sooner than the other side a connection is closed:
-	// a request that is sent just as the other side closes may or may not have
-	// been read.
-	keepMargin = time.Second
-	// tailWithin bounds the wait for a writer that has been given all of a body.
-	tailWithin = time.Second
-	// answerAfterBreak is how long an answer is waited for when the request
-	// could not be written whole: one that refuses a long body comes like this.
-	answerAfterBreak = 200 * time.Millisecond
+	// maxResponseHeaderBytes limits the status line and headers of a response.
+	maxResponseHeaderBytes = 64 << 10
+	// maxUnsolicitedResponses is how many responses to other requests are discarded
+	// before the connection is closed.
+	maxUnsolicitedResponses = 4
+	// maxUnsolicitedBodyBytes limits the body of a discarded response.
+	maxUnsolicitedBodyBytes = 1 << 20
+	// keepAliveMargin is how much earlier than the server an idle connection is closed.
+	// If a request is sent just as the server closes the connection, it is unknown
+	// whether the server has read it.
+	keepAliveMargin = time.Second
+	// writeFinishTimeout limits the wait for the writing goroutine to finish after it
+	// has read the whole body.
+	writeFinishTimeout = time.Second
+	// earlyResponseTimeout limits the wait for a response after writing the request
+	// has failed: a server that rejects a long body responds before it has read it
+	// and may close the connection.
+	earlyResponseTimeout = 200 * time.Millisecond
 )
 
-// trip is one request on its way over a link.
-type trip struct {
+// pendingRequest is a request that is sent on a persistConn, until the end of its response.
+type pendingRequest struct {
 	req    *http.Request
-	answer chan answer
-	// written is closed when the request has been written, with writeErr set if
-	// it could not be.
+	result chan result
+	// written is closed when writing the request has ended, with writeErr set if it
+	// failed.
 	written  chan struct{}
 	writeErr error
-	// decided is closed when the other side has asked for the body (wanted) or
-	// has shown that it doesn't need it; only requests with Expect wait for it.
-	decided chan struct{}
-	wanted  bool
-	once    sync.Once
-	// kept is set when the body was wanted by nobody and so not sent.
-	kept bool
-	// left is how many bytes of the body are still to be handed to the writer,
-	// below 0 if nobody knows.
-	left atomic.Int64
-	// passed gets whether another request may follow the answer.
-	passed chan bool
-	stop   func() bool
+	// bodyDecided is closed when the server has sent 100 Continue (bodyRequested) or a
+	// final response or has failed. Only requests with an Expect header wait for it.
+	bodyDecided   chan struct{}
+	bodyRequested bool
+	decideOnce    sync.Once
+	// bodySkipped is set if the body was not sent since the server did not request it.
+	bodySkipped bool
+	// bodyLeft is the number of bytes of the body that the writing goroutine has not
+	// read yet; negative if the length is unknown.
+	bodyLeft atomic.Int64
+	// reusable receives whether another request may be sent after the response.
+	reusable chan bool
+	// stop ends the supervision of the request's context. It returns false if the
+	// context has already ended.
+	stop func() bool
 }
 
-// answer is what came back.
-type answer struct {
+// result is a response or the error in its place.
+type result struct {
 	res *http.Response
 	err error
 }
 
-func newTrip(req *http.Request) *trip {
-	x := &trip{
-		req: req, answer: make(chan answer, 1), written: make(chan struct{}),
-		passed: make(chan bool, 1), decided: make(chan struct{}),
+func newPendingRequest(req *http.Request) *pendingRequest {
+	pr := &pendingRequest{
+		req: req, result: make(chan result, 1), written: make(chan struct{}),
+		reusable: make(chan bool, 1), bodyDecided: make(chan struct{}),
 	}
-	x.left.Store(req.ContentLength)
+	pr.bodyLeft.Store(req.ContentLength)
 	if req.ContentLength > 0 && req.Body != nil {
-		req.Body = &handing{req.Body, x}
+		req.Body = &countingBody{req.Body, pr}
 	}
 	if req.Header.Get("Expect") == ExpectContinue && req.Body != nil {
-		req.Body = &expecting{req.Body, x}
+		req.Body = &continueBody{req.Body, pr}
 	}
-	return x
+	return pr
 }
 
-// handing is a body that counts what is handed to the writer.
-type handing struct {
+// countingBody is a request body that subtracts the bytes read from bodyLeft.
+type countingBody struct {
 	io.ReadCloser
-	x *trip
+	pr *pendingRequest
 }
 
 // Read implements io.Reader.
-func (b *handing) Read(p []byte) (int, error) {
+func (b *countingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.x.left.Add(int64(-n))
-	return n, err //nolint:wrapcheck // io.EOF must pass as it is
+	b.pr.bodyLeft.Add(int64(-n))
+	return n, err //nolint:wrapcheck // the caller compares with io.EOF
 }
 
-// isWritten tells whether the request has been written. An answer can come before
-// its writer has been scheduled to say that the last bytes are out; that is waited
-// for, as the connection would be given up for nothing.
-func (x *trip) isWritten() bool {
+// isWritten reports whether writing the request has ended. A response can arrive before
+// the writing goroutine has been scheduled to report that it has written the last
+// bytes. In this case isWritten waits for it, since the connection would otherwise be
+// closed needlessly.
+func (pr *pendingRequest) isWritten() bool {
 	select {
-	case <-x.written:
+	case <-pr.written:
 		return true
 	default:
 	}
-	if x.left.Load() != 0 {
+	if pr.bodyLeft.Load() != 0 {
 		return false
 	}
-	timer := time.NewTimer(tailWithin)
+	timer := time.NewTimer(writeFinishTimeout)
 	defer timer.Stop()
 	select {
-	case <-x.written:
+	case <-pr.written:
 		return true
 	case <-timer.C:
 		return false
 	}
 }
 
-// decide notes whether the other side wants the body. Only the first word
-// counts.
-func (x *trip) decide(wanted bool) {
-	x.once.Do(func() {
-		x.wanted = wanted
-		close(x.decided)
+// decideBody records whether the server has requested the body. Only the first call has
+// an effect.
+func (pr *pendingRequest) decideBody(bodyRequested bool) {
+	pr.decideOnce.Do(func() {
+		pr.bodyRequested = bodyRequested
+		close(pr.bodyDecided)
 	})
 }
 
-// ExpectContinue is the value of the header Expect by which a request's body is held
-// back until the other side asks for it. A long body that would be refused then
-// takes no bandwidth, and its request can go elsewhere.
+// ExpectContinue is the value of the Expect header with which a client sends the body
+// only after the server has responded with 100 Continue. A long body that would be
+// rejected then uses no bandwidth, and the request can be sent to another server.
 //
-// HeaderHeld beside it promises that the body never comes unasked. Other clients
-// send theirs after a while in any case, so a server that has refused one can't
-// tell what comes next on the connection and has to close it; after this promise
-// the connection stays. A refused upload would otherwise cost a new connection
-// at each target that it asks.
+// HeaderHeld, sent together with it, promises that the body is never sent without 100
+// Continue. Other clients send the body after a timeout in any case, so a server that has
+// rejected such a request cannot tell whether the next bytes on the connection are the
+// body or another request, and must close the connection. With the promise the
+// connection is kept. A rejected upload would otherwise cost a new connection to each
+// target that is tried.
 const (
 	ExpectContinue = "100-continue"
 	HeaderHeld     = "Briarrock-Held"
 )
 
-// unasked tells whether the body was held back and has not been asked for.
-func (x *trip) unasked() bool {
-	if _, held := x.req.Body.(*expecting); !held {
+// isBodyRejected reports whether the body waited for 100 Continue and the server has
+// sent something else.
+func (pr *pendingRequest) isBodyRejected() bool {
+	if _, waits := pr.req.Body.(*continueBody); !waits {
 		return false
 	}
 	select {
-	case <-x.decided:
-		return !x.wanted
+	case <-pr.bodyDecided:
+		return !pr.bodyRequested
 	default:
 		return false
 	}
 }
 
-// withheld tells whether the body was not asked for, and so nothing of it sent.
-// It may be called once written is closed. (net/http hides errUnwanted in an
-// error of its own.)
-func (x *trip) withheld() bool { return x.kept }
+// isBodySkipped reports whether no byte of the body was sent since the server did not
+// request it. It may be called once written is closed. (writeErr does not tell, since
+// net/http returns an error of its own in place of errBodyNotRequested.)
+func (pr *pendingRequest) isBodySkipped() bool { return pr.bodySkipped }
 
-// errUnwanted ends the writing of a request whose body was not asked for.
-var errUnwanted = errors.New("http1: the body was not asked for")
+// errBodyNotRequested ends the writing of a request whose body the server did not request.
+var errBodyNotRequested = errors.New("http1: request body not sent: no 100 Continue received")
 
-// expecting is a body that is held back until it is asked for.
-type expecting struct {
+// continueBody is a request body whose first read waits for 100 Continue.
+type continueBody struct {
 	io.ReadCloser
-	x *trip
+	pr *pendingRequest
 }
 
 // Read implements io.Reader.
-func (b *expecting) Read(p []byte) (int, error) {
-	<-b.x.decided
-	if !b.x.wanted {
-		b.x.kept = true
-		return 0, errUnwanted
+func (b *continueBody) Read(p []byte) (int, error) {
+	<-b.pr.bodyDecided
+	if !b.pr.bodyRequested {
+		b.pr.bodySkipped = true
+		return 0, errBodyNotRequested
 	}
-	return b.ReadCloser.Read(p) //nolint:wrapcheck // io.EOF must pass as it is
+	return b.ReadCloser.Read(p) //nolint:wrapcheck // the caller compares with io.EOF
 }
 
-// link is one connection of a pool. Its goroutine reads all answers, and so
-// notices at once when the other side closes an idle connection or sends what
-// nobody has asked for.
-type link struct {
+// persistConn is one connection of a pool. Its readLoop goroutine reads all responses,
+// so it notices at once when the server closes an idle connection or sends an
+// unsolicited response.
+type persistConn struct {
 	pool *Pool
 	addr string
 	nc   net.Conn
-	head *bounded
+	head *limitedReader
 	br   *bufio.Reader
 
-	mu     sync.Mutex
-	now    *trip // the request under way; nil while idle
-	err    error // why the link has ended
-	keep   time.Duration
-	expire *time.Timer
+	mu          sync.Mutex
+	current     *pendingRequest // nil while idle
+	err         error           // why the connection was closed; nil while it is open
+	idleTimeout time.Duration
+	idleTimer   *time.Timer
 }
 
-func newLink(p *Pool, addr string, nc net.Conn) *link {
-	l := &link{pool: p, addr: addr, nc: nc, keep: p.cfg.IdleTimeout}
-	l.head = &bounded{r: nc}
-	l.br = bufio.NewReaderSize(l.head, bufferSize)
-	return l
+func newPersistConn(p *Pool, addr string, nc net.Conn) *persistConn {
+	pc := &persistConn{pool: p, addr: addr, nc: nc, idleTimeout: p.cfg.IdleTimeout}
+	pc.head = &limitedReader{r: nc}
+	pc.br = bufio.NewReaderSize(pc.head, bufferSize)
+	return pc
 }
 
-// begin makes the link busy with a trip; false if it has ended meanwhile.
-func (l *link) begin(x *trip) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.err != nil {
+// acquire assigns the connection to a request. It returns false if the connection was
+// closed in the meantime.
+func (pc *persistConn) acquire(pr *pendingRequest) bool {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	if pc.err != nil {
 		return false
 	}
-	if l.expire != nil {
-		l.expire.Stop()
+	if pc.idleTimer != nil {
+		pc.idleTimer.Stop()
 	}
-	l.now = x
+	pc.current = pr
 	return true
 }
 
-// close ends the link. The first reason stays.
-func (l *link) close(err error) {
-	l.mu.Lock()
-	first := l.err == nil
+// close closes the connection with err as the reason. Further calls have no effect.
+func (pc *persistConn) close(err error) {
+	pc.mu.Lock()
+	first := pc.err == nil
 	if first {
-		l.err = err
+		pc.err = err
 	}
-	if l.expire != nil {
-		l.expire.Stop()
+	if pc.idleTimer != nil {
+		pc.idleTimer.Stop()
 	}
-	l.mu.Unlock()
+	pc.mu.Unlock()
 	if first {
-		l.pool.drop(l)
-		_ = l.nc.Close()
+		pc.pool.remove(pc)
+		_ = pc.nc.Close()
 	}
 }
 
-func (l *link) reason() error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.err
+// closeReason returns the error with which the connection was closed, nil while it is open.
+func (pc *persistConn) closeReason() error {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	return pc.err
 }
 
-// roundTrip writes the request and waits for the head of its answer.
-func (l *link) roundTrip(x *trip) (*http.Response, error) {
-	ctx := x.req.Context()
-	x.stop = context.AfterFunc(ctx, func() { l.close(context.Cause(ctx)) })
+// roundTrip writes the request and waits for the response headers.
+func (pc *persistConn) roundTrip(pr *pendingRequest) (*http.Response, error) {
+	ctx := pr.req.Context()
+	pr.stop = context.AfterFunc(ctx, func() { pc.close(context.Cause(ctx)) })
 	send := func() {
-		x.writeErr = l.write(x.req)
-		close(x.written)
+		pr.writeErr = pc.write(pr.req)
+		close(pr.written)
 	}
-	if x.req.Body == nil || x.req.Body == http.NoBody {
+	if pr.req.Body == nil || pr.req.Body == http.NoBody {
 		send()
 	} else {
 		go send()
 	}
 	select {
-	case a := <-x.answer:
-		return l.answered(x, a)
-	case <-x.written:
+	case r := <-pr.result:
+		return pc.wrapResponse(pr, r)
+	case <-pr.written:
 	}
-	if x.writeErr != nil && !x.withheld() {
-		return l.broken(x, x.writeErr)
+	if pr.writeErr != nil && !pr.isBodySkipped() {
+		return pc.awaitEarlyResponse(pr, pr.writeErr)
 	}
-	return l.answered(x, <-x.answer)
+	return pc.wrapResponse(pr, <-pr.result)
 }
 
-// writers are used again: a request needs one only while it is written.
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
+// writerPool reuses buffers: a request needs one only while it is written.
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 
-func (l *link) write(req *http.Request) error {
-	w, _ := writers.Get().(*bufio.Writer)
-	w.Reset(deadlined{l.nc})
+func (pc *persistConn) write(req *http.Request) error {
+	w, _ := writerPool.Get().(*bufio.Writer)
+	w.Reset(deadlineWriter{pc.nc})
 	defer func() {
 		w.Reset(nil)
-		writers.Put(w)
+		writerPool.Put(w)
 	}()
 	if err := req.Write(w); err != nil {
 		return errors.WithStack(err)
@@ -274,185 +283,189 @@
 	return errors.WithStack(w.Flush())
 }
 
-// deadlined bounds each write, so that a peer which reads nothing more is
-// noticed.
-type deadlined struct{ net.Conn }
+// deadlineWriter sets a deadline for each write, so that a peer that has stopped reading
+// is detected.
+type deadlineWriter struct{ net.Conn }
 
 // Write implements io.Writer.
-func (d deadlined) Write(p []byte) (int, error) {
-	_ = d.SetWriteDeadline(time.Now().Add(writeWithin))
-	return d.Conn.Write(p) //nolint:wrapcheck // callers look at its type
+func (d deadlineWriter) Write(p []byte) (int, error) {
+	_ = d.SetWriteDeadline(time.Now().Add(writeTimeout))
+	return d.Conn.Write(p) //nolint:wrapcheck // callers inspect the type of the error
 }
 
-// broken is called when the request could not be written whole. The other
-// side may have answered before it had read all.
-func (l *link) broken(x *trip, err error) (*http.Response, error) {
-	timer := time.NewTimer(answerAfterBreak)
+// awaitEarlyResponse is called when the request could not be written completely. The
+// server may have responded before it had read all of it.
+func (pc *persistConn) awaitEarlyResponse(pr *pendingRequest, err error) (*http.Response, error) {
+	timer := time.NewTimer(earlyResponseTimeout)
 	defer timer.Stop()
 	select {
-	case a := <-x.answer:
-		if a.err == nil {
-			a.res.Close = true
-			return l.answered(x, a)
+	case r := <-pr.result:
+		if r.err == nil {
+			r.res.Close = true
+			return pc.wrapResponse(pr, r)
 		}
 	case <-timer.C:
 	}
-	x.stop()
-	l.close(err)
+	pr.stop()
+	pc.close(err)
 	return nil, err
 }
 
-// answered hands out an answer whose body ends the trip.
-func (l *link) answered(x *trip, a answer) (*http.Response, error) {
-	if a.err != nil {
-		x.stop()
-		return nil, a.err
+// wrapResponse returns a response whose body releases the connection at its end.
+func (pc *persistConn) wrapResponse(pr *pendingRequest, r result) (*http.Response, error) {
+	if r.err != nil {
+		pr.stop()
+		return nil, r.err
 	}
-	b := &answerBody{ReadCloser: a.res.Body, l: l, x: x, keep: !a.res.Close}
-	if a.res.Body == http.NoBody {
-		b.pass(b.keep)
+	b := &responseBody{ReadCloser: r.res.Body, pc: pc, pr: pr, reusable: !r.res.Close}
+	if r.res.Body == http.NoBody {
+		b.release(b.reusable)
 	}
-	a.res.Body = b
-	return a.res, nil
+	r.res.Body = b
+	return r.res, nil
 }
 
-// read is the link's goroutine.
-func (l *link) read() {
+// readLoop reads responses until the connection is closed. It runs in its own goroutine.
+func (pc *persistConn) readLoop() {
 	for {
-		l.head.armed = false
-		_, err := l.br.Peek(1)
-		l.mu.Lock()
-		x := l.now
-		l.mu.Unlock()
-		if x == nil {
+		pc.head.enabled = false
+		_, err := pc.br.Peek(1)
+		pc.mu.Lock()
+		pr := pc.current
+		pc.mu.Unlock()
+		if pr == nil {
 			if err == nil {
 				err = ErrUnsolicited
 			}
-			l.close(err)
+			pc.close(err)
 			return
 		}
 		if err != nil {
-			l.failed(x, err)
+			pc.fail(pr, err)
 			return
 		}
-		res, err := l.readAnswer(x)
+		res, err := pc.readResponse(pr)
 		if err != nil {
-			l.failed(x, err)
+			pc.fail(pr, err)
 			return
 		}
-		x.decide(false)
-		x.answer <- answer{res: res}
-		if !<-x.passed {
-			l.close(ErrClosed)
+		pr.decideBody(false)
+		pr.result <- result{res: res}
+		if !<-pr.reusable {
+			pc.close(ErrClosed)
 			return
 		}
 	}
 }
 
-func (l *link) failed(x *trip, err error) {
-	l.close(err)
-	x.decide(false)
-	x.answer <- answer{err: l.reason()}
+// fail closes the connection and ends the round trip with the reason for which the
+// connection was closed first.
+func (pc *persistConn) fail(pr *pendingRequest, err error) {
+	pc.close(err)
+	pr.decideBody(false)
+	pr.result <- result{err: pc.closeReason()}
 }
 
-// readAnswer reads the answer to a request. One that belongs to another
-// request is dropped: its sender has answered twice, or too late.
-func (l *link) readAnswer(x *trip) (*http.Response, error) {
-	req := x.req
-	for range maxUnsolicited {
-		res, err := l.readOne(x)
+// readResponse reads the response to a request. Responses that do not match the request
+// are discarded: the server has sent two responses to an earlier request, or one too late.
+func (pc *persistConn) readResponse(pr *pendingRequest) (*http.Response, error) {
+	req := pr.req
+	for range maxUnsolicitedResponses {
+		res, err := pc.readFinalResponse(pr)
 		if err != nil {
 			return nil, err
 		}
-		if l.pool.cfg.Matches == nil || l.pool.cfg.Matches(req, res) {
+		if pc.pool.cfg.Matches == nil || pc.pool.cfg.Matches(req, res) {
 			return res, nil
 		}
-		if res.ContentLength < 0 && !chunked(res) || res.Close {
-			return nil, ErrUnsolicited // nothing can follow it
+		if res.ContentLength < 0 && !isChunked(res) || res.Close {
+			return nil, ErrUnsolicited // the connection ends with this response
 		}
-		if _, err := io.CopyN(io.Discard, res.Body, maxUnsolicitedBody); !errors.Is(err, io.EOF) {
+		if _, err := io.CopyN(io.Discard, res.Body, maxUnsolicitedBodyBytes); !errors.Is(err, io.EOF) {
 			return nil, ErrUnsolicited
 		}
 	}
 	return nil, ErrUnsolicited
 }
 
-func chunked(res *http.Response) bool {
+func isChunked(res *http.Response) bool {
 	return len(res.TransferEncoding) > 0 && res.TransferEncoding[0] == "chunked"
 }
 
-// readOne reads one final answer.
-func (l *link) readOne(x *trip) (*http.Response, error) {
+// readFinalResponse reads responses up to the first one that is not informational (1xx).
+func (pc *persistConn) readFinalResponse(pr *pendingRequest) (*http.Response, error) {
 	for {
-		l.head.armed, l.head.left = true, maxAnswerHead
-		res, err := http.ReadResponse(l.br, x.req)
-		l.head.armed = false
+		pc.head.enabled, pc.head.remaining = true, maxResponseHeaderBytes
+		res, err := http.ReadResponse(pc.br, pr.req)
+		pc.head.enabled = false
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
 		if res.StatusCode >= http.StatusOK {
-			l.keepFor(res)
+			pc.applyKeepAlive(res)
 			return res, nil
 		}
 		if res.StatusCode == http.StatusContinue {
-			x.decide(true)
+			pr.decideBody(true)
 		}
 	}
 }
 
-// keepFor takes the other side's word for how long it keeps the connection.
-func (l *link) keepFor(res *http.Response) {
+// applyKeepAlive adopts the idle timeout that the server gives in the Keep-Alive header,
+// less a margin.
+func (pc *persistConn) applyKeepAlive(res *http.Response) {
 	for field := range strings.SplitSeq(res.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		n, err := strconv.Atoi(value)
 		if !strings.EqualFold(name, "timeout") || err != nil || n < 0 {
 			continue
 		}
-		l.mu.Lock()
-		l.keep = min(l.pool.cfg.IdleTimeout, time.Duration(n)*time.Second-keepMargin)
-		l.mu.Unlock()
+		pc.mu.Lock()
+		pc.idleTimeout = min(pc.pool.cfg.IdleTimeout, time.Duration(n)*time.Second-keepAliveMargin)
+		pc.mu.Unlock()
 	}
 }
 
-// pass ends a trip. It returns the link to its pool if another request may
-// follow.
-func (l *link) pass(x *trip, ok bool) {
-	ok = x.stop() && ok
-	if x.unasked() {
-		<-x.written // it ends at once
+// release ends a request. It returns the connection to the pool if ok is set and the
+// connection can carry another request; otherwise it closes the connection.
+func (pc *persistConn) release(pr *pendingRequest, ok bool) {
+	ok = pr.stop() && ok
+	if pr.isBodyRejected() {
+		<-pr.written // writing ends at once
 	}
-	if x.isWritten() {
-		ok = ok && (x.writeErr == nil || (x.withheld() && x.req.Header.Get(HeaderHeld) != ""))
+	if pr.isWritten() {
+		ok = ok && (pr.writeErr == nil || (pr.isBodySkipped() && pr.req.Header.Get(HeaderHeld) != ""))
 	} else {
-		// The request is still being written: its rest must not be taken for
-		// the next one, so the connection ends.
+		// The request is still being written. The server must not parse the rest of it
+		// as the next request, so the connection is closed.
 		ok = false
 	}
-	l.mu.Lock()
-	keep := l.keep
-	l.mu.Unlock()
-	// Bytes behind a complete answer belong to no request. (The goroutine that
-	// reads waits for passed, so the buffer is at rest.)
-	if !ok || keep <= 0 || l.br.Buffered() > 0 {
-		l.close(ErrClosed)
-		x.passed <- false
+	pc.mu.Lock()
+	idleTimeout := pc.idleTimeout
+	pc.mu.Unlock()
+	// Bytes after a complete response belong to no request. (The buffer can be accessed
+	// here since readLoop waits for reusable.)
+	if !ok || idleTimeout <= 0 || pc.br.Buffered() > 0 {
+		pc.close(ErrClosed)
+		pr.reusable <- false
 		return
 	}
-	l.mu.Lock()
-	l.now = nil
-	l.expire = time.AfterFunc(keep, func() { l.expired() })
-	l.mu.Unlock()
-	x.passed <- true
-	if !l.pool.put(l) {
-		l.close(ErrClosed)
+	pc.mu.Lock()
+	pc.current = nil
+	pc.idleTimer = time.AfterFunc(idleTimeout, func() { pc.closeIfIdle() })
+	pc.mu.Unlock()
+	pr.reusable <- true
+	if !pc.pool.putIdle(pc) {
+		pc.close(ErrClosed)
 	}
 }
 
-func (l *link) expired() {
-	l.mu.Lock()
-	idle := l.now == nil
-	l.mu.Unlock()
+// closeIfIdle is called when the idle timeout has passed.
+func (pc *persistConn) closeIfIdle() {
+	pc.mu.Lock()
+	idle := pc.current == nil
+	pc.mu.Unlock()
 	if idle {
-		l.close(ErrClosed)
+		pc.close(ErrClosed)
 	}
 }
--- a/briarrockd/http1/pool.go
+++ b/briarrockd/http1/pool.go
@@ -11,178 +11,180 @@
 	"github.com/pkg/errors"
 )
 
-// PoolConfig says how a Pool connects and what it keeps.
+// PoolConfig configures a Pool.
 type PoolConfig struct {
 	// Dial opens a connection.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// IdleTimeout is how long a connection is kept that no request uses, less where
-	// the other side says that it closes sooner.
+	// IdleTimeout is how long an idle connection is kept; less if the server
+	// announces a shorter time in the Keep-Alive header.
 	IdleTimeout time.Duration
-	// MaxConnsPerAddr bounds the connections to one address, the busy ones included; 0
-	// for no bound. A request beyond it fails with ErrTooMany, unsent.
+	// MaxConnsPerAddr limits the connections to one address, idle and active; 0
+	// means no limit. A request over the limit fails with ErrTooManyConns and is
+	// not sent.
 	MaxConnsPerAddr int
-	// Matches, if set, tells whether an answer is the one to a request. Any
-	// other answer is dropped, and the next one is read.
+	// Matches, if set, reports whether a response belongs to a request. A response
+	// that does not is discarded, and the next one is read.
 	Matches func(req *http.Request, res *http.Response) bool
 }
 
-// ErrTooManyConns says that all connections to an address are taken.
-var ErrTooManyConns = errors.New("http1: too many connections")
+// ErrTooManyConns is returned if all connections allowed to an address are in use.
+var ErrTooManyConns = errors.New("http1: connection limit of the address reached")
 
-// Pool keeps connections to any number of addresses. It implements
-// http.RoundTripper. The zero value is not useful; NewPool makes one.
+// Pool is an http.RoundTripper that keeps idle connections to any number of addresses.
+// The zero value cannot be used; call NewPool.
 type Pool struct {
 	cfg    PoolConfig
 	mu     sync.Mutex
-	byAddr map[string]*site
+	byAddr map[string]*addrConns
 	closed bool
 }
 
-// site is what a pool has of one address.
-type site struct {
-	idle []*link // the one used last at the end
-	open int
+// addrConns are a pool's connections to one address.
+type addrConns struct {
+	idle []*persistConn // the most recently used one last
+	open int            // idle, active and being opened
 }
 
 // NewPool returns a pool without connections.
 func NewPool(cfg PoolConfig) *Pool {
 	if cfg.IdleTimeout == 0 {
-		cfg.IdleTimeout = idleWithin
+		cfg.IdleTimeout = defaultIdleTimeout
 	}
-	return &Pool{cfg: cfg, byAddr: make(map[string]*site)}
+	return &Pool{cfg: cfg, byAddr: make(map[string]*addrConns)}
 }
 
-// RoundTrip implements http.RoundTripper. The request is written to one
-// connection, once.
+// RoundTrip implements http.RoundTripper. It sends the request on one connection and
+// does not retry.
 func (p *Pool) RoundTrip(req *http.Request) (*http.Response, error) {
-	x := newTrip(req)
-	l, err := p.take(req.Context(), req.URL.Host, x)
+	pr := newPendingRequest(req)
+	pc, err := p.getConn(req.Context(), req.URL.Host, pr)
 	if err != nil {
 		return nil, err
 	}
 	if tr := httptrace.ContextClientTrace(req.Context()); tr != nil && tr.GotConn != nil {
-		tr.GotConn(httptrace.GotConnInfo{Conn: l.nc})
+		tr.GotConn(httptrace.GotConnInfo{Conn: pc.nc})
 	}
-	return l.roundTrip(x)
+	return pc.roundTrip(pr)
 }
 
-// take gives a trip a connection: the idle one that was used last, or else a
-// new one.
-func (p *Pool) take(ctx context.Context, addr string, x *trip) (*link, error) {
+// getConn assigns a connection to a request: the most recently used idle one, or else
+// a new one.
+func (p *Pool) getConn(ctx context.Context, addr string, pr *pendingRequest) (*persistConn, error) {
 	for {
-		l, err := p.pop(addr)
+		pc, err := p.popIdle(addr)
 		if err != nil {
 			return nil, err
 		}
-		if l == nil {
+		if pc == nil {
 			break
 		}
-		if l.begin(x) {
-			return l, nil
+		if pc.acquire(pr) {
+			return pc, nil
 		}
 	}
 	nc, err := p.cfg.Dial(ctx, "tcp", addr)
 	if err != nil {
-		p.gone(addr)
+		p.decrementOpen(addr)
 		return nil, errors.WithStack(err)
 	}
-	l := newLink(p, addr, nc)
-	l.begin(x)
-	go l.read()
-	return l, nil
+	pc := newPersistConn(p, addr, nc)
+	pc.acquire(pr)
+	go pc.readLoop()
+	return pc, nil
 }
 
-// pop returns an idle connection, or nil after counting a new one as open.
-func (p *Pool) pop(addr string) (*link, error) {
+// popIdle takes an idle connection out of the pool. If there is none, it returns nil
+// after counting the connection that the caller is going to open.
+func (p *Pool) popIdle(addr string) (*persistConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, ErrClosed
 	}
-	s := p.byAddr[addr]
-	if s == nil {
-		s = new(site)
-		p.byAddr[addr] = s
+	conns := p.byAddr[addr]
+	if conns == nil {
+		conns = new(addrConns)
+		p.byAddr[addr] = conns
 	}
-	if n := len(s.idle); n > 0 {
-		l := s.idle[n-1]
-		s.idle = s.idle[:n-1]
-		return l, nil
+	if n := len(conns.idle); n > 0 {
+		pc := conns.idle[n-1]
+		conns.idle = conns.idle[:n-1]
+		return pc, nil
 	}
-	if p.cfg.MaxConnsPerAddr > 0 && s.open >= p.cfg.MaxConnsPerAddr {
+	if p.cfg.MaxConnsPerAddr > 0 && conns.open >= p.cfg.MaxConnsPerAddr {
 		return nil, ErrTooManyConns
 	}
-	s.open++
+	conns.open++
 	return nil, nil
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(l *link) bool {
+// putIdle adds an idle connection to the pool. It returns false if the pool is closed.
+func (p *Pool) putIdle(pc *persistConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.byAddr[l.addr]
-	if p.closed || s == nil {
+	conns := p.byAddr[pc.addr]
+	if p.closed || conns == nil {
 		return false
 	}
-	s.idle = append(s.idle, l)
+	conns.idle = append(conns.idle, pc)
 	return true
 }
 
-// gone notes that a connection has ended, or could not be opened.
-func (p *Pool) gone(addr string) {
+// decrementOpen is called when a connection was closed or could not be opened.
+func (p *Pool) decrementOpen(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.byAddr[addr]
-	if s == nil {
+	conns := p.byAddr[addr]
+	if conns == nil {
 		return
 	}
-	s.open--
-	if s.open <= 0 && len(s.idle) == 0 {
+	conns.open--
+	if conns.open <= 0 && len(conns.idle) == 0 {
 		delete(p.byAddr, addr)
 	}
 }
 
-// drop takes a connection that has ended from the idle ones.
-func (p *Pool) drop(l *link) {
+// remove removes a closed connection from the pool.
+func (p *Pool) remove(pc *persistConn) {
 	p.mu.Lock()
-	if s := p.byAddr[l.addr]; s != nil {
-		for i, x := range s.idle {
-			if x == l {
-				s.idle = append(s.idle[:i], s.idle[i+1:]...)
+	if conns := p.byAddr[pc.addr]; conns != nil {
+		for i, c := range conns.idle {
+			if c == pc {
+				conns.idle = append(conns.idle[:i], conns.idle[i+1:]...)
 				break
 			}
 		}
 	}
 	p.mu.Unlock()
-	p.gone(l.addr)
+	p.decrementOpen(pc.addr)
 }
 
-// OpenConns returns how many connections are open.
+// OpenConns returns the number of connections that are open or being opened.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, s := range p.byAddr {
-		n += s.open
+	for _, conns := range p.byAddr {
+		n += conns.open
 	}
 	return n
 }
 
-// CloseIdleConnections closes the connections that no request uses.
+// CloseIdleConnections closes the idle connections.
 func (p *Pool) CloseIdleConnections() {
 	p.mu.Lock()
-	var idle []*link
-	for _, s := range p.byAddr {
-		idle = append(idle, s.idle...)
+	var idle []*persistConn
+	for _, conns := range p.byAddr {
+		idle = append(idle, conns.idle...)
 	}
 	p.mu.Unlock()
-	for _, l := range idle {
-		l.close(ErrClosed)
+	for _, pc := range idle {
+		pc.close(ErrClosed)
 	}
 }
 
-// Close closes the idle connections, and lets the others end with their
-// requests.
+// Close closes the idle connections. Active connections are closed when their requests
+// have ended.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/briarrockd/http1/pool_test.go
+++ b/briarrockd/http1/pool_test.go
@@ -17,9 +17,9 @@
 	"briarrock.example/briarrockd/http1"
 )
 
-// other is the other side of a pool: a listener whose connections are given to
-// a function, one after the other.
-func other(c *qt.C, serve func(n int, nc net.Conn, br *bufio.Reader)) string {
+// listen starts a server for a pool and returns its address. serve is called in a new
+// goroutine for each connection; n counts the connections from 1.
+func listen(c *qt.C, serve func(n int, nc net.Conn, br *bufio.Reader)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = l.Close() })
@@ -59,19 +59,19 @@
 	return string(b), err
 }
 
-func answer(nc io.Writer, name, body string) {
+func writeResponse(nc io.Writer, name, body string) {
 	_, _ = fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nName: %s\r\nContent-Length: %d\r\n\r\n%s", name, len(body), body)
 }
 
-// TestStranger has a target that answers each request twice, the second time
-// late: where the answer to the next request is due.
+// TestDuplicateResponse has a target that responds to each request twice. The second
+// response arrives where that to the next request is expected.
 //
-// The next caller would get another caller's answer. It is told apart by its
-// name and dropped, and the right one follows on the same connection.
-func TestStranger(t *testing.T) {
+// The next caller would get another caller's response. Matches detects it by its Name
+// header, the response is discarded, and the right one follows on the same connection.
+func TestDuplicateResponse(t *testing.T) {
 	c := qt.New(t)
 	conns := atomic.Int32{}
-	addr := other(c, func(n int, nc net.Conn, br *bufio.Reader) {
+	addr := listen(c, func(n int, nc net.Conn, br *bufio.Reader) {
 		conns.Store(int32(n))
 		last := ""
 		for {
@@ -80,10 +80,10 @@
 				return
 			}
 			if last != "" {
-				answer(nc, last, "old")
+				writeResponse(nc, last, "old")
 			}
 			last = req.Header.Get("Name")
-			answer(nc, last, "new "+last)
+			writeResponse(nc, last, "new "+last)
 		}
 	})
 	p := pool(http1.PoolConfig{})
@@ -95,47 +95,47 @@
 	c.Check(conns.Load(), qt.Equals, int32(1))
 }
 
-// TestUnasked has a target that sends something while nobody asks.
+// TestUnsolicitedBytes has a target that sends bytes on an idle connection.
 //
-// Whatever it is belongs to no request, so the connection is given up, and the
-// next request goes over a new one.
-func TestUnasked(t *testing.T) {
+// They belong to no request, so the connection is closed and the next request is sent on
+// a new one.
+func TestUnsolicitedBytes(t *testing.T) {
 	c := qt.New(t)
-	gone := make(chan struct{})
-	addr := other(c, func(n int, nc net.Conn, br *bufio.Reader) {
+	closed := make(chan struct{})
+	addr := listen(c, func(n int, nc net.Conn, br *bufio.Reader) {
 		req, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
-		answer(nc, req.Header.Get("Name"), fmt.Sprint(n))
+		writeResponse(nc, req.Header.Get("Name"), fmt.Sprint(n))
 		if n == 1 {
 			_, _ = io.WriteString(nc, "junk")
 			_, _ = br.ReadByte()
-			close(gone)
+			close(closed)
 		}
 	})
 	p := pool(http1.PoolConfig{})
 	body, err := get(p, addr, "a")
 	c.Assert(err, qt.IsNil)
 	c.Check(body, qt.Equals, "1")
-	<-gone
+	<-closed
 	body, err = get(p, addr, "b")
 	c.Assert(err, qt.IsNil)
 	c.Check(body, qt.Equals, "2")
 }
 
-// TestBreaks goes through answers that end before they are whole: the caller
-// of the pool sees an error with each of them.
-func TestBreaks(t *testing.T) {
+// TestInvalidResponse tests truncated and malformed responses. The caller of the pool gets
+// an error for each of them.
+func TestInvalidResponse(t *testing.T) {
 	for name, text := range map[string]string{
-		"no answer":        "",
-		"half a head":      "HTTP/1.1 200 OK\r\nNam",
-		"half a body":      "HTTP/1.1 200 OK\r\nName: a\r\nContent-Length: 10\r\n\r\nhalf",
-		"half a chunk":     "HTTP/1.1 200 OK\r\nName: a\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nhalf",
-		"no answer's text": "hello\r\n\r\n",
+		"no response":       "",
+		"truncated headers": "HTTP/1.1 200 OK\r\nNam",
+		"truncated body":    "HTTP/1.1 200 OK\r\nName: a\r\nContent-Length: 10\r\n\r\nhalf",
+		"truncated chunk":   "HTTP/1.1 200 OK\r\nName: a\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nhalf",
+		"not HTTP":          "hello\r\n\r\n",
 	} {
 		c := qt.New(t)
-		addr := other(c, func(_ int, nc net.Conn, br *bufio.Reader) {
+		addr := listen(c, func(_ int, nc net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			_, _ = io.WriteString(nc, text)
 			_ = nc.Close()
@@ -145,16 +145,17 @@
 	}
 }
 
-// TestReset has an answer without a length whose connection is reset: it can't
-// be told to be whole. One whose connection ends is whole.
-func TestReset(t *testing.T) {
+// TestResetWithoutLength has a response without Content-Length, whose end is the end of
+// the connection. If the connection is closed, the response is complete; if it is reset,
+// the response may be truncated, and reading it must fail.
+func TestResetWithoutLength(t *testing.T) {
 	for _, reset := range []bool{true, false} {
 		c := qt.New(t)
-		begun := make(chan struct{})
-		addr := other(c, func(_ int, nc net.Conn, br *bufio.Reader) {
+		received := make(chan struct{})
+		addr := listen(c, func(_ int, nc net.Conn, br *bufio.Reader) {
 			_, _ = http.ReadRequest(br)
 			_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\nName: a\r\n\r\nbody")
-			<-begun
+			<-received
 			if reset {
 				_ = nc.(*net.TCPConn).SetLinger(0)
 			}
@@ -164,7 +165,7 @@
 		req.Header.Set("Name", "a")
 		res, err := pool(http1.PoolConfig{}).RoundTrip(req)
 		c.Assert(err, qt.IsNil)
-		close(begun)
+		close(received)
 		b, err := io.ReadAll(res.Body)
 		c.Check(err == nil, qt.Equals, !reset)
 		if !reset {
@@ -173,24 +174,24 @@
 	}
 }
 
-// TestEarly has a target that answers before it has read a long body, and
-// keeps the connection.
+// TestEarlyResponse has a target that responds before it has read a long body, and keeps
+// the connection open.
 //
-// What it gets next on that connection must be the rest of the body. Since the
-// rest is not sent any more, nothing else may be: the connection ends.
-func TestEarly(t *testing.T) {
+// The target would parse the next bytes on that connection as the rest of the body. Since
+// the rest is no longer sent, the connection must not be reused and is closed.
+func TestEarlyResponse(t *testing.T) {
 	c := qt.New(t)
-	addr := other(c, func(n int, nc net.Conn, br *bufio.Reader) {
+	addr := listen(c, func(n int, nc net.Conn, br *bufio.Reader) {
 		req, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
-		answer(nc, req.Header.Get("Name"), fmt.Sprint(n))
+		writeResponse(nc, req.Header.Get("Name"), fmt.Sprint(n))
 	})
 	p := pool(http1.PoolConfig{})
-	more, w := io.Pipe()
-	defer func() { _ = w.Close() }()
-	req, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/", io.MultiReader(strings.NewReader("begin"), more))
+	pr, pw := io.Pipe()
+	defer func() { _ = pw.Close() }()
+	req, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/", io.MultiReader(strings.NewReader("begin"), pr))
 	req.ContentLength = 1 << 20
 	req.Header.Set("Name", "a")
 	body, err := do(p, req)
@@ -201,13 +202,13 @@
 	c.Check(body, qt.Equals, "2")
 }
 
-// TestKeepAlive has targets that say how long they keep a connection. One that
-// is about to be closed is not used: a request on it may be lost, and nobody
-// could tell whether it was read.
+// TestKeepAlive has targets that announce how long they keep an idle connection. A
+// connection that is about to be closed is not reused: a request on it may be lost, and
+// it would be unknown whether the target has read it.
 func TestKeepAlive(t *testing.T) {
 	for head, conns := range map[string]string{"": "1", "Keep-Alive: timeout=60\r\n": "1", "Keep-Alive: timeout=1\r\n": "2", "Connection: close\r\n": "2"} {
 		c := qt.New(t)
-		addr := other(c, func(n int, nc net.Conn, br *bufio.Reader) {
+		addr := listen(c, func(n int, nc net.Conn, br *bufio.Reader) {
 			for {
 				req, err := http.ReadRequest(br)
 				if err != nil {
@@ -225,64 +226,63 @@
 	}
 }
 
-// TestCancel gives a request up: its connection ends, so that the other side
-// notices and stops.
+// TestCancel cancels a request. Its connection is closed, so that the server detects it
+// and can stop.
 func TestCancel(t *testing.T) {
 	c := qt.New(t)
-	asked, noticed := make(chan struct{}), make(chan struct{})
-	addr := other(c, func(_ int, _ net.Conn, br *bufio.Reader) {
+	received, closed := make(chan struct{}), make(chan struct{})
+	addr := listen(c, func(_ int, _ net.Conn, br *bufio.Reader) {
 		_, _ = http.ReadRequest(br)
-		close(asked)
+		close(received)
 		_, _ = br.ReadByte()
-		close(noticed)
+		close(closed)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/", nil)
-	go func() { <-asked; cancel() }()
+	go func() { <-received; cancel() }()
 	p := pool(http1.PoolConfig{})
 	_, err := p.RoundTrip(req)
 	c.Check(err, qt.ErrorIs, context.Canceled)
-	<-noticed
+	<-closed
 	c.Check(p.OpenConns(), qt.Equals, 0)
 }
 
-// TestMost bounds the connections to one address: the request beyond is not
-// sent.
-func TestMost(t *testing.T) {
+// TestMaxConnsPerAddr limits the connections to one address. A request over the limit is
+// not sent.
+func TestMaxConnsPerAddr(t *testing.T) {
 	c := qt.New(t)
-	asked, end := make(chan struct{}), make(chan struct{})
-	addr := other(c, func(_ int, nc net.Conn, br *bufio.Reader) {
+	received, end := make(chan struct{}), make(chan struct{})
+	addr := listen(c, func(_ int, nc net.Conn, br *bufio.Reader) {
 		req, _ := http.ReadRequest(br)
-		asked <- struct{}{}
+		received <- struct{}{}
 		<-end
-		answer(nc, req.Header.Get("Name"), "")
+		writeResponse(nc, req.Header.Get("Name"), "")
 	})
 	p := pool(http1.PoolConfig{MaxConnsPerAddr: 1})
 	done := make(chan error)
 	go func() { _, err := get(p, addr, "a"); done <- err }()
-	<-asked
+	<-received
 	_, err := get(p, addr, "b")
 	c.Check(err, qt.ErrorIs, http1.ErrTooManyConns)
 	close(end)
 	c.Check(<-done, qt.IsNil)
 }
 
-// TestExpect sends long bodies that the other side wants, refuses, and never
-// answers to.
+// TestExpectContinue sends long bodies that the server requests, rejects, or never
+// responds to.
 //
-// A body that is refused must not take any bandwidth, nor be taken for the next
-// request on its connection; one that nobody asks for must not keep its request
-// from ending with its caller.
-func TestExpect(t *testing.T) {
+// A rejected body must not use any bandwidth, nor be parsed as the next request on its
+// connection. A request whose body is never requested must still end when it is canceled.
+func TestExpectContinue(t *testing.T) {
 	c := qt.New(t)
-	var asked atomic.Int32
-	addr := other(c, func(_ int, nc net.Conn, br *bufio.Reader) {
+	var requests atomic.Int32
+	addr := listen(c, func(_ int, nc net.Conn, br *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(br)
 			if err != nil {
 				return
 			}
-			asked.Add(1)
+			requests.Add(1)
 			name := req.Header.Get("Name")
 			switch name {
 			case "wanted":
@@ -293,7 +293,7 @@
 				_, _ = io.WriteString(nc, "HTTP/1.1 503 No\r\nName: refused\r\nContent-Length: 2\r\n\r\nno")
 				n, _ := io.Copy(io.Discard, br)
 				if n != 0 {
-					t.Errorf("%d bytes of a body that was refused", n)
+					t.Errorf("received %d bytes of a rejected body", n)
 				}
 				return
 			default:
@@ -324,7 +324,7 @@
 		_, err := post(ctx, "never")
 		ended <- err
 	}()
-	for asked.Load() < 7 {
+	for requests.Load() < 7 {
 		runtime.Gosched()
 	}
 	cancel()
--- a/briarrockd/http1/server.go
+++ b/briarrockd/http1/server.go
@@ -12,52 +12,53 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// Bounds of a server where its Limits set none.
+// Limits of a server. Those with the prefix default apply if ServerConfig.Limits sets none.
 const (
-	// maxHead bounds the head of a request.
-	maxHead = 64 << 10
-	// headWithin bounds the time from a head's first byte to its last.
-	headWithin = 10 * time.Second
-	// idleWithin bounds the time between two requests on a connection.
-	idleWithin = 2 * time.Minute
-	// writeWithin bounds the writing of one piece of an answer: a caller that
-	// doesn't read must not hold its answer in memory for good.
-	writeWithin = 10 * time.Second
-	// bodyWithin bounds the time without a byte of a body.
-	bodyWithin = 10 * time.Second
-	// maxPipeline bounds the requests of one connection that are under way.
-	maxPipeline = 16
-	// acceptPause is the wait after a failed accept, for want of descriptors
-	// as a rule.
-	acceptPause = 50 * time.Millisecond
+	// defaultHeaderBytes limits the request line and headers of a request.
+	defaultHeaderBytes = 64 << 10
+	// defaultHeaderTimeout limits the time from the first byte of a request to the end
+	// of its headers.
+	defaultHeaderTimeout = 10 * time.Second
+	// defaultIdleTimeout limits the time between two requests on a connection.
+	defaultIdleTimeout = 2 * time.Minute
+	// writeTimeout limits each write. The response to a caller that does not read
+	// would otherwise stay in memory forever.
+	writeTimeout = 10 * time.Second
+	// bodyReadTimeout limits the time between two reads of a request body.
+	bodyReadTimeout = 10 * time.Second
+	// maxPipelinedRequests limits the pending requests of one connection.
+	maxPipelinedRequests = 16
+	// acceptRetryDelay is the delay after a failed accept, which usually means that no
+	// file descriptor is available.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// ServerConfig is what a Server needs.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Handler http.Handler
-	// Limits, if set, returns the bounds for callers at the moment.
+	// Limits, if set, returns the current limits for callers.
 	Limits func() snapshot.Limits
-	// MaxConns bounds the open connections; 0 for no bound. One more takes the
-	// place of an idle one, and is closed as soon as it is opened if none is idle.
+	// MaxConns limits the open connections; 0 means no limit. At the limit, a new
+	// connection evicts an idle one; if none is idle, the new connection is closed.
 	MaxConns int
-	// OnPanic, if set, is told of a handler that panicked.
+	// OnPanic, if set, is called with the value and the stack of a handler's panic.
 	OnPanic func(v any, stack []byte)
 }
 
-// Server serves connections. NewServer makes one.
+// Server is an HTTP/1.1 server. Create it with NewServer.
 type Server struct {
-	cfg      ServerConfig
-	ctx      context.Context
-	cancel   context.CancelFunc
-	mu       sync.Mutex
-	conns    map[*conn]struct{}
-	draining bool
-	ending   bool
-	closed   bool
-	wg       sync.WaitGroup
-}
-
-// NewServer returns a server that serves nothing yet.
+	cfg          ServerConfig
+	ctx          context.Context
+	cancel       context.CancelFunc
+	mu           sync.Mutex
+	conns        map[*conn]struct{}
+	draining     bool // Drain was called
+	shuttingDown bool // Shutdown has canceled pipelined requests
+	closed       bool
+	wg           sync.WaitGroup
+}
+
+// NewServer returns a server. Serve starts it.
 func NewServer(cfg ServerConfig) *Server {
 	if cfg.OnPanic == nil {
 		cfg.OnPanic = func(any, []byte) {}
@@ -67,26 +68,26 @@
 	return s
 }
 
-// limits are the configured bounds, with the package's own for what is unset.
+// limits returns the configured limits, with the defaults for those that are not set.
 func (s *Server) limits() snapshot.Limits {
 	var l snapshot.Limits
 	if s.cfg.Limits != nil {
 		l = s.cfg.Limits()
 	}
 	if l.HeaderBytes == 0 {
-		l.HeaderBytes = maxHead
+		l.HeaderBytes = defaultHeaderBytes
 	}
 	if l.HeaderTime == 0 {
-		l.HeaderTime = headWithin
+		l.HeaderTime = defaultHeaderTimeout
 	}
 	if l.IdleTime == 0 {
-		l.IdleTime = idleWithin
+		l.IdleTime = defaultIdleTimeout
 	}
 	return l
 }
 
-// Serve takes connections from l until the server is closed, which also
-// closes l. It returns ErrClosed then.
+// Serve accepts connections from l until the server is closed, which also closes l. It
+// then returns ErrClosed.
 func (s *Server) Serve(l net.Listener) error {
 	stop := context.AfterFunc(s.ctx, func() { _ = l.Close() })
 	defer stop()
@@ -98,7 +99,7 @@
 		case s.ctx.Err() != nil, errors.Is(err, net.ErrClosed):
 			return ErrClosed
 		default:
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
@@ -120,20 +121,22 @@
 	})
 }
 
-// Drain makes every answer from now on say that its connection closes.
+// Drain makes responses close their connections, with the header "Connection: close".
+// While later pipelined requests are being handled, a connection stays open for their
+// responses.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// overConnLimit is the part of MaxConns, as overConnLimit/overConnLimitOf, from which on answers
-// close their connections. Callers who were refused come back on a new one and
-// leave the old one open: in a rush these would take all descriptors, and none
-// would be left for the way to the targets.
+// If more than shedConnsNumerator/shedConnsDenominator of MaxConns are open, responses
+// close their connections. Callers that were rejected retry on a new connection and leave
+// the old one open. In an overload these idle connections would use up all file
+// descriptors, and none would be left for the connections to targets.
 const (
-	overConnLimit   = 1
-	overConnLimitOf = 2
+	shedConnsNumerator   = 1
+	shedConnsDenominator = 2
 )
 
 func (s *Server) isDraining() bool {
@@ -142,15 +145,15 @@
 	return s.draining
 }
 
-// sheds tells whether answers should close their connections.
-func (s *Server) sheds() bool {
+// shouldCloseConns reports whether responses close their connections.
+func (s *Server) shouldCloseConns() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.draining || (s.cfg.MaxConns > 0 && len(s.conns)*overConnLimitOf > s.cfg.MaxConns*overConnLimit)
+	return s.draining || (s.cfg.MaxConns > 0 && len(s.conns)*shedConnsDenominator > s.cfg.MaxConns*shedConnsNumerator)
 }
 
-// evictIdle tells whether there is room for one more connection, once an idle one
-// has been closed if need be.
+// evictIdle makes sure that one more connection can be added, by closing an idle one if
+// MaxConns is reached. It returns false if none is idle. s.mu must be held.
 func (s *Server) evictIdle() bool {
 	if s.cfg.MaxConns == 0 || len(s.conns) < s.cfg.MaxConns {
 		return true
@@ -164,53 +167,56 @@
 	return false
 }
 
-// Shutdown closes connections as they become idle, and returns when there are
-// none left or ctx ends. Requests that have been read are answered.
+// Shutdown drains the server and closes connections as they become idle, until none is
+// left or ctx ends. Until then it sends the responses to all requests that were read.
+// It then cancels pipelined requests and closes the remaining connections.
 func (s *Server) Shutdown(ctx context.Context) {
-	const look = 20 * time.Millisecond // far below what anybody waits for
+	const pollInterval = 20 * time.Millisecond // short compared with the time that a shutdown takes
 	s.Drain()
-	tick := time.NewTicker(look)
-	defer tick.Stop()
-	for ctx.Err() == nil && s.closeIdle() > 0 {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for ctx.Err() == nil && s.closeIdleConns() > 0 {
 		select {
 		case <-ctx.Done():
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
-	s.cutShort()
-	for end := time.Now().Add(cutWithin); time.Now().Before(end) && s.closeIdle() > 0; {
-		time.Sleep(look)
+	s.cancelPipelined()
+	for end := time.Now().Add(canceledResponseTimeout); time.Now().Before(end) && s.closeIdleConns() > 0; {
+		time.Sleep(pollInterval)
 	}
 	s.Close()
 }
 
-// cutWithin is the time for the last answers once handlers have been cut short.
-const cutWithin = 100 * time.Millisecond
+// canceledResponseTimeout is the time for sending the last responses after pipelined
+// requests were canceled.
+const canceledResponseTimeout = 100 * time.Millisecond
 
-// cutShort ends the work of handlers whose answers share a connection. One that is
-// ready may be waiting for the one before it, and would be lost with that: once the
-// earlier request has been given up, both are answered.
-func (s *Server) cutShort() {
+// cancelPipelined cancels the requests on connections with several of them. A response
+// that is ready may be waiting for that to an earlier request on the connection, and
+// would be lost when the connection is closed. After the earlier request was canceled,
+// both responses can be sent.
+func (s *Server) cancelPipelined() {
 	s.mu.Lock()
-	s.ending = true
+	s.shuttingDown = true
 	conns := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
 		conns = append(conns, c)
 	}
 	s.mu.Unlock()
 	for _, c := range conns {
-		c.cutShort()
+		c.cancelPipelined()
 	}
 }
 
-func (s *Server) isEnding() bool {
+func (s *Server) isShuttingDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ending
+	return s.shuttingDown
 }
 
-// closeIdle closes idle connections and returns how many others there are.
-func (s *Server) closeIdle() int {
+// closeIdleConns closes the idle connections and returns the number of active ones.
+func (s *Server) closeIdleConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	busy := 0
@@ -222,25 +228,26 @@
 	return busy
 }
 
-// OpenConns returns how many connections are open.
+// OpenConns returns the number of open connections.
 func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// PendingRequests returns how many requests are under way.
+// PendingRequests returns the number of requests that were read and whose responses are
+// not complete.
 func (s *Server) PendingRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
 	for c := range s.conns {
-		n += c.pendingNow()
+		n += c.pendingCount()
 	}
 	return n
 }
 
-// Close ends all connections at once.
+// Close closes all connections immediately and waits for their handlers to return.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/briarrockd/http1/server_test.go
+++ b/briarrockd/http1/server_test.go
@@ -16,10 +16,10 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// patience only ends a test that would hang.
-const patience = 30 * time.Second
+// testTimeout ends a test that hangs.
+const testTimeout = 30 * time.Second
 
-// serve runs a server for one test and returns a connection to it.
+// serve starts a server for one test and returns a connection to it.
 func serve(c *qt.C, cfg http1.ServerConfig) (*http1.Server, net.Conn) {
 	l, err := http1.ListenConfig().Listen(context.Background(), "tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -34,7 +34,7 @@
 	nc, err := net.Dial("tcp", addr)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = nc.Close() })
-	_ = nc.SetDeadline(time.Now().Add(patience))
+	_ = nc.SetDeadline(time.Now().Add(testTimeout))
 	return nc
 }
 
@@ -43,7 +43,7 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// receive reads one answer and its body.
+// receive reads one response and its body.
 func receive(br *bufio.Reader) (*http.Response, string, error) {
 	res, err := http.ReadResponse(br, nil)
 	if err != nil {
@@ -53,11 +53,11 @@
 	return res, string(b), err
 }
 
-// TestPipeline sends three requests before any is answered, the first of them
-// long.
+// TestPipeline sends three requests before the first response. The first request takes
+// until the others have been handled.
 //
-// The second and third are handled while the first is, since their caller is
-// waiting for them as well, and the answers come in the order of the requests.
+// All three are handled concurrently, and the responses are sent in the order of the
+// requests.
 func TestPipeline(t *testing.T) {
 	c := qt.New(t)
 	others := make(chan struct{}, 2)
@@ -79,68 +79,67 @@
 	}
 }
 
-// TestOnceBehind sends an order behind a request that is still being handled.
+// TestPipelinedPost pipelines an order after a request that is still being handled.
 //
-// The answer before it could still close the connection, and its caller would
-// take the order for not read and send it again. So it isn't begun until then.
-func TestOnceBehind(t *testing.T) {
+// The response before it could still close the connection. The caller would then assume
+// that the order was not read, and send it again. So it is not handled before that
+// response is complete.
+func TestPipelinedPost(t *testing.T) {
 	c := qt.New(t)
-	first, begun := make(chan struct{}), make(chan struct{}, 1)
+	first, started := make(chan struct{}), make(chan struct{}, 1)
 	_, nc := serve(c, http1.ServerConfig{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			<-first
 			return
 		}
-		begun <- struct{}{}
+		started <- struct{}{}
 	})})
 	send(c, nc, "GET /1 HTTP/1.1\nHost: a\n\nPOST /2 HTTP/1.1\nHost: a\nContent-Length: 0\n\n")
 	br := bufio.NewReader(nc)
 	select {
-	case <-begun:
-		t.Fatal("the order was begun")
+	case <-started:
+		t.Fatal("the POST request was handled before the previous response")
 	default:
 	}
 	close(first)
 	_, _, err := receive(br)
 	c.Assert(err, qt.IsNil)
-	<-begun
+	<-started
 }
 
-// TestGone lets a caller leave while its request is handled, with another one
-// waiting behind.
+// TestCallerDisconnects closes a connection while two pipelined requests are handled.
 //
-// The work would go on for nobody. The request's context ends as soon as the
-// connection does, whatever else is on it.
-func TestGone(t *testing.T) {
+// Nobody needs the responses, so the contexts of both requests are canceled.
+func TestCallerDisconnects(t *testing.T) {
 	c := qt.New(t)
-	begun, gone := make(chan struct{}, 2), make(chan struct{}, 2)
+	started, canceled := make(chan struct{}, 2), make(chan struct{}, 2)
 	_, nc := serve(c, http1.ServerConfig{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-r.Context().Done()
-		gone <- struct{}{}
+		canceled <- struct{}{}
 	})})
 	send(c, nc, "GET /1 HTTP/1.1\nHost: a\n\nGET /2 HTTP/1.1\nHost: a\n\n")
-	<-begun
-	<-begun
+	<-started
+	<-started
 	_ = nc.Close()
-	<-gone
-	<-gone
+	<-canceled
+	<-canceled
 }
 
-// TestDrain drains a server with two requests under way on one connection.
+// TestDrain drains a server with two pending requests on one connection.
 //
-// Both have been read, so both are answered; the last answer says that the
-// connection closes, and then it does.
+// Both have been read, so both get a response. The last response has "Connection: close",
+// and then the connection is closed.
 func TestDrain(t *testing.T) {
 	c := qt.New(t)
-	begun, end := make(chan struct{}, 2), make(chan struct{})
+	started, end := make(chan struct{}, 2), make(chan struct{})
 	s, nc := serve(c, http1.ServerConfig{Handler: http.HandlerFunc(func(_ http.ResponseWriter, _ *http.Request) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-end
 	})})
 	send(c, nc, "GET /1 HTTP/1.1\nHost: a\n\nGET /2 HTTP/1.1\nHost: a\n\n")
-	<-begun
-	<-begun
+	<-started
+	<-started
 	s.Drain()
 	close(end)
 	br := bufio.NewReader(nc)
@@ -152,15 +151,15 @@
 	c.Check(res.Close, qt.IsTrue)
 	_, err = br.ReadByte()
 	c.Check(err, qt.Equals, io.EOF)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	s.Shutdown(ctx)
 	c.Check(ctx.Err(), qt.IsNil)
 }
 
-// TestCutShort has a handler that can't complete its answer: with a length and
-// without. The caller must not take what came for the whole.
-func TestCutShort(t *testing.T) {
+// TestAbortedHandler has a handler that panics before its response is complete, with and
+// without Content-Length. The caller must be able to detect that the response is truncated.
+func TestAbortedHandler(t *testing.T) {
 	for _, length := range []string{"10", ""} {
 		c := qt.New(t)
 		_, nc := serve(c, http1.ServerConfig{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -177,18 +176,18 @@
 	}
 }
 
-// TestBounds sends what a caller may not: each is refused with its own status,
-// and the handler never sees it.
-func TestBounds(t *testing.T) {
+// TestRejectedRequests sends too large and invalid requests. Each is rejected with its
+// status, and the handler is not called.
+func TestRejectedRequests(t *testing.T) {
 	for name, x := range map[string]struct {
 		request string
 		status  int
 	}{
-		"a head that is too large": {"GET / HTTP/1.1\nHost: a\nX: " + strings.Repeat("x", 9000) + "\n\n", http.StatusRequestHeaderFieldsTooLarge},
-		"a body that is too large": {"POST / HTTP/1.1\nHost: a\nContent-Length: 101\n\n" + strings.Repeat("x", 101), http.StatusRequestEntityTooLarge},
-		"no host":                  {"GET / HTTP/1.1\n\n", http.StatusBadRequest},
-		"no request":               {"hello\n\n", http.StatusBadRequest},
-		"two lengths":              {"POST / HTTP/1.1\nHost: a\nContent-Length: 1\nContent-Length: 2\n\nxx", http.StatusBadRequest},
+		"headers too large":          {"GET / HTTP/1.1\nHost: a\nX: " + strings.Repeat("x", 9000) + "\n\n", http.StatusRequestHeaderFieldsTooLarge},
+		"body too large":             {"POST / HTTP/1.1\nHost: a\nContent-Length: 101\n\n" + strings.Repeat("x", 101), http.StatusRequestEntityTooLarge},
+		"no Host header":             {"GET / HTTP/1.1\n\n", http.StatusBadRequest},
+		"not HTTP":                   {"hello\n\n", http.StatusBadRequest},
+		"two Content-Length headers": {"POST / HTTP/1.1\nHost: a\nContent-Length: 1\nContent-Length: 2\n\nxx", http.StatusBadRequest},
 	} {
 		c := qt.New(t)
 		_, nc := serve(c, http1.ServerConfig{
@@ -202,9 +201,9 @@
 	}
 }
 
-// TestChunkedBound sends a body without a length that grows too large: the
-// handler sees an error and not the end of the body.
-func TestChunkedBound(t *testing.T) {
+// TestChunkedBodyLimit sends a chunked body that exceeds the limit. Reading it fails in the
+// handler instead of reaching the end.
+func TestChunkedBodyLimit(t *testing.T) {
 	c := qt.New(t)
 	got := make(chan error, 1)
 	_, nc := serve(c, http1.ServerConfig{
@@ -218,9 +217,9 @@
 	c.Check(<-got, qt.Equals, http1.ErrTooLarge)
 }
 
-// TestLeftBody has a handler that answers without reading the body: the next
-// request on the connection is read from where it begins.
-func TestLeftBody(t *testing.T) {
+// TestUnreadBody has a handler that responds without reading the body. The body must be
+// skipped, and the next request be read after it.
+func TestUnreadBody(t *testing.T) {
 	c := qt.New(t)
 	_, nc := serve(c, http1.ServerConfig{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.URL.Path)
@@ -234,7 +233,7 @@
 	}
 }
 
-// TestContinue lets a caller wait for the word to go on.
+// TestContinue has a caller that sends the body only after 100 Continue.
 func TestContinue(t *testing.T) {
 	c := qt.New(t)
 	_, nc := serve(c, http1.ServerConfig{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
