--- a/briarrockd/http1/conn.go
+++ b/briarrockd/http1/conn.go
@@ -17,13 +17,13 @@
 // is handled in its own goroutine. The responses are written in the order of the requests:
 // each waits until the one before it is complete.
 type conn struct {
-	s      *Server
-	nc     net.Conn
-	head   *limitedReader
-	br     *bufio.Reader
-	bw     *bufio.Writer
-	ctx    context.Context
-	cancel context.CancelFunc
+	s           *Server
+	nc          net.Conn
+	headerLimit *limitedReader
+	br          *bufio.Reader
+	bw          *bufio.Writer
+	ctx         context.Context
+	cancel      context.CancelFunc
 	// pipelineSlots limits the pending requests to its capacity.
 	pipelineSlots chan struct{}
 
@@ -43,8 +43,8 @@
 func newConn(s *Server, nc net.Conn) *conn {
 	c := &conn{s: s, nc: nc, pipelineSlots: make(chan struct{}, maxPipelinedRequests)}
 	c.ctx, c.cancel = context.WithCancel(s.ctx)
-	c.head = &limitedReader{r: nc}
-	c.br = bufio.NewReaderSize(c.head, bufferSize)
+	c.headerLimit = &limitedReader{r: nc}
+	c.br = bufio.NewReaderSize(c.headerLimit, bufferSize)
 	c.bw = bufio.NewWriterSize(nc, bufferSize)
 	return c
 }
@@ -122,15 +122,15 @@
 	}
 	limits := c.s.limits()
 	c.startIdleTimeout(limits.IdleTime)
-	c.head.enabled = false
+	c.headerLimit.enabled = false
 	if _, err := c.br.Peek(1); err != nil {
 		c.cancelUnlessClosing()
 		return nil
 	}
 	c.startHeaderTimeout(limits.HeaderTime)
-	c.head.enabled, c.head.remaining = true, max(limits.HeaderBytes-c.br.Buffered(), 1)
+	c.headerLimit.enabled, c.headerLimit.remaining = true, max(limits.HeaderBytes-c.br.Buffered(), 1)
 	req, err := http.ReadRequest(c.br)
-	c.head.enabled = false
+	c.headerLimit.enabled = false
 	_ = c.nc.SetReadDeadline(time.Time{})
 	x := &exchange{c: c, prevDone: prevDone, done: make(chan struct{}), contentLength: -1}
 	if err != nil {
--- a/briarrockd/http1/crowd_test.go
+++ b/briarrockd/http1/crowd_test.go
@@ -80,13 +80,13 @@
 // second request again on another one.
 func TestPipelinedWhileDraining(t *testing.T) {
 	c := qt.New(t)
-	begun, end := make(chan string, 2), make(chan struct{})
+	started, end := make(chan string, 2), make(chan struct{})
 	s, nc := serve(c, http1.ServerConfig{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		begun <- r.URL.Path
+		started <- r.URL.Path
 		<-end
 	})})
 	send(c, nc, "GET /1 HTTP/1.1\nHost: a\n\n")
-	c.Assert(<-begun, qt.Equals, "/1")
+	c.Assert(<-started, qt.Equals, "/1")
 	s.Drain()
 	send(c, nc, "GET /2 HTTP/1.1\nHost: a\n\n")
 	c.Assert(eventually(func() bool { return s.PendingRequests() == 2 }), qt.IsTrue)
@@ -97,7 +97,7 @@
 	c.Check(res.Close, qt.IsTrue)
 	_, err = br.ReadByte()
 	c.Check(err, qt.Equals, io.EOF)
-	c.Check(begun, qt.HasLen, 0)
+	c.Check(started, qt.HasLen, 0)
 }
 
 // eventually polls a condition until it is true, and returns false after testTimeout.
@@ -117,9 +117,9 @@
 // canceled, and its response is sent first.
 func TestPipelinedAtShutdown(t *testing.T) {
 	c := qt.New(t)
-	begun := make(chan struct{}, 2)
+	started := make(chan struct{}, 2)
 	s, nc := serve(c, http1.ServerConfig{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		if r.URL.Path == "/1" {
 			<-r.Context().Done()
 			w.WriteHeader(http.StatusBadGateway)
@@ -128,8 +128,8 @@
 		_, _ = io.WriteString(w, "ready")
 	})})
 	send(c, nc, "GET /1 HTTP/1.1\nHost: a\n\nGET /2 HTTP/1.1\nHost: a\n\n")
-	<-begun
-	<-begun
+	<-started
+	<-started
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	done := make(chan struct{})
--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -131,12 +131,12 @@
 // only after the server has responded with 100 Continue. A long body that would be
 // rejected then uses no bandwidth, and the request can be sent to another server.
 //
-// HeaderHeld, sent together with it, promises that the body is never sent without 100
-// Continue. Other clients send the body after a timeout in any case, so a server that has
-// rejected such a request cannot tell whether the next bytes on the connection are the
-// body or another request, and must close the connection. With the promise the
-// connection is kept. A rejected upload would otherwise cost a new connection to each
-// target that is tried.
+// HeaderHeld, sent together with it with any value that is not empty, promises that the
+// body is never sent without 100 Continue. Other clients send the body after a timeout in
+// any case, so a server that has rejected such a request cannot determine whether the
+// next bytes on the connection are the body or another request, and must close the
+// connection. With the promise the connection is kept. A rejected upload would otherwise
+// cost a new connection to each target that is tried.
 const (
 	ExpectContinue = "100-continue"
 	HeaderHeld     = "Briarrock-Held"
@@ -157,7 +157,7 @@
 }
 
 // isBodySkipped reports whether no byte of the body was sent since the server did not
-// request it. It may be called once written is closed. (writeErr does not tell, since
+// request it. It may be called once written is closed. (writeErr does not show it, since
 // net/http returns an error of its own in place of errBodyNotRequested.)
 func (pr *pendingRequest) isBodySkipped() bool { return pr.bodySkipped }
 
@@ -184,11 +184,11 @@
 // so it notices at once when the server closes an idle connection or sends an
 // unsolicited response.
 type persistConn struct {
-	pool *Pool
-	addr string
-	nc   net.Conn
-	head *limitedReader
-	br   *bufio.Reader
+	pool        *Pool
+	addr        string
+	nc          net.Conn
+	headerLimit *limitedReader
+	br          *bufio.Reader
 
 	mu          sync.Mutex
 	current     *pendingRequest // nil while idle
@@ -199,8 +199,8 @@
 
 func newPersistConn(p *Pool, addr string, nc net.Conn) *persistConn {
 	pc := &persistConn{pool: p, addr: addr, nc: nc, idleTimeout: p.cfg.IdleTimeout}
-	pc.head = &limitedReader{r: nc}
-	pc.br = bufio.NewReaderSize(pc.head, bufferSize)
+	pc.headerLimit = &limitedReader{r: nc}
+	pc.br = bufio.NewReaderSize(pc.headerLimit, bufferSize)
 	return pc
 }
 
@@ -328,7 +328,7 @@
 // readLoop reads responses until the connection is closed. It runs in its own goroutine.
 func (pc *persistConn) readLoop() {
 	for {
-		pc.head.enabled = false
+		pc.headerLimit.enabled = false
 		_, err := pc.br.Peek(1)
 		pc.mu.Lock()
 		pr := pc.current
@@ -395,9 +395,9 @@
 // readFinalResponse reads responses up to the first one that is not informational (1xx).
 func (pc *persistConn) readFinalResponse(pr *pendingRequest) (*http.Response, error) {
 	for {
-		pc.head.enabled, pc.head.remaining = true, maxResponseHeaderBytes
+		pc.headerLimit.enabled, pc.headerLimit.remaining = true, maxResponseHeaderBytes
 		res, err := http.ReadResponse(pc.br, pr.req)
-		pc.head.enabled = false
+		pc.headerLimit.enabled = false
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
--- a/briarrockd/http1/pool_test.go
+++ b/briarrockd/http1/pool_test.go
@@ -206,7 +206,7 @@
 // connection that is about to be closed is not reused: a request on it may be lost, and
 // it would be unknown whether the target has read it.
 func TestKeepAlive(t *testing.T) {
-	for head, conns := range map[string]string{"": "1", "Keep-Alive: timeout=60\r\n": "1", "Keep-Alive: timeout=1\r\n": "2", "Connection: close\r\n": "2"} {
+	for header, conns := range map[string]string{"": "1", "Keep-Alive: timeout=60\r\n": "1", "Keep-Alive: timeout=1\r\n": "2", "Connection: close\r\n": "2"} {
 		c := qt.New(t)
 		addr := listen(c, func(n int, nc net.Conn, br *bufio.Reader) {
 			for {
@@ -214,7 +214,7 @@
 				if err != nil {
 					return
 				}
-				_, _ = fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nName: %s\r\n%sContent-Length: 1\r\n\r\n%d", req.Header.Get("Name"), head, n)
+				_, _ = fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nName: %s\r\n%sContent-Length: 1\r\n\r\n%d", req.Header.Get("Name"), header, n)
 			}
 		})
 		p := pool(http1.PoolConfig{})
@@ -222,7 +222,7 @@
 		c.Assert(err, qt.IsNil)
 		body, err := get(p, addr, "b")
 		c.Assert(err, qt.IsNil)
-		c.Check(body, qt.Equals, conns, qt.Commentf("%q", head))
+		c.Check(body, qt.Equals, conns, qt.Commentf("%q", header))
 	}
 }
 
--- a/briarrockd/http1/server_test.go
+++ b/briarrockd/http1/server_test.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestPipelinedPost pipelines an order after a request that is still being handled.
+// TestPipelinedPost pipelines a POST request (an order) after a request that is still
+// being handled.
 //
 // The response before it could still close the connection. The caller would then assume
 // that the order was not read, and send it again. So it is not handled before that
--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -60,8 +60,8 @@
 	URL *url.URL
 	// Host is the value of the Host header to send.
 	Host string
-	// ExtraHeader has headers to set on the outgoing request, after the hop-by-hop
-	// headers were removed.
+	// ExtraHeader has headers to set on the outgoing request in addition to the
+	// forwarded ones. They replace forwarded headers of the same name.
 	ExtraHeader http.Header
 	// Body is the body to send; nil for none.
 	Body io.Reader
@@ -69,19 +69,21 @@
 	ContentLength int64
 	// Transport sends the request. Its connections must be opened by Dialer.
 	Transport http.RoundTripper
-	// StallTimeout is the longest time between two reads of Body.
+	// StallTimeout is the longest time without a successful read of Body while it is
+	// sent. After it the exchange is canceled.
 	StallTimeout time.Duration
 	// Once is set for a request that must be sent at most once, which also forbids
 	// retries inside Transport.
 	Once bool
-	// Deadline is the time until which the response headers must be received.
+	// Deadline is the time by which the response headers must be received.
 	Deadline time.Time
 	// ForwardAfterBody is set if the next hop forwards the request only after it has
-	// sent 100 Continue and received the body. Until the first byte of the body is
-	// read for sending, such a request counts as not sent.
+	// sent 100 Continue and received the body. Such a request counts as not sent
+	// until the transport begins to read Body.
 	ForwardAfterBody bool
 	// Streamed is set for a body that may take any time to send as long as it does
-	// not stall. The time until Deadline then starts at the end of the body.
+	// not stall. The time that remained until Deadline when Send was called then
+	// counts from the end of the body.
 	Streamed bool
 }
 
@@ -159,8 +161,9 @@
 	return res, Outcome{Sent: true}
 }
 
-// isForwardPending reports whether the next hop holds the request back since no byte
-// of the body has been read for sending. body is nil for a request without one.
+// isForwardPending reports whether the next hop cannot have forwarded the request yet,
+// since the transport has not begun to read the body. body is nil for a request
+// without one.
 func (c *Call) isForwardPending(body *stallGuard) bool {
 	return c.ForwardAfterBody && body != nil && !body.started.Load()
 }
@@ -226,7 +229,7 @@
 	uncounted atomic.Bool
 }
 
-// trace returns hooks that record the connection on which the request is sent.
+// trace returns the httptrace hook that records the connection used for the request.
 func (t *sendTracker) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		c := countingConn(info.Conn)
@@ -303,11 +306,10 @@
 	io.Closer
 }
 
-// CopyResponse copies a response to the caller and closes its body. stallTimeout is the
-// longest time between two reads of the body, and the time limit of each write. If
-// copying fails, Outcome.Kind is not None and the handler must panic with
-// http.ErrAbortHandler: this closes the connection, so that the caller cannot take
-// a truncated response for a complete one.
+// CopyResponse copies a response to the caller and closes its body. stallTimeout limits
+// each read of the body and each write. If copying fails, Outcome.Kind is not None and
+// the handler must panic with http.ErrAbortHandler: this closes the connection, so that
+// the caller cannot take a truncated response for a complete one.
 func CopyResponse(w http.ResponseWriter, res *http.Response, stallTimeout time.Duration) Outcome {
 	defer func() { _ = res.Body.Close() }()
 	announceTrailers(w.Header(), res.Trailer)
@@ -403,8 +405,7 @@
 	return errors.WithStack(c.ReadCloser.Close())
 }
 
-// stallGuard is a request body that calls a function if two successful reads are more
-// than timeout apart.
+// stallGuard is a request body that calls a function if no read succeeds for timeout.
 type stallGuard struct {
 	io.ReadCloser
 	timer   *time.Timer
