--- a/briarrockd/claim/batch.go
+++ b/briarrockd/claim/batch.go
@@ -11,63 +11,67 @@
 	"briarrock.example/mesh/platform"
 )
 
-// Bounds of batches.
+// Limits and intervals of batches.
 const (
-	// batchMost bounds the claims of one transaction.
-	batchMost = 64
-	// batchEvery is the least time between two transactions of a node. One is
-	// under way at a time, so under load a batch holds whatever came in while
-	// the last one was being written.
-	batchEvery = 4 * time.Millisecond
-	// maxLater is how long an outcome waits for claims to go along with.
-	maxLater = 250 * time.Millisecond
-	// readers bounds the reads that one failed batch does at a time.
-	readers = 8
+	// maxBatch is the maximum number of writes of one transaction.
+	maxBatch = 64
+	// minBatchInterval is the minimum time between the starts of two batches of
+	// a queue. Only one is in flight at a time, so under load a batch holds all
+	// the claims that came in while the previous one was being written.
+	minBatchInterval = 4 * time.Millisecond
+	// maxOutcomeDelay is how long an outcome waits for a batch of claims that it
+	// can be added to.
+	maxOutcomeDelay = 250 * time.Millisecond
+	// maxParallelReads bounds the concurrent reads after one failed transaction.
+	maxParallelReads = 8
 )
 
-// pending is a claim that waits for its transaction.
-type pending struct {
-	write   platform.Write
-	absent  []string
-	id      string
-	decided chan found
-	// late is set for an outcome, which can wait and goes along with claims.
-	late bool
+// pendingWrite is a claim or an outcome that waits for its transaction.
+type pendingWrite struct {
+	write  platform.Write
+	absent []string // keys that must have no row
+	id     string
+	// result receives the result once.
+	result chan writeResult
+	// isOutcome is set for an outcome. It can wait, and is added to a batch of
+	// claims.
+	isOutcome bool
 }
 
-// found is what became of a pending claim.
-type found struct {
-	ours bool
-	row  row // the claim that was there before, if not ours
-	// unsure is set when the table could not tell; maybe, when the claim may
-	// yet take effect.
-	unsure bool
-	maybe  bool
+// writeResult is the result of a pendingWrite.
+type writeResult struct {
+	applied bool
+	row     row // the earlier claim, if not applied
+	// undecided is set when the result is not known. mayApply is set as well if
+	// the write may have taken effect or may still do so.
+	undecided bool
+	mayApply  bool
 }
 
-// run gathers claims from a queue and sees to them, one batch at a time.
-func (c *Claims) run(queue chan *pending, see func([]*pending)) {
+// runBatches takes batches from a queue and passes them to handle, one at a
+// time, until Claims is closed.
+func (c *Claims) runBatches(queue chan *pendingWrite, handle func([]*pendingWrite)) {
 	for {
 		select {
 		case <-c.done:
 			return
 		case p := <-queue:
-			began := time.Now()
-			see(gather(queue, p))
-			if rest := batchEvery - time.Since(began); rest > 0 {
+			startedAt := time.Now()
+			handle(collectBatch(queue, p))
+			if rest := minBatchInterval - time.Since(startedAt); rest > 0 {
 				time.Sleep(rest)
 			}
 		}
 	}
 }
 
-// gather takes what waits, up to a full batch. Two claims with the same key
-// never share a transaction: the second one waits for what becomes of the
-// first.
-func gather(queue chan *pending, first *pending) []*pending {
-	batch := []*pending{first}
+// collectBatch returns first and the writes that are in the queue, up to a full
+// batch. Two claims with the same key never share a transaction: the second one
+// goes back into the queue and waits for the result of the first.
+func collectBatch(queue chan *pendingWrite, first *pendingWrite) []*pendingWrite {
+	batch := []*pendingWrite{first}
 	keys := map[string]bool{first.write.Key: true}
-	for len(batch) < batchMost {
+	for len(batch) < maxBatch {
 		select {
 		case p := <-queue:
 			if keys[p.write.Key] {
@@ -83,33 +87,34 @@
 	return batch
 }
 
-// enqueue puts a claim in line; a full queue decides it as not made.
-func enqueue(queue chan *pending, p *pending) {
+// enqueue appends a write to a queue. If the queue is full, the write's result
+// is undecided and nothing is written.
+func enqueue(queue chan *pendingWrite, p *pendingWrite) {
 	select {
 	case queue <- p:
 	default:
-		p.decided <- found{unsure: true}
+		p.result <- writeResult{undecided: true}
 	}
 }
 
-// commitPaced commits a batch within this node's share of the platform. While
-// it waits for its turn more claims come in, and so the next batch is larger.
-func (c *Claims) commitPaced(batch []*pending) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// commitRateLimited commits a batch within this node's rate limit. More claims
+// come in while it waits for the limit, which makes the next batch larger.
+func (c *Claims) commitRateLimited(batch []*pendingWrite) {
+	ctx, cancel := context.WithTimeout(context.Background(), decisionTimeout)
 	defer cancel()
-	if c.pace.Wait(ctx) != nil {
-		decideAll(batch, found{unsure: true})
+	if c.limiter.Wait(ctx) != nil {
+		sendResult(batch, writeResult{undecided: true})
 		return
 	}
-	c.commit(c.along(batch))
+	c.commit(c.addOutcomes(batch))
 }
 
-// along fills a batch up with outcomes that wait: they cost no transaction of
-// their own then.
-func (c *Claims) along(batch []*pending) []*pending {
-	for len(batch) < batchMost {
+// addOutcomes fills a batch with waiting outcomes, which then need no
+// transaction of their own.
+func (c *Claims) addOutcomes(batch []*pendingWrite) []*pendingWrite {
+	for len(batch) < maxBatch {
 		select {
-		case p := <-c.later:
+		case p := <-c.outcomeQueue:
 			batch = append(batch, p)
 		default:
 			return batch
@@ -118,36 +123,37 @@
 	return batch
 }
 
-// flush commits outcomes that no claim came along for.
-func (c *Claims) flush() {
+// flushOutcomes commits outcomes for which no batch of claims came within
+// maxOutcomeDelay.
+func (c *Claims) flushOutcomes() {
 	for {
 		select {
 		case <-c.done:
 			return
-		case p := <-c.later:
-			time.Sleep(maxLater)
-			c.commitPaced([]*pending{p})
+		case p := <-c.outcomeQueue:
+			time.Sleep(maxOutcomeDelay)
+			c.commitRateLimited([]*pendingWrite{p})
 		}
 	}
 }
 
-func (c *Claims) commit(batch []*pending) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+func (c *Claims) commit(batch []*pendingWrite) {
+	ctx, cancel := context.WithTimeout(context.Background(), decisionTimeout)
 	defer cancel()
-	c.batches.Inc()
+	c.transactions.Inc()
 	c.rows.Add(len(batch))
 	err := c.store.Transact(ctx, transaction(batch))
 	switch {
 	case err == nil:
-		decideAll(batch, found{ours: true})
+		sendResult(batch, writeResult{applied: true})
 	case errors.Is(err, platform.ErrUnavailable):
-		decideAll(batch, found{unsure: true})
+		sendResult(batch, writeResult{undecided: true})
 	default:
-		c.resolveUnknown(ctx, batch, errors.Is(err, platform.ErrCondition))
+		c.resolveFailed(ctx, batch, errors.Is(err, platform.ErrCondition))
 	}
 }
 
-func transaction(batch []*pending) platform.Transaction {
+func transaction(batch []*pendingWrite) platform.Transaction {
 	var t platform.Transaction
 	for _, p := range batch {
 		for _, key := range p.absent {
@@ -158,52 +164,53 @@
 	return t
 }
 
-// resolveUnknown looks up each claim of a batch whose transaction did not succeed.
-// After a failed condition those that have no earlier claim are tried again
-// together, and if that fails too, one by one. After a lost answer only a row
-// with the claim's own id proves that it took effect; a missing row proves
-// nothing yet.
-func (c *Claims) resolveUnknown(ctx context.Context, batch []*pending, condition bool) {
+// resolveFailed reads the row of each write of a batch whose transaction did
+// not succeed. After a failed condition the writes that have no earlier row are
+// retried in one transaction, and if that fails too, one by one. After a lost
+// answer only a row with the write's own id proves that the write took effect;
+// a missing row proves nothing, because the transaction may still commit.
+func (c *Claims) resolveFailed(ctx context.Context, batch []*pendingWrite, conditionFailed bool) {
 	missing := c.readAll(ctx, batch)
 	if len(missing) == 0 {
 		return
 	}
-	if !condition {
-		decideAll(missing, found{unsure: true, maybe: true})
+	if !conditionFailed {
+		sendResult(missing, writeResult{undecided: true, mayApply: true})
 		return
 	}
 	err := c.store.Transact(ctx, transaction(missing))
 	switch {
 	case err == nil:
-		decideAll(missing, found{ours: true})
+		sendResult(missing, writeResult{applied: true})
 	case errors.Is(err, platform.ErrUnavailable):
-		decideAll(missing, found{unsure: true})
+		sendResult(missing, writeResult{undecided: true})
 	default:
 		for _, p := range missing {
-			p.decided <- c.alone(ctx, p)
+			p.result <- c.commitOne(ctx, p)
 		}
 	}
 }
 
-func decideAll(batch []*pending, f found) {
+func sendResult(batch []*pendingWrite, res writeResult) {
 	for _, p := range batch {
-		p.decided <- f
+		p.result <- res
 	}
 }
 
-// readAll decides the claims for which there is a row, and returns the others.
-func (c *Claims) readAll(ctx context.Context, batch []*pending) []*pending {
+// readAll sends the results of the writes for which a row was found or a read
+// failed, and returns the others.
+func (c *Claims) readAll(ctx context.Context, batch []*pendingWrite) []*pendingWrite {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var rest []*pending
-	slots := make(chan struct{}, readers)
+	var rest []*pendingWrite
+	slots := make(chan struct{}, maxParallelReads)
 	for _, p := range batch {
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			f, missing := c.read(ctx, p)
+			res, missing := c.findRow(ctx, p)
 			if !missing {
-				p.decided <- f
+				p.result <- res
 				return
 			}
 			mu.Lock()
@@ -215,37 +222,38 @@
 	return rest
 }
 
-// alone tries one claim by itself.
-func (c *Claims) alone(ctx context.Context, p *pending) found {
-	err := c.store.Transact(ctx, transaction([]*pending{p}))
+// commitOne commits one write in a transaction of its own.
+func (c *Claims) commitOne(ctx context.Context, p *pendingWrite) writeResult {
+	err := c.store.Transact(ctx, transaction([]*pendingWrite{p}))
 	switch {
 	case err == nil:
-		return found{ours: true}
+		return writeResult{applied: true}
 	case errors.Is(err, platform.ErrUnavailable):
-		return found{unsure: true}
+		return writeResult{undecided: true}
 	}
-	f, missing := c.read(ctx, p)
+	res, missing := c.findRow(ctx, p)
 	if missing {
-		return found{unsure: true, maybe: true}
+		return writeResult{undecided: true, mayApply: true}
 	}
-	return f
+	return res
 }
 
-// read looks for a claim in all the places where one can be.
-func (c *Claims) read(ctx context.Context, p *pending) (found, bool) {
+// findRow reads all keys at which a claim can be. Its result is that of the
+// first row found; it returns true if there is none.
+func (c *Claims) findRow(ctx context.Context, p *pendingWrite) (writeResult, bool) {
 	for _, key := range p.absent {
 		r, err := c.store.Get(ctx, key)
 		if errors.Is(err, platform.ErrMissing) {
 			continue
 		}
 		if err != nil {
-			return found{unsure: true, maybe: true}, false
+			return writeResult{undecided: true, mayApply: true}, false
 		}
-		var held row
-		if err := json.Unmarshal(r.Value, &held); err != nil {
-			return found{unsure: true, maybe: true}, false
+		var stored row
+		if err := json.Unmarshal(r.Value, &stored); err != nil {
+			return writeResult{undecided: true, mayApply: true}, false
 		}
-		return found{ours: held.ID == p.id, row: held}, false
+		return writeResult{applied: stored.ID == p.id, row: stored}, false
 	}
-	return found{}, true
+	return writeResult{}, true
 }
--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -1,23 +1,23 @@
-// Package claim keeps requests that may not be repeated from running twice,
+// Package claim prevents requests that are not repeatable from running twice
 // when their callers send them again with the same Idempotency-Key.
 //
-// Hosts keep nothing and failure domains can be cut off from each other, so
-// the only place that can decide between two nodes that get the same key is
-// the platform's table. A node writes a claim, on the condition that there is
-// none, before it sends the request anywhere:
+// Nodes have no durable storage, and failure domains can be partitioned from
+// each other. When two nodes receive the same key, only the platform's table can
+// decide between them. Before a node sends the request anywhere, it writes a
+// claim, on the condition that the table has no claim for the key:
 //
-//	v := claims.Begin(ctx, claim.Request{Service: "orderdesk", Key: key, Print: print})
-//	switch v.Verdict {
-//	case claim.Run:      // ours to run; call Finish or Release on v.Claim
-//	case claim.Replay:   // it has run: v.Outcome is the first answer
-//	case claim.Repeat:   // it was sent before and its outcome isn't known
-//	case claim.Conflict: // the key was used for another request
-//	case claim.Unsure:   // the table can't be asked: not run
+//	d := claims.Begin(ctx, claim.Request{Service: "orderdesk", Key: key, Fingerprint: fingerprint})
+//	switch d.Verdict {
+//	case claim.Run:            // this node runs it; call Finish or Release with d.Claim
+//	case claim.Replay:         // it has run; d.Outcome is the stored response
+//	case claim.OutcomeUnknown: // it was sent before and its outcome is not known
+//	case claim.Conflict:       // the key was used for a different request
+//	case claim.Undecided:      // the table could not decide; do not run it
 //	}
 //
-// A claim never expires while a request could still be under way, and nobody
-// takes a claim over, so a holder that wakes from a pause can do no harm.
-// Claims of many calls go out in one transaction: see batch.go.
+// A claim does not expire while its request can still be in flight, and no
+// other node takes it over, so a node that resumes after a pause cannot cause a
+// second run. Claims of concurrent requests share a transaction: see batch.go.
 package claim
 
 import (
@@ -39,25 +39,26 @@
 	"briarrock.example/mesh/platform"
 )
 
-// Bounds of claims.
+// Limits and timeouts of claims.
 const (
-	// MaxKeyBytes bounds an idempotency key, in bytes.
+	// MaxKeyBytes is the maximum length of an idempotency key.
 	MaxKeyBytes = 255
-	// MaxBodyBytes bounds the part of an answer that is kept for a replay.
+	// MaxBodyBytes is the size up to which a response body is stored for a replay.
 	MaxBodyBytes = 16 << 10
-	// RetentionDays is for how many whole days a key is remembered.
+	// RetentionDays is the number of whole days for which a key is remembered.
 	RetentionDays = 1
-	// within bounds the decision on one claim.
-	within = 3 * time.Second
-	// finishWithin bounds the attempts to keep an outcome.
-	finishWithin = 30 * time.Second
-	finishEvery  = time.Second
+	// decisionTimeout bounds the decision on one claim, and also each commit of
+	// a batch.
+	decisionTimeout = 3 * time.Second
+	// finalWriteTimeout is the time after which Finish and Release stop retrying.
+	finalWriteTimeout       = 30 * time.Second
+	finalWriteRetryInterval = time.Second
 )
 
-// Verdict is what may be done with a request.
+// Verdict says what the node does with a request.
 type Verdict int
 
-// The verdicts.
+// The verdicts; the package comment explains them.
 const (
 	Undecided Verdict = iota
 	Run
@@ -66,77 +67,80 @@
 	Conflict
 )
 
-// Request is one request with its key.
+// Request identifies a request and its idempotency key.
 type Request struct {
 	Service string
 	Key     string
-	// Fingerprint tells requests apart: the same key with another print is another
-	// request.
+	// Fingerprint distinguishes requests: the same key with another fingerprint
+	// is a different request.
 	Fingerprint uint64
 }
 
-// Outcome is an answer that is kept for a replay.
+// Outcome is a response that is stored for a replay.
 type Outcome struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	// BodyOmitted is set when the body was larger than MaxBody and is not kept.
+	// BodyOmitted is set when the body was larger than MaxBodyBytes and is not
+	// stored.
 	BodyOmitted bool `json:"cut,omitempty"`
 }
 
 // row is the value of a claim in the table.
 type row struct {
-	ID      string   `json:"id"`
-	Print   uint64   `json:"print"`
-	Host    string   `json:"host"`
-	Outcome *Outcome `json:"outcome,omitempty"`
+	ID          string   `json:"id"`
+	Fingerprint uint64   `json:"print"`
+	Host        string   `json:"host"`
+	Outcome     *Outcome `json:"outcome,omitempty"`
 }
 
-// Claim is a request that is this node's to run.
+// Claim is a request that this node has claimed and may run.
 type Claim struct {
 	key string
 	row row
 }
 
-// Decision is the answer to Begin.
+// Decision is the result of Begin. Claim is set for Run, and Outcome for Replay.
 type Decision struct {
 	Verdict Verdict
 	Claim   *Claim
 	Outcome Outcome
 }
 
-// Deps are what Claims needs from outside.
+// Deps are the dependencies of Claims.
 type Deps struct {
 	Store   platform.Store
 	Log     *event.Log
 	Host    string
 	Metrics *metrics.Set
-	// Forward, if set, hands claims to the node that gathers those of its
-	// domain: see gather.go.
+	// Forward, if set, sends claims to the node that commits those of its
+	// failure domain: see gather.go.
 	Forward Forward
 }
 
-// Claims is a node's way to the table of claims. New makes one.
+// Claims reads and writes claims in the platform's table. New makes one.
 type Claims struct {
 	store   platform.Store
 	log     *event.Log
 	host    string
 	forward Forward
-	// in are claims that are handed on, direct those that this node commits.
-	in     chan *pending
-	direct chan *pending
-	later  chan *pending // outcomes, which go along with claims
-	pace   *rate.Limiter
-	done   chan struct{}
-	wg     sync.WaitGroup
-	// ends are the writes that end claims and are still to be done.
-	ends sync.WaitGroup
-
-	batches *metrics.Counter
-	rows    *metrics.Counter
+	// forwardQueue holds writes to forward, commitQueue the claims that this
+	// node commits itself, and outcomeQueue outcomes, which are added to batches
+	// of claims.
+	forwardQueue chan *pendingWrite
+	commitQueue  chan *pendingWrite
+	outcomeQueue chan *pendingWrite
+	limiter      *rate.Limiter
+	done         chan struct{}
+	wg           sync.WaitGroup
+	// finalWrites counts the unfinished writes of Finish and Release.
+	finalWrites sync.WaitGroup
+
+	transactions *metrics.Counter
+	rows         *metrics.Counter
 }
 
-// queueSize bounds the claims that wait for a transaction.
+// queueSize is the capacity of each queue, in writes.
 const queueSize = 4096
 
 // New starts a Claims. Close stops it.
@@ -146,194 +150,201 @@
 	}
 	c := &Claims{
 		store: d.Store, log: d.Log, host: d.Host, forward: d.Forward,
-		in:      make(chan *pending, queueSize),
-		direct:  make(chan *pending, queueSize),
-		later:   make(chan *pending, queueSize),
-		pace:    rate.NewLimiter(TransactionsPerSecond, burst),
-		done:    make(chan struct{}),
-		batches: d.Metrics.GetOrCreateCounter("briarrock_claim_transactions_total"),
-		rows:    d.Metrics.GetOrCreateCounter("briarrock_claim_rows_total"),
+		forwardQueue: make(chan *pendingWrite, queueSize),
+		commitQueue:  make(chan *pendingWrite, queueSize),
+		outcomeQueue: make(chan *pendingWrite, queueSize),
+		limiter:      rate.NewLimiter(TransactionsPerSecond, transactionBurst),
+		done:         make(chan struct{}),
+		transactions: d.Metrics.GetOrCreateCounter("briarrock_claim_transactions_total"),
+		rows:         d.Metrics.GetOrCreateCounter("briarrock_claim_rows_total"),
 	}
-	c.wg.Go(func() { c.run(c.direct, c.commitPaced) })
-	c.wg.Go(func() { c.run(c.in, c.handOn) })
-	c.wg.Go(c.flush)
+	c.wg.Go(func() { c.runBatches(c.commitQueue, c.commitRateLimited) })
+	c.wg.Go(func() { c.runBatches(c.forwardQueue, c.forwardBatch) })
+	c.wg.Go(c.flushOutcomes)
 	return c
 }
 
-// TransactionsPerSecond is the part of the platform's several hundred writes a
-// second that the claims of the whole mesh may take.
+// TransactionsPerSecond is the limit for the claims of the whole mesh. The
+// platform does several hundred writes a second.
 const TransactionsPerSecond = 300
 
-// burst is how many transactions a node may do at once after a quiet time.
-const burst = 20
+// transactionBurst is how many transactions a node may do at once after an idle
+// period.
+const transactionBurst = 20
 
-// SetCommitters sets this node's part of TransactionsPerSecond, as one of n nodes that
-// commit claims.
+// SetCommitters divides TransactionsPerSecond evenly among the n nodes that
+// commit claims and applies one part as this node's rate limit.
 func (c *Claims) SetCommitters(n int) {
-	c.pace.SetLimit(rate.Limit(TransactionsPerSecond) / rate.Limit(max(n, 1)))
+	c.limiter.SetLimit(rate.Limit(TransactionsPerSecond) / rate.Limit(max(n, 1)))
 }
 
-// closeWithin bounds the wait for outcomes that are still to be kept.
-const closeWithin = 3 * time.Second
+// closeTimeout bounds how long Close waits for the final writes of claims before
+// it stops their retries.
+const closeTimeout = 3 * time.Second
 
-// Close waits a while for outcomes to be kept and stops the goroutines.
+// Close waits up to closeTimeout for the writes of Finish and Release, and stops
+// the goroutines.
 func (c *Claims) Close() {
-	kept := make(chan struct{})
+	written := make(chan struct{})
 	go func() {
-		c.ends.Wait()
-		close(kept)
+		c.finalWrites.Wait()
+		close(written)
 	}()
 	select {
-	case <-kept:
-	case <-time.After(closeWithin):
+	case <-written:
+	case <-time.After(closeTimeout):
 	}
 	close(c.done)
 	c.wg.Wait()
-	<-kept
+	<-written
 }
 
-// Begin decides on one request.
+// Begin decides whether this node may run a request, and claims it if so.
 func (c *Claims) Begin(ctx context.Context, r Request) Decision {
 	now := time.Now().UTC()
 	cl := &Claim{
 		key: rowKey(now, 0, r),
-		row: row{ID: newID(), Print: r.Fingerprint, Host: c.host},
+		row: row{ID: newID(), Fingerprint: r.Fingerprint, Host: c.host},
 	}
 	value, err := json.Marshal(cl.row)
 	if err != nil {
 		return Decision{}
 	}
-	p := &pending{
-		write:   platform.Write{Key: cl.key, Value: value},
-		absent:  absentKeys(now, r),
-		id:      cl.row.ID,
-		decided: make(chan found, 1),
+	p := &pendingWrite{
+		write:  platform.Write{Key: cl.key, Value: value},
+		absent: absentKeys(now, r),
+		id:     cl.row.ID,
+		result: make(chan writeResult, 1),
 	}
-	f, ok := c.submit(ctx, p)
+	res, ok := c.submit(ctx, p)
 	if !ok {
 		c.release(cl, false)
 		return Decision{}
 	}
-	return decide(cl, f, r.Fingerprint)
+	return decide(cl, res, r.Fingerprint)
 }
 
-func decide(cl *Claim, f found, mark uint64) Decision {
+func decide(cl *Claim, res writeResult, fingerprint uint64) Decision {
 	switch {
-	case f.unsure:
+	case res.undecided:
 		return Decision{}
-	case f.ours:
+	case res.applied:
 		return Decision{Verdict: Run, Claim: cl}
-	case f.row.Print != mark:
+	case res.row.Fingerprint != fingerprint:
 		return Decision{Verdict: Conflict}
-	case f.row.Outcome != nil && !f.row.Outcome.BodyOmitted:
-		return Decision{Verdict: Replay, Outcome: *f.row.Outcome}
+	case res.row.Outcome != nil && !res.row.Outcome.BodyOmitted:
+		return Decision{Verdict: Replay, Outcome: *res.row.Outcome}
 	default:
 		return Decision{Verdict: OutcomeUnknown}
 	}
 }
 
-// queueOf is where a write waits for this node's own transactions.
-func (c *Claims) queueOf(p *pending) chan *pending {
-	if p.late {
-		return c.later
+// localQueue returns the queue for a write that this node commits itself.
+func (c *Claims) localQueue(p *pendingWrite) chan *pendingWrite {
+	if p.isOutcome {
+		return c.outcomeQueue
 	}
-	return c.direct
+	return c.commitQueue
 }
 
-// submit hands a write to the batches and waits for the answer.
-func (c *Claims) submit(ctx context.Context, p *pending) (found, bool) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// submit queues a write and waits for its result. It returns false if the
+// result is not known and the write may have taken effect or may still do so.
+func (c *Claims) submit(ctx context.Context, p *pendingWrite) (writeResult, bool) {
+	ctx, cancel := context.WithTimeout(ctx, decisionTimeout)
 	defer cancel()
-	queue := c.queueOf(p)
+	queue := c.localQueue(p)
 	if c.forward != nil {
-		queue = c.in
+		queue = c.forwardQueue
 	}
 	select {
 	case queue <- p:
 	default:
-		return found{unsure: true}, true // nothing was written
+		return writeResult{undecided: true}, true // nothing was written
 	}
 	select {
-	case f := <-p.decided:
-		return f, !f.unsure || !f.maybe
+	case res := <-p.result:
+		return res, !res.undecided || !res.mayApply
 	case <-ctx.Done():
-		return found{}, false
+		return writeResult{}, false
 	case <-c.done:
-		return found{}, false
+		return writeResult{}, false
 	}
 }
 
-// Finish keeps a request's outcome for replays. It returns at once: if the
-// outcome can't be kept, a repeat is told that it isn't known, which is true.
+// Finish stores a request's outcome for replays. It returns at once and writes
+// in the background. If the write fails, a repeated request gets
+// OutcomeUnknown, which is correct.
 //
-// The write has no condition, so that it can share a transaction with other
-// claims. That is safe, and stays safe when it is done twice, since the row
-// of a request that has run is never deleted or taken over by anybody.
+// The write has no condition, so that it can share a transaction with claims.
+// This is safe, also if the write is done twice, because the row of a request
+// that has run is never deleted by Release or taken over.
 func (c *Claims) Finish(cl *Claim, o Outcome) {
 	if len(o.Body) > MaxBodyBytes {
 		o.Body, o.BodyOmitted = nil, true
 	}
-	done := cl.row
-	done.Outcome = &o
-	value, err := json.Marshal(done)
+	finished := cl.row
+	finished.Outcome = &o
+	value, err := json.Marshal(finished)
 	if err != nil {
 		return
 	}
-	c.ends.Go(func() {
-		c.retryCommit(cl, func(ctx context.Context) bool {
-			f, ok := c.submit(ctx, &pending{
-				write:   platform.Write{Key: cl.key, Value: value},
-				decided: make(chan found, 1),
-				late:    true,
+	c.finalWrites.Go(func() {
+		c.retryFinalWrite(cl, func(ctx context.Context) bool {
+			res, ok := c.submit(ctx, &pendingWrite{
+				write:     platform.Write{Key: cl.key, Value: value},
+				result:    make(chan writeResult, 1),
+				isOutcome: true,
 			})
-			return ok && f.ours
+			return ok && res.applied
 		})
 	})
 }
 
-// Release takes a claim back whose request provably did not run, so that its
-// caller may use the key again.
+// Release deletes the claim of a request that provably did not run, so that its
+// caller can use the key again. It returns at once and deletes in the background.
 func (c *Claims) Release(cl *Claim) { c.release(cl, true) }
 
-// release deletes a claim's row. With there set the row is known to have been
-// written, and so its absence means that it is deleted; without, a write whose
-// answer was lost may still bring it.
-func (c *Claims) release(cl *Claim, there bool) {
-	c.ends.Go(func() {
-		c.retryCommit(cl, func(ctx context.Context) bool { return c.deleteOwn(ctx, cl, there) })
+// release deletes a claim's row in the background. written says that the row is
+// known to have been written. A missing row then means that it has been
+// deleted. Otherwise a write whose answer was lost may still create the row, and
+// the delete is retried.
+func (c *Claims) release(cl *Claim, written bool) {
+	c.finalWrites.Go(func() {
+		c.retryFinalWrite(cl, func(ctx context.Context) bool { return c.deleteOwn(ctx, cl, written) })
 	})
 }
 
-// retryCommit tries to write the end of a claim until it succeeds or time is up.
-func (c *Claims) retryCommit(cl *Claim, try func(context.Context) bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), finishWithin)
+// retryFinalWrite calls write until it returns true, finalWriteTimeout passes, or
+// Claims is closed.
+func (c *Claims) retryFinalWrite(cl *Claim, write func(context.Context) bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), finalWriteTimeout)
 	defer cancel()
-	for !try(ctx) {
+	for !write(ctx) {
 		select {
 		case <-ctx.Done():
 			c.log.Emit(event.ClaimLost, event.Fields{event.Subject: cl.key})
 			return
 		case <-c.done:
 			return
-		case <-time.After(finishEvery):
+		case <-time.After(finalWriteRetryInterval):
 		}
 	}
 }
 
 // deleteOwn deletes the claim's row on the condition that it is still this
-// claim's. Without the condition, a delete that is done a second time after
-// its answer was lost could take away the claim that another node has made
-// since, and the request would run twice.
-func (c *Claims) deleteOwn(ctx context.Context, cl *Claim, there bool) bool {
+// claim's, and reports whether it is done. If the answer to a delete without the
+// condition were lost, its retry could delete a claim that another node has
+// made in the meantime, and the request would run twice.
+func (c *Claims) deleteOwn(ctx context.Context, cl *Claim, written bool) bool {
 	r, err := c.store.Get(ctx, cl.key)
 	if errors.Is(err, platform.ErrMissing) {
-		return there
+		return written
 	}
 	if err != nil {
 		return false
 	}
-	var held row
-	if json.Unmarshal(r.Value, &held) != nil || held.ID != cl.row.ID {
+	var stored row
+	if json.Unmarshal(r.Value, &stored) != nil || stored.ID != cl.row.ID {
 		return true
 	}
 	err = c.store.Transact(ctx, platform.Transaction{
@@ -349,28 +360,29 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Prefix begins the keys of all claims; the day follows, so that old ones can
-// be listed and deleted together.
+// Prefix is the prefix of the keys of all claims. The day follows it, so that
+// old claims can be listed and deleted together.
 const Prefix = "once/"
 
-// day names a day, off days after the one of now.
-func day(now time.Time, off int) string {
-	return now.AddDate(0, 0, off).Format("20060102")
+// day formats the UTC day that is offset days after now, as it appears in keys.
+func day(now time.Time, offset int) string {
+	return now.AddDate(0, 0, offset).Format("20060102")
 }
 
-func rowKey(now time.Time, off int, r Request) string {
+func rowKey(now time.Time, dayOffset int, r Request) string {
 	sum := blake3.Sum256([]byte(r.Service + "\x00" + r.Key))
-	return fmt.Sprintf("%s%s/%s", Prefix, day(now, off), hex.EncodeToString(sum[:16]))
+	return fmt.Sprintf("%s%s/%s", Prefix, day(now, dayOffset), hex.EncodeToString(sum[:16]))
 }
 
-// absentKeys are where an earlier claim for the same request can be: today,
-// yesterday, and tomorrow, since the clocks of two hosts may stand on
-// different sides of midnight.
+// absentKeys returns the keys at which an earlier claim for the same request
+// can be: those of today, yesterday and tomorrow. Tomorrow is included because
+// the clocks of two hosts can be on different sides of midnight.
 func absentKeys(now time.Time, r Request) []string {
 	return []string{rowKey(now, 0, r), rowKey(now, -1, r), rowKey(now, 1, r)}
 }
 
-// Fingerprint is the fingerprint of a request.
+// Fingerprint returns a hash of a request that is never 0. start is the part of
+// the body that the node has buffered, and length the request's Content-Length.
 func Fingerprint(service, method, target string, length int64, start []byte) uint64 {
 	d := xxhash.New()
 	_, _ = fmt.Fprintf(d, "%s\x00%s\x00%s\x00%d\x00", service, method, target, length)
--- a/briarrockd/claim/claim_test.go
+++ b/briarrockd/claim/claim_test.go
@@ -14,25 +14,26 @@
 	"briarrock.example/mesh/platform"
 )
 
-// memory is a table that fails as it is told.
-type memory struct {
+// memoryStore is a store in memory with injected faults.
+type memoryStore struct {
 	platform.Store
-	mu    sync.Mutex
-	rows  map[string]platform.Row
-	tag   int
-	tries int
-	// fail is what a transaction answers, done whether it takes effect.
-	fail error
-	done bool
-	deaf bool // reads fail
+	mu           sync.Mutex
+	rows         map[string]platform.Row
+	tag          int
+	transactions int
+	// transactErr, if set, is the error of each transaction. Its writes take
+	// effect nevertheless if applyFailed is set.
+	transactErr error
+	applyFailed bool
+	failReads   bool
 }
 
-func newMemory() *memory { return &memory{rows: make(map[string]platform.Row)} }
+func newMemoryStore() *memoryStore { return &memoryStore{rows: make(map[string]platform.Row)} }
 
-func (m *memory) Get(_ context.Context, key string) (platform.Row, error) {
+func (m *memoryStore) Get(_ context.Context, key string) (platform.Row, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.deaf {
+	if m.failReads {
 		return platform.Row{}, platform.ErrUnavailable
 	}
 	row, ok := m.rows[key]
@@ -42,7 +43,7 @@
 	return row, nil
 }
 
-func (m *memory) List(_ context.Context, s platform.Scan) ([]platform.Row, error) {
+func (m *memoryStore) List(_ context.Context, s platform.Scan) ([]platform.Row, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []platform.Row
@@ -54,13 +55,13 @@
 	return out, nil
 }
 
-func (m *memory) Transact(_ context.Context, t platform.Transaction) error {
+func (m *memoryStore) Transact(_ context.Context, t platform.Transaction) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.tries++
-	fail, done := m.fail, m.done
-	if fail != nil && !done {
-		return fail
+	m.transactions++
+	err, apply := m.transactErr, m.applyFailed
+	if err != nil && !apply {
+		return err
 	}
 	for _, c := range t.Conditions {
 		if m.rows[c.Key].Tag != c.Tag {
@@ -75,26 +76,27 @@
 		}
 		m.rows[w.Key] = platform.Row{Key: w.Key, Value: w.Value, Tag: fmt.Sprint(m.tag)}
 	}
-	return fail
+	return err
 }
 
-func (m *memory) set(f func()) {
+func (m *memoryStore) set(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
 }
 
-func (m *memory) count() int {
+func (m *memoryStore) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.rows)
 }
 
-// bubble runs a test on a paused clock with two nodes' claims on one table.
-func bubble(t *testing.T, f func(c *qt.C, m *memory, a, b *Claims)) {
+// testClaims runs f in a synctest bubble with the Claims of two nodes that share
+// a table.
+func testClaims(t *testing.T, f func(c *qt.C, m *memoryStore, a, b *Claims)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		m := newMemory()
+		m := newMemoryStore()
 		a, b := New(Deps{Store: m, Host: "erie-a-0"}), New(Deps{Store: m, Host: "superior-a-0"})
 		f(qt.New(t), m, a, b)
 		a.Close()
@@ -102,87 +104,88 @@
 	})
 }
 
-var order = Request{Service: "orderdesk", Key: "k1", Fingerprint: 7}
+var testRequest = Request{Service: "orderdesk", Key: "k1", Fingerprint: 7}
 
-// TestDuplicates sends one order through two nodes, before and after it ran.
+// TestDuplicates sends one request through two nodes, before and after it has run.
 func TestDuplicates(t *testing.T) {
-	bubble(t, func(c *qt.C, _ *memory, a, b *Claims) {
-		first := a.Begin(context.Background(), order)
+	testClaims(t, func(c *qt.C, _ *memoryStore, a, b *Claims) {
+		first := a.Begin(context.Background(), testRequest)
 		c.Assert(first.Verdict, qt.Equals, Run)
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
-		other := order
+		c.Check(b.Begin(context.Background(), testRequest).Verdict, qt.Equals, OutcomeUnknown)
+		other := testRequest
 		other.Fingerprint = 8
 		c.Check(b.Begin(context.Background(), other).Verdict, qt.Equals, Conflict)
 		a.Finish(first.Claim, Outcome{Status: 201, Body: []byte("done")})
 		time.Sleep(time.Second)
-		again := b.Begin(context.Background(), order)
+		again := b.Begin(context.Background(), testRequest)
 		c.Check(again.Verdict, qt.Equals, Replay)
 		c.Check(again.Outcome.Status, qt.Equals, 201)
 	})
 }
 
-// TestMidnight sends an order again just after midnight, through a host whose
-// clock is on the other side of it. It must not run twice.
+// TestMidnight sends a request just before midnight, just after it, and 23 hours
+// later. It must not run twice although the day in the key changes.
 func TestMidnight(t *testing.T) {
-	bubble(t, func(c *qt.C, _ *memory, a, b *Claims) {
+	testClaims(t, func(c *qt.C, _ *memoryStore, a, b *Claims) {
 		now := time.Now().UTC()
 		time.Sleep(time.Until(now.Truncate(24 * time.Hour).Add(24*time.Hour - time.Second)))
-		c.Assert(a.Begin(context.Background(), order).Verdict, qt.Equals, Run)
+		c.Assert(a.Begin(context.Background(), testRequest).Verdict, qt.Equals, Run)
 		time.Sleep(2 * time.Second)
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
+		c.Check(b.Begin(context.Background(), testRequest).Verdict, qt.Equals, OutcomeUnknown)
 		time.Sleep(23 * time.Hour)
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
+		c.Check(b.Begin(context.Background(), testRequest).Verdict, qt.Equals, OutcomeUnknown)
 	})
 }
 
-// TestLost loses the answer to a claim, in each of the two ways.
+// TestLostAnswer loses the answer to the transaction that writes a claim.
 //
-// If it took effect, it is found by its id and the order runs, once. If not,
-// the order must not run, and what may yet appear is taken back, so that its
-// caller can send it again with the same key.
-func TestLost(t *testing.T) {
-	bubble(t, func(c *qt.C, m *memory, a, b *Claims) {
-		m.set(func() { m.fail, m.done = platform.ErrUnknown, true })
-		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Run)
-		m.set(func() { m.fail = nil })
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
+// If the row can be read, the claim is recognized by its id and the request
+// runs, once. If reads fail too, the request must not run, and the claim is
+// deleted later, so that its caller can use the key again. A transaction that
+// certainly was not done leaves the request undecided.
+func TestLostAnswer(t *testing.T) {
+	testClaims(t, func(c *qt.C, m *memoryStore, a, b *Claims) {
+		m.set(func() { m.transactErr, m.applyFailed = platform.ErrUnknown, true })
+		c.Check(a.Begin(context.Background(), testRequest).Verdict, qt.Equals, Run)
+		m.set(func() { m.transactErr = nil })
+		c.Check(b.Begin(context.Background(), testRequest).Verdict, qt.Equals, OutcomeUnknown)
 	})
-	bubble(t, func(c *qt.C, m *memory, a, b *Claims) {
-		m.set(func() { m.fail, m.done, m.deaf = platform.ErrUnknown, true, true })
-		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Undecided)
+	testClaims(t, func(c *qt.C, m *memoryStore, a, b *Claims) {
+		m.set(func() { m.transactErr, m.applyFailed, m.failReads = platform.ErrUnknown, true, true })
+		c.Check(a.Begin(context.Background(), testRequest).Verdict, qt.Equals, Undecided)
 		c.Check(m.count(), qt.Equals, 1)
-		m.set(func() { m.fail, m.deaf = nil, false })
+		m.set(func() { m.transactErr, m.failReads = nil, false })
 		time.Sleep(time.Minute)
 		c.Check(m.count(), qt.Equals, 0)
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, Run)
+		c.Check(b.Begin(context.Background(), testRequest).Verdict, qt.Equals, Run)
 	})
-	bubble(t, func(c *qt.C, m *memory, a, _ *Claims) {
-		m.set(func() { m.fail, m.done = platform.ErrUnavailable, false })
-		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Undecided)
+	testClaims(t, func(c *qt.C, m *memoryStore, a, _ *Claims) {
+		m.set(func() { m.transactErr, m.applyFailed = platform.ErrUnavailable, false })
+		c.Check(a.Begin(context.Background(), testRequest).Verdict, qt.Equals, Undecided)
 	})
 }
 
-// TestRelease gives a key back whose request did not run. Its answer is lost
-// and it is tried again, when another node has the key already: that node's
-// claim must stay, or the order would run twice.
+// TestRelease releases the claim of a request that did not run. The answer to
+// the delete is lost, and another node claims the key before the delete is
+// retried. That node's claim must stay, or the request would run twice.
 func TestRelease(t *testing.T) {
-	bubble(t, func(c *qt.C, m *memory, a, b *Claims) {
-		first := a.Begin(context.Background(), order)
+	testClaims(t, func(c *qt.C, m *memoryStore, a, b *Claims) {
+		first := a.Begin(context.Background(), testRequest)
 		c.Assert(first.Verdict, qt.Equals, Run)
-		m.set(func() { m.fail, m.done = platform.ErrUnknown, true })
+		m.set(func() { m.transactErr, m.applyFailed = platform.ErrUnknown, true })
 		a.Release(first.Claim)
 		synctest.Wait()
-		m.set(func() { m.fail = nil })
-		c.Assert(b.Begin(context.Background(), order).Verdict, qt.Equals, Run)
+		m.set(func() { m.transactErr = nil })
+		c.Assert(b.Begin(context.Background(), testRequest).Verdict, qt.Equals, Run)
 		time.Sleep(time.Minute)
 		c.Check(m.count(), qt.Equals, 1)
-		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
+		c.Check(a.Begin(context.Background(), testRequest).Verdict, qt.Equals, OutcomeUnknown)
 	})
 }
 
-// TestBatch sends many orders at once: a few transactions carry them.
+// TestBatch checks that the claims of concurrent requests share transactions.
 func TestBatch(t *testing.T) {
-	bubble(t, func(c *qt.C, m *memory, a, _ *Claims) {
+	testClaims(t, func(c *qt.C, m *memoryStore, a, _ *Claims) {
 		var wg sync.WaitGroup
 		for i := range 40 {
 			wg.Go(func() {
@@ -191,14 +194,14 @@
 			})
 		}
 		wg.Wait()
-		c.Check(m.tries <= 3, qt.IsTrue, qt.Commentf("%d transactions", m.tries))
+		c.Check(m.transactions <= 3, qt.IsTrue, qt.Commentf("%d transactions", m.transactions))
 	})
 }
 
-// TestSpoiled sends an order that was sent before among many others: it must
-// not spoil the rest of its transaction.
-func TestSpoiled(t *testing.T) {
-	bubble(t, func(c *qt.C, _ *memory, a, b *Claims) {
+// TestDuplicateInBatch sends a request that was sent before together with many
+// others. Its failed condition must not fail the others of its transaction.
+func TestDuplicateInBatch(t *testing.T) {
+	testClaims(t, func(c *qt.C, _ *memoryStore, a, b *Claims) {
 		c.Assert(b.Begin(context.Background(), Request{Service: "orderdesk", Key: "k-7"}).Verdict, qt.Equals, Run)
 		var wg sync.WaitGroup
 		var verdicts [40]Verdict
@@ -218,25 +221,23 @@
 	})
 }
 
-// TestGather hands the claims of one node on to another one, which fails in
-// each way that it can.
+// TestForward forwards the claims of one node to a committing node.
 //
-// It may be gone before it was asked, or its answer may be lost. In the first
-// case the node commits by itself; in the second the order must not run, and
-// its key is given back.
-func TestGather(t *testing.T) {
+// If the claims can't be sent, the node commits them itself. If the answer is
+// lost, the request must not run, and its claim is released.
+func TestForward(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		m := newMemory()
-		root := New(Deps{Store: m, Host: "erie-a-0"})
-		var fail error
-		lose := false
+		m := newMemoryStore()
+		committer := New(Deps{Store: m, Host: "erie-a-0"})
+		var forwardErr error
+		loseAnswer := false
 		a := New(Deps{Store: m, Host: "erie-a-1", Forward: func(ctx context.Context, b []byte) ([]byte, error) {
-			if fail != nil {
-				return nil, fail
+			if forwardErr != nil {
+				return nil, forwardErr
 			}
-			out, err := root.CommitForwarded(ctx, b)
-			if lose {
+			out, err := committer.CommitForwarded(ctx, b)
+			if loseAnswer {
 				return nil, context.DeadlineExceeded
 			}
 			return out, err
@@ -246,35 +247,36 @@
 		}
 		c.Check(begin("k1"), qt.Equals, Run)
 		c.Check(begin("k1"), qt.Equals, OutcomeUnknown)
-		fail = ErrCommitLocally
+		forwardErr = ErrCommitLocally
 		c.Check(begin("k2"), qt.Equals, Run)
-		fail = nil
-		lose = true
+		forwardErr = nil
+		loseAnswer = true
 		c.Check(begin("k3"), qt.Equals, Undecided)
-		lose = false
+		loseAnswer = false
 		time.Sleep(time.Minute)
 		c.Check(begin("k3"), qt.Equals, Run)
-		// A peer writes claims by this way and nothing else.
-		for _, o := range []ForwardedWrite{
+		// A peer can write claims through another node, and nothing else.
+		for _, w := range []ForwardedWrite{
 			{ID: "x", Key: "head", Value: []byte("{}")},
 			{ID: "x", Key: Prefix + "20260101/a", Value: []byte("{}"), Absent: []string{"head"}},
 			{ID: "x", Key: Prefix + "20260101/a"},
 		} {
-			b, err := codec.Encode([]ForwardedWrite{o})
+			b, err := codec.Encode([]ForwardedWrite{w})
 			c.Assert(err, qt.IsNil)
-			_, err = root.CommitForwarded(context.Background(), b)
+			_, err = committer.CommitForwarded(context.Background(), b)
 			c.Check(err, qt.Equals, ErrMalformed)
 		}
 		a.Close()
-		root.Close()
+		committer.Close()
 	})
 }
 
-// TestSweep deletes claims of days that nobody asks for any more, and no others.
+// TestSweep checks that Sweep deletes the claims whose retention has ended, and
+// no others.
 func TestSweep(t *testing.T) {
-	bubble(t, func(c *qt.C, m *memory, a, _ *Claims) {
+	testClaims(t, func(c *qt.C, m *memoryStore, a, _ *Claims) {
 		for day := range 5 {
-			r := order
+			r := testRequest
 			r.Key = fmt.Sprintf("day-%d", day)
 			c.Assert(a.Begin(context.Background(), r).Verdict, qt.Equals, Run)
 			time.Sleep(24 * time.Hour)
--- a/briarrockd/claim/sweep.go
+++ b/briarrockd/claim/sweep.go
@@ -9,44 +9,44 @@
 	"briarrock.example/mesh/platform"
 )
 
-// Bounds of one sweep.
+// Limits of one sweep. It deletes at most sweepRows*sweepBatches claims.
 const (
 	sweepRows    = platform.MaxWrite
 	sweepBatches = 20
-	// sweepPause is left between two batches, so that a sweep takes a small
-	// part of the platform's writes.
+	// sweepPause is the pause between two batches, so that a sweep takes a small
+	// part of the platform's write rate.
 	sweepPause = 500 * time.Millisecond
 )
 
-// Sweep deletes the claims of days that are no longer asked for and returns
-// how many. Claims of yesterday, today and tomorrow are looked at by Begin;
-// one more day is left, so that hosts' clocks can differ by hours.
+// Sweep deletes claims whose retention has ended and returns their number.
+// Begin reads the claims of yesterday, today and tomorrow. Sweep keeps one more
+// day, because the clocks of hosts can differ by hours.
 func (c *Claims) Sweep(ctx context.Context, now time.Time) (int, error) {
-	oldest := Prefix + day(now.UTC(), -RetentionDays-1) + "/"
-	swept := 0
+	oldestKept := Prefix + day(now.UTC(), -RetentionDays-1) + "/"
+	deleted := 0
 	for range sweepBatches {
 		rows, err := c.store.List(ctx, platform.Scan{Prefix: Prefix, Limit: sweepRows})
 		if err != nil {
-			return swept, errors.Wrap(err, "claim: sweep")
+			return deleted, errors.Wrap(err, "claim: sweep")
 		}
 		var t platform.Transaction
 		for _, r := range rows {
-			if r.Key < oldest {
+			if r.Key < oldestKept {
 				t.Writes = append(t.Writes, platform.Write{Key: r.Key})
 			}
 		}
 		if len(t.Writes) == 0 {
-			return swept, nil
+			return deleted, nil
 		}
 		if err := c.store.Transact(ctx, t); err != nil {
-			return swept, errors.Wrap(err, "claim: sweep")
+			return deleted, errors.Wrap(err, "claim: sweep")
 		}
-		swept += len(t.Writes)
+		deleted += len(t.Writes)
 		select {
 		case <-ctx.Done():
-			return swept, nil
+			return deleted, nil
 		case <-time.After(sweepPause):
 		}
 	}
-	return swept, nil
+	return deleted, nil
 }
