--- a/briarrockd/keys/keys.go
+++ b/briarrockd/keys/keys.go
@@ -1,14 +1,14 @@
-// Package keys holds a node's certificate and the authority that it trusts,
-// and makes TLS 1.3 settings from them. The files can be replaced while the
-// node runs: Reload takes the new ones, and connections made after that use
-// them.
+// Package keys holds a node's certificate and its trusted certificate authority,
+// and makes configurations for mutual TLS 1.3 from them. The files can be
+// replaced while the node runs: Reload reads them again, and connections made
+// after that use the new ones.
 //
 //	k, err := keys.Load(keys.Files{Cert: "node.crt", Key: "node.key", CA: "ca.crt"})
-//	listener := tls.NewListener(l, k.Server())
+//	listener := tls.NewListener(l, k.ServerConfig())
 //
-// Who may do what is in the certificate's organizational unit: a node has
-// "node", an operator "operator". Name checks it, so that an operator's key
-// can't pose as a node or the other way round.
+// The certificate's organizational unit is the role of its holder: "node" for a
+// node, "operator" for an operator. PeerName checks it, so that an operator's
+// certificate is not accepted as a node's, nor a node's as an operator's.
 package keys
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/pkg/errors"
 )
 
-// Role is what a certificate's holder may be.
+// Role is the role that a certificate gives its holder.
 type Role string
 
 // The roles.
@@ -30,19 +30,20 @@
 	Operator Role = "operator"
 )
 
-// ErrRole says that a certificate is good but not for this.
-var ErrRole = errors.New("keys: certificate has the wrong role")
+// ErrRole reports a certificate that is missing or has another role.
+var ErrRole = errors.New("keys: no certificate with the required role")
 
-// Files name the PEM files.
+// Files are the paths of the PEM files.
 type Files struct{ Cert, Key, CA string }
 
-// Keys are the keys of the moment.
+// Keys holds the certificate, its private key and the authority that were loaded
+// last.
 type Keys struct {
-	files Files
-	now   atomic.Pointer[loaded]
+	files   Files
+	current atomic.Pointer[credentials]
 }
 
-type loaded struct {
+type credentials struct {
 	cert tls.Certificate
 	pool *x509.CertPool
 }
@@ -53,54 +54,56 @@
 	return k, k.Reload()
 }
 
-// Reload reads the files again. If they are not good, the old keys stay.
+// Reload reads the files again. If it returns an error, the old keys stay in use.
 func (k *Keys) Reload() error {
 	cert, err := tls.LoadX509KeyPair(k.files.Cert, k.files.Key)
 	if err != nil {
-		return errors.Wrap(err, "keys")
+		return errors.Wrap(err, "keys: load certificate")
 	}
 	pem, err := os.ReadFile(k.files.CA)
 	if err != nil {
-		return errors.Wrap(err, "keys")
+		return errors.Wrap(err, "keys: load certificate authority")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return errors.Errorf("keys: %s has no certificate", k.files.CA)
+		return errors.Errorf("keys: no certificate found in %s", k.files.CA)
 	}
-	k.now.Store(&loaded{cert, pool})
+	k.current.Store(&credentials{cert, pool})
 	return nil
 }
 
-// ServerConfig returns settings for a listener: the other side must have a
-// certificate of the same authority.
+// ServerConfig returns a configuration for a listener. Clients must present a
+// certificate that the authority has signed.
 func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			l := k.now.Load()
+			creds := k.current.Load()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
-				Certificates: []tls.Certificate{l.cert},
+				Certificates: []tls.Certificate{creds.cert},
 				ClientAuth:   tls.RequireAndVerifyClientCert,
-				ClientCAs:    l.pool,
+				ClientCAs:    creds.pool,
 				NextProtos:   []string{"h2", "http/1.1"},
 			}, nil
 		},
 	}
 }
 
-// ClientConfig returns settings for connecting to a node. Nodes are known by
-// address, not by a name in DNS, so instead of a host name it is checked that
-// the certificate is of the authority and of a node.
+// ClientConfig returns a configuration for connecting to a node. Nodes are
+// addressed by IP address and have no DNS names. So instead of the host name it
+// verifies that the authority has signed the certificate and that its role is
+// Node.
 func (k *Keys) ClientConfig() *tls.Config {
-	l := k.now.Load()
+	creds := k.current.Load()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{l.cert},
-		// The check of the host name is replaced, not left out: see below.
-		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection does it
+		Certificates: []tls.Certificate{creds.cert},
+		// VerifyConnection replaces the default verification, which needs a host
+		// name.
+		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection verifies the certificate
 		VerifyConnection: func(cs tls.ConnectionState) error {
-			if err := verify(cs, l.pool); err != nil {
+			if err := verifyChain(cs, creds.pool); err != nil {
 				return err
 			}
 			_, err := PeerName(cs, Node)
@@ -109,9 +112,9 @@
 	}
 }
 
-func verify(cs tls.ConnectionState, pool *x509.CertPool) error {
+func verifyChain(cs tls.ConnectionState, pool *x509.CertPool) error {
 	if len(cs.PeerCertificates) == 0 {
-		return errors.New("keys: no certificate")
+		return errors.New("keys: no certificate presented")
 	}
 	opts := x509.VerifyOptions{
 		Roots:         pool,
@@ -122,17 +125,18 @@
 		opts.Intermediates.AddCert(c)
 	}
 	_, err := cs.PeerCertificates[0].Verify(opts)
-	return errors.Wrap(err, "keys")
+	return errors.Wrap(err, "keys: verify certificate")
 }
 
-// PeerName returns the common name of the other side's certificate, or ErrRole.
+// PeerName returns the common name of the peer's certificate. It returns ErrRole
+// if there is no certificate or it does not have the role.
 func PeerName(cs tls.ConnectionState, role Role) (string, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return "", ErrRole
 	}
 	subject := cs.PeerCertificates[0].Subject
 	if !slices.Contains(subject.OrganizationalUnit, string(role)) {
-		return "", errors.Wrapf(ErrRole, "%q is not a %s", subject.CommonName, role)
+		return "", errors.Wrapf(ErrRole, "certificate of %q does not have the role %q", subject.CommonName, role)
 	}
 	return subject.CommonName, nil
 }
