--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -1,10 +1,10 @@
-// Package settings reads a node's settings: who and where it is, its
-// addresses and its secrets. A node knows nothing else when it starts.
+// Package settings reads a node's settings: its host name, failure domain and
+// region, its addresses and its secrets. A node needs nothing else to start.
 //
 //	s, err := settings.Load("node.yaml")
 //
-// Reading is strict. The error lists all mistakes with their lines, and a
-// node whose settings have any does not start.
+// Parsing is strict. The error lists all mistakes with their lines, and a node
+// whose settings have any mistake does not start.
 package settings
 
 import (
@@ -22,52 +22,57 @@
 	"briarrock.example/mesh/strict"
 )
 
-// Settings are what a node is told when it starts.
+// Settings are the settings of one node.
 type Settings struct {
 	Host   string
 	Domain string
 	Region string
 
-	// Addresses to listen at; the first three are also told to others.
-	CallerAddr   string // callers
-	CallAddr     string // calls from peers
-	PeerAddr     string // peers
-	OperatorAddr string // operators, metrics and health
-	AnnounceAddr string // targets of this host
-	// AdvertisedPeerAddr is the peer address to tell others instead of Peer, where
-	// they reach it by another one.
+	// Addresses to listen on. PeerAddr and CallAddr are also advertised to other
+	// nodes.
+	CallerAddr   string // requests of callers
+	CallAddr     string // calls that other nodes forward to this host's targets
+	PeerAddr     string // gossip and configuration between nodes
+	OperatorAddr string // operators, metrics and health checks
+	AnnounceAddr string // announcements of this host's targets
+	// AdvertisedPeerAddr, if set, is advertised instead of PeerAddr, for nodes
+	// that other nodes reach at another address.
 	AdvertisedPeerAddr string
-	// AdvertisedCallAddr is the same for Call.
+	// AdvertisedCallAddr, if set, is advertised instead of CallAddr.
 	AdvertisedCallAddr string
 
+	// Contacts are the peer addresses of nodes through which a starting node joins
+	// the mesh.
 	Contacts []string
-	// ExpectedHosts is about how many hosts the mesh has.
+	// ExpectedHosts is the approximate number of hosts in the mesh.
 	ExpectedHosts int
 	Platform      Platform
 	Security      Security
-	// Operators and Callers map the SHA-256 of a token to a name.
+	// Operators and Callers are the tokens of operators and callers.
 	Operators Tokens
 	Callers   Tokens
 
-	// StallTimeout bounds the time without a byte moving in a call.
+	// StallTimeout is how long a call may transfer no byte before it fails.
 	StallTimeout time.Duration
-	// DrainTimeout bounds the time that a stopping node waits for calls in flight.
+	// DrainTimeout bounds a graceful shutdown, including the wait for calls in
+	// flight.
 	DrainTimeout time.Duration
 
+	// LogJSON selects JSON instead of text as the format of the log.
 	LogJSON  bool
 	LogLevel logrus.Level
 }
 
-// Platform is where the platform's service is.
+// Platform locates the platform's store.
 type Platform struct {
 	URL   string
 	Token string
-	// Region is the region that the store is in, if known.
+	// Region is the region of the store, if known.
 	Region string
 }
 
-// Security names the files of the node's keys. Plain turns TLS off, and has to
-// be said: leaving keys out by oversight must not.
+// Security has the paths of the node's key files. Plain turns TLS off. It must be
+// set explicitly, so that keys left out by mistake do not turn TLS off.
 type Security struct {
 	Plain bool
 	Cert  string
@@ -78,14 +83,14 @@
 // Tokens maps the hexadecimal SHA-256 of a token to the name of its holder.
 type Tokens map[string]string
 
-// Name returns the holder of a token.
+// Name returns the name of a token's holder, and false for an unknown token.
 func (t Tokens) Name(token string) (string, bool) {
 	sum := sha256.Sum256([]byte(token))
 	name, ok := t[hex.EncodeToString(sum[:])]
 	return name, ok
 }
 
-// Defaults and ranges.
+// Defaults and limits.
 const (
 	defaultStall = 10 * time.Second
 	defaultDrain = 20 * time.Second
@@ -94,30 +99,30 @@
 	maxDrain     = 10 * time.Minute
 	defaultHosts = 100
 	maxHosts     = 100000
-	maxFile      = 1 << 20
+	maxFileBytes = 1 << 20
 )
 
-// Load reads a file.
+// Load reads settings from a file.
 func Load(path string) (Settings, error) {
-	b, err := os.ReadFile(path) //nolint:gosec // the operator names the file
+	b, err := os.ReadFile(path) //nolint:gosec // the operator chooses the file
 	if err != nil {
 		return Settings{}, errors.WithStack(err)
 	}
 	return Parse(b)
 }
 
-// Parse reads settings from YAML. Its error is strict.Mistakes.
+// Parse reads settings from YAML. Its error, if any, is of type strict.Mistakes.
 func Parse(b []byte) (Settings, error) {
 	r := reader{s: Settings{ExpectedHosts: defaultHosts, StallTimeout: defaultStall, DrainTimeout: defaultDrain, LogLevel: logrus.InfoLevel}}
-	if len(b) > maxFile {
-		r.AddAt(0, 0, "the settings are larger than %d bytes", maxFile)
+	if len(b) > maxFileBytes {
+		r.AddAt(0, 0, "the settings are larger than %d bytes", maxFileBytes)
 		return r.s, r.Err()
 	}
 	root, ok := r.Parse(b)
 	if !ok {
 		return r.s, r.Err()
 	}
-	r.top(root)
+	r.readSettings(root)
 	return r.s, r.Err()
 }
 
@@ -126,9 +131,9 @@
 	s Settings
 }
 
-func (r *reader) top(root *yaml.Node) {
+func (r *reader) readSettings(root *yaml.Node) {
 	s := &r.s
-	secured := false
+	hasSecurity := false
 	r.Fields(root, "the settings", map[string]strict.Field{
 		"host":          {Read: func(n *yaml.Node) { s.Host = r.Name(n) }, Need: true},
 		"domain":        {Read: func(n *yaml.Node) { s.Domain = r.Name(n) }, Need: true},
@@ -143,14 +148,14 @@
 		"contacts":      {Read: func(n *yaml.Node) { s.Contacts = r.addresses(n) }},
 		"hosts":         {Read: func(n *yaml.Node) { s.ExpectedHosts = r.Number(n, 1, maxHosts) }},
 		"platform":      {Read: r.platform, Need: true},
-		"security":      {Read: func(n *yaml.Node) { secured = true; r.security(n) }, Need: true},
+		"security":      {Read: func(n *yaml.Node) { hasSecurity = true; r.security(n) }, Need: true},
 		"operators":     {Read: func(n *yaml.Node) { s.Operators = r.tokens(n) }},
 		"callers":       {Read: func(n *yaml.Node) { s.Callers = r.tokens(n) }},
 		"stall":         {Read: func(n *yaml.Node) { s.StallTimeout = r.Duration(n, minStall, maxStall) }},
 		"drain":         {Read: func(n *yaml.Node) { s.DrainTimeout = r.Duration(n, 0, maxDrain) }},
 		"log":           {Read: r.log},
 	})
-	if secured && s.Security.Plain && len(s.Operators) == 0 && !loopback(s.OperatorAddr) {
+	if hasSecurity && s.Security.Plain && len(s.Operators) == 0 && !loopback(s.OperatorAddr) {
 		r.Add(root, "with \"security: plain\" the operator address must be on loopback, or operators must have tokens")
 	}
 }
@@ -160,8 +165,8 @@
 	return err == nil && net.ParseIP(host).IsLoopback()
 }
 
-// address reads an IP address with a port. Names are refused: a node must
-// start while nothing that resolves names can be reached.
+// address reads an IP address with a port. Host names are mistakes, because a
+// node must be able to start while no name resolution is available.
 func (r *reader) address(n *yaml.Node) string {
 	s := r.Scalar(n)
 	host, port, err := net.SplitHostPort(s)
@@ -216,20 +221,21 @@
 func (r *reader) tokens(n *yaml.Node) Tokens {
 	out := make(Tokens)
 	for _, x := range r.List(n) {
-		name, token := "", ""
+		name, sum := "", ""
 		r.Fields(x, "a token", map[string]strict.Field{
 			"name":   {Read: func(n *yaml.Node) { name = r.Name(n) }, Need: true},
-			"sha256": {Read: func(n *yaml.Node) { token = r.sum(n) }, Need: true},
+			"sha256": {Read: func(n *yaml.Node) { sum = r.tokenSum(n) }, Need: true},
 		})
-		if _, ok := out[token]; ok {
+		if _, ok := out[sum]; ok {
 			r.Add(x, "the token of %q is listed twice", name)
 		}
-		out[token] = name
+		out[sum] = name
 	}
 	return out
 }
 
-func (r *reader) sum(n *yaml.Node) string {
+// tokenSum reads the SHA-256 of a token.
+func (r *reader) tokenSum(n *yaml.Node) string {
 	s := r.Scalar(n)
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != sha256.Size {
