--- a/briarrockd/main.go
+++ b/briarrockd/main.go
@@ -1,12 +1,12 @@
-// Command briarrockd is the node of briarrock: one small process on each
-// target host. It is the proxy between callers and the host's targets, and it
-// carries its share of distributing the configuration.
+// Command briarrockd runs a briarrock node: one process on each target host. It
+// is the proxy between callers and the host's targets, and takes part in
+// distributing the configuration.
 //
 //	briarrockd --config node.yaml
 //
-// It stops gracefully on SIGTERM and SIGINT, and takes new keys on SIGHUP.
-// Exit codes: 0 after a graceful stop, 1 if it could not start or listen, 2
-// for mistakes in the command line or the settings.
+// It shuts down gracefully on SIGTERM and SIGINT, and reloads its TLS keys on
+// SIGHUP. Exit codes: 0 after a graceful shutdown, 1 if it could not start or
+// listen, 2 for mistakes in the command line or the settings.
 package main
 
 import (
@@ -37,22 +37,23 @@
 	os.Exit(run())
 }
 
-// Memory of the process. A node's live heap is a few tens of megabytes, so
-// collecting at twice that size would cost processor time for nothing; the
-// limit keeps the process well below the 256 MB that a host gives it.
+// Settings of the garbage collector. A node's live heap is a few tens of
+// megabytes. The default, which collects at twice that size, would cost
+// processor time without need. The limit keeps the process well below the
+// 256 MB that a host gives it.
 const (
-	gcPercent   = 400
-	memoryLimit = 200 << 20
+	gcPercent        = 400
+	memoryLimitBytes = 200 << 20
 )
 
 func run() int {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(memoryLimit)
+	debug.SetMemoryLimit(memoryLimitBytes)
 	path := ""
 	flaggy.SetName("briarrockd")
-	flaggy.SetDescription("the node of briarrock: proxy and configuration distribution on one target host")
+	flaggy.SetDescription("a briarrock node: proxy and configuration distribution on one target host")
 	flaggy.DefaultParser.DisableShowVersionWithVersion()
-	flaggy.String(&path, "c", "config", "the node's settings, a YAML file (required)")
+	flaggy.String(&path, "c", "config", "path of the node's settings, a YAML file (required)")
 	flaggy.Parse()
 	if path == "" {
 		fmt.Fprintln(os.Stderr, "briarrockd: --config is missing; see docs/SETTINGS.md")
@@ -60,7 +61,7 @@
 	}
 	cfg, err := settings.Load(path)
 	if err != nil {
-		return complain(path, err)
+		return reportSettingsError(path, err)
 	}
 	events := event.New(os.Stderr, cfg.LogJSON, cfg.LogLevel, cfg.Host)
 	log.SetFlags(0)
@@ -70,14 +71,16 @@
 		fmt.Fprintf(os.Stderr, "briarrockd: %v\n", err)
 		return exitFailed
 	}
-	wait(n)
+	waitForStop(n)
 	ctx, cancel := context.WithTimeout(context.Background(), cfg.DrainTimeout)
 	defer cancel()
 	n.Stop(ctx)
 	return 0
 }
 
-func complain(path string, err error) int {
+// reportSettingsError prints the mistakes in the settings, or another error of
+// reading them, and returns the exit code.
+func reportSettingsError(path string, err error) int {
 	var mistakes strict.Mistakes
 	if !errors.As(err, &mistakes) {
 		fmt.Fprintf(os.Stderr, "briarrockd: %v\n", err)
@@ -89,8 +92,8 @@
 	return exitUsage
 }
 
-// wait returns when the process is asked to stop.
-func wait(n *node.Node) {
+// waitForStop reloads the keys on SIGHUP, and returns on SIGTERM or SIGINT.
+func waitForStop(n *node.Node) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	for s := range signals {
