--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -21,24 +21,25 @@
 	"briarrock.example/mesh/kind"
 )
 
-// Bounds of the HTTP servers and of the connections between nodes.
+// Limits and timeouts of the HTTP servers and of the connections between nodes.
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 64 << 10
-	// dialTimeout is far above the way there and back between two regions; a
-	// call must not lose its deadline to a domain that is cut off.
-	dialTimeout = 500 * time.Millisecond
-	idleConns   = 64
-	// peerIdle is how long a connection to another node is kept: long enough to
-	// outlast a lull, short enough that its buffers don't stay for good after a
-	// rush. The other side keeps it for idleTimeout, so this side closes first.
-	peerIdle   = 20 * time.Second
-	maxStreams = 1000
-	// pingAfter and pingWithin find a connection that has gone silent: within
-	// two seconds of its last byte it is closed and a new one is opened.
-	pingAfter  = time.Second
-	pingWithin = time.Second
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
+	// dialTimeout is far above the round-trip time between two regions, but short
+	// enough that a call to a partitioned domain does not use up its deadline.
+	dialTimeout  = 500 * time.Millisecond
+	maxIdleConns = 64
+	// peerIdleTimeout is how long an idle connection to another node is kept. It
+	// outlasts a short pause in traffic, but frees the buffers after a burst of
+	// it. The other side keeps the connection for idleTimeout, which is longer,
+	// so this side closes it first.
+	peerIdleTimeout = 20 * time.Second
+	maxStreams      = 1000
+	// pingIdleTime and pingTimeout detect an unresponsive connection: two seconds
+	// after its last byte it is closed and a new one is opened.
+	pingIdleTime = time.Second
+	pingTimeout  = time.Second
 )
 
 func (n *Node) scheme() string {
@@ -48,102 +49,107 @@
 	return "https"
 }
 
-func protocols(http1, plain bool) *http.Protocols {
+func protocols(allowHTTP1, allowUnencryptedHTTP2 bool) *http.Protocols {
 	p := new(http.Protocols)
-	p.SetHTTP1(http1)
+	p.SetHTTP1(allowHTTP1)
 	p.SetHTTP2(true)
-	p.SetUnencryptedHTTP2(plain)
+	p.SetUnencryptedHTTP2(allowUnencryptedHTTP2)
 	return p
 }
 
 func http2Config() *http.HTTP2Config {
 	return &http.HTTP2Config{
 		MaxConcurrentStreams: maxStreams,
-		SendPingTimeout:      pingAfter,
-		PingTimeout:          pingWithin,
+		SendPingTimeout:      pingIdleTime,
+		PingTimeout:          pingTimeout,
 	}
 }
 
-// maxConns bounds the connections that each listener holds open. The peers'
-// side counts its own.
-var maxConns = map[string]int{callers: 8192, calls: 4096, peers: 4096, operators: 256, announce: 64}
+// maxConns is the maximum number of open connections of each listener. Package
+// peer counts the connections of the peer listener itself.
+var maxConns = map[string]int{callerListener: 8192, callListener: 4096, peerListener: 4096, operatorListener: 256, announceListener: 64}
 
-// The parts of the descriptors, as 1/part, that connections of callers and of
-// other nodes may take. What is left is for the way to other nodes and targets:
-// a node that can't open connections there serves nobody.
+// The limit of open file descriptors divided by callerFilesDivisor bounds the
+// connections of callers, and divided by callFilesDivisor those of other nodes.
+// The remaining descriptors are for connections to other nodes and to targets,
+// without which a node can't serve any call.
 const (
-	callersPart = 2
-	callsPart   = 4
+	callerFilesDivisor = 2
+	callFilesDivisor   = 4
 )
 
+// maxConns returns the maximum number of connections of a listener, within the
+// limit of file descriptors.
 func (n *Node) maxConns(name string) int {
-	most, files := maxConns[name], n.platform.MaxFiles
+	limit, files := maxConns[name], n.platform.MaxFiles
 	switch {
 	case files == 0:
-		return most
-	case name == callers:
-		return min(most, files/callersPart)
-	case name == calls:
-		return min(most, files/callsPart)
+		return limit
+	case name == callerListener:
+		return min(limit, files/callerFilesDivisor)
+	case name == callListener:
+		return min(limit, files/callFilesDivisor)
 	default:
-		return most
+		return limit
 	}
 }
 
-// server is what a node needs of its servers, whichever made them.
+// server is the part of a server that a node uses. http1.Server and netServer
+// implement it.
 type server interface {
-	// Drain tells callers, with each answer, to open no more requests here.
+	// Drain makes each response announce that its connection closes, so that
+	// clients send their next requests elsewhere.
 	Drain()
-	// Shutdown lets what is under way end, until ctx does.
+	// Shutdown waits for the requests in flight until ctx ends.
 	Shutdown(ctx context.Context)
-	// Close ends everything at once.
+	// Close closes all connections at once.
 	Close()
 }
 
-// netServer is a server of net/http.
+// netServer implements server with net/http.
 type netServer struct{ s *http.Server }
 
 // Drain implements server.
 func (s netServer) Drain() { s.s.SetKeepAlivesEnabled(false) }
 
 // Shutdown implements server.
-func (s netServer) Shutdown(ctx context.Context) { _ = s.s.Shutdown(ctx) } // it fails only with ctx
+func (s netServer) Shutdown(ctx context.Context) { _ = s.s.Shutdown(ctx) } // it fails only if ctx ends
 
 // Close implements server.
-func (s netServer) Close() { _ = s.s.Close() } // the listener's error is of no use here
+func (s netServer) Close() { _ = s.s.Close() } // an error of closing the listener has no consequence
 
-// transport is what a node needs of its connections to other nodes.
+// transport is the part of an HTTP transport to other nodes that a node uses.
 type transport interface {
 	http.RoundTripper
 	CloseIdleConnections()
 }
 
-// serveHTTP1 runs one of this project's own servers.
+// serveHTTP1 runs an http1.Server on one of the node's listeners.
 func (n *Node) serveHTTP1(name string, cfg http1.ServerConfig) {
 	cfg.MaxConns = n.maxConns(name)
-	cfg.Panicked = n.panicked
+	cfg.Panicked = n.logPanic
 	s := http1.NewServer(cfg)
 	n.servers = append(n.servers, s)
 	l := n.listeners[name]
-	n.wg.Go(func() { _ = s.Serve(l) }) // it ends by being closed
+	n.wg.Go(func() { _ = s.Serve(l) }) // it returns when it is closed
 }
 
-// serve runs an HTTP server on one of the node's listeners.
-func (n *Node) serve(name string, h http.Handler, conf *tls.Config) {
+// serve runs a net/http server on one of the node's listeners.
+func (n *Node) serve(name string, h http.Handler, tlsConfig *tls.Config) {
 	s := &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		Protocols:         protocols(true, true),
 		HTTP2:             http2Config(),
-		TLSConfig:         conf,
+		TLSConfig:         tlsConfig,
 		ErrorLog:          log.New(io.Discard, "", 0),
 	}
 	n.servers = append(n.servers, netServer{s})
 	l := netutil.LimitListener(n.listeners[name], n.maxConns(name))
 	n.wg.Go(func() {
-		if conf != nil {
+		if tlsConfig != nil {
 			_ = s.ServeTLS(l, "", "")
 			return
 		}
@@ -151,7 +157,7 @@
 	})
 }
 
-func (n *Node) serverKeys() *tls.Config {
+func (n *Node) serverTLS() *tls.Config {
 	if n.keys == nil {
 		return nil
 	}
@@ -168,8 +174,9 @@
 	}
 }
 
-// onlyPeers lets only nodes send calls to the targets of this host.
-func (n *Node) onlyPeers(next http.Handler) http.Handler {
+// requireNode rejects calls to this host's targets from clients whose certificate
+// is not a node's.
+func (n *Node) requireNode(next http.Handler) http.Handler {
 	if n.keys == nil {
 		return next
 	}
@@ -183,56 +190,59 @@
 	})
 }
 
-// newTransport makes the connections to other nodes. HTTP/2 is used for its
-// pings: a connection that has gone silent is found while calls wait on it.
-func (n *Node) newTransport(own bool, open relay.DialFunc) transport {
-	dial := relay.Dialer(dialTimeout, open)
-	if own && n.keys == nil {
-		if open == nil {
+// newTransport returns the transport to other nodes: HTTP/1.1 if useHTTP1 is set,
+// or else HTTP/2. HTTP/2 has pings, which detect an unresponsive connection while
+// calls wait on it. customDial, if set, opens the connections.
+func (n *Node) newTransport(useHTTP1 bool, customDial relay.DialFunc) transport {
+	dial := relay.Dialer(dialTimeout, customDial)
+	if useHTTP1 && n.keys == nil {
+		if customDial == nil {
 			dial = relay.Dialer(dialTimeout, http1.Dialer(dialTimeout))
 		}
-		return http1.NewPool(http1.PoolConfig{Dial: dial, Idle: peerIdle})
+		return http1.NewPool(http1.PoolConfig{Dial: dial, Idle: peerIdleTimeout})
 	}
 	t := &http.Transport{
 		DialContext:            dial,
-		MaxIdleConnsPerHost:    idleConns,
+		MaxIdleConnsPerHost:    maxIdleConns,
 		IdleConnTimeout:        idleTimeout,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxHeader,
-		Protocols:              protocols(own, !own),
+		MaxResponseHeaderBytes: maxHeaderBytes,
+		Protocols:              protocols(useHTTP1, !useHTTP1),
 		HTTP2:                  http2Config(),
 	}
-	if own {
+	if useHTTP1 {
 		t.Protocols.SetHTTP2(false)
 	}
 	if n.keys != nil {
-		t.DialTLSContext = n.dialTLS(dial, own)
+		t.DialTLSContext = n.dialTLS(dial, useHTTP1)
 	}
 	return t
 }
 
-func (n *Node) dialTLS(dial relay.DialFunc, own bool) relay.DialFunc {
+func (n *Node) dialTLS(dial relay.DialFunc, useHTTP1 bool) relay.DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		raw, err := dial(ctx, network, addr)
+		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		conf := n.keys.ClientConfig()
-		if !own {
-			conf.NextProtos = []string{"h2"}
+		tlsConfig := n.keys.ClientConfig()
+		if !useHTTP1 {
+			tlsConfig.NextProtos = []string{"h2"}
 		}
-		c := tls.Client(raw, conf)
+		c := tls.Client(conn, tlsConfig)
 		if err := c.HandshakeContext(ctx); err != nil {
-			_ = raw.Close()
+			_ = conn.Close()
 			return nil, errors.WithStack(err)
 		}
 		return c, nil
 	}
 }
 
-// callerName returns how callers are known: by a token, where the settings
-// list them, or else by what they call themselves.
-func (n *Node) callerName() func(h http.Header) (string, bool) {
+// callerIdentifier returns the function that identifies callers. It returns the
+// caller's name, and false for an unknown one. The name is the platform's, if it
+// has one for all callers; or else the holder of the token, if the settings list
+// tokens; or else what the caller's own header says.
+func (n *Node) callerIdentifier() func(h http.Header) (string, bool) {
 	if name := n.platform.CallerName; name != "" {
 		return func(http.Header) (string, bool) { return name, true }
 	}
@@ -242,5 +252,5 @@
 	return func(h http.Header) (string, bool) { return n.cfg.Callers.Name(h.Get(headerToken)) }
 }
 
-// headerToken is the secret that proves a caller's name.
+// headerToken is the header with a caller's secret token.
 const headerToken = "Briarrock-Token"
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -1,13 +1,13 @@
-// Package node puts the parts of one briarrock node together: its side towards
-// peers, targets, callers, operators and the platform.
+// Package node assembles one briarrock node from its parts: those for peers,
+// targets, callers, operators and the platform.
 //
 //	n, err := node.New(settings, node.Deps{Log: log})
 //	…
-//	n.Stop(ctx) // graceful: nothing in flight is cut off
+//	n.Stop(ctx) // graceful shutdown; calls in flight end first
 //
-// The parts don't know each other. What the Core in package peer decides
-// comes here and is passed on: a version or a change of members becomes one
-// new table for the callers' side.
+// The parts do not depend on each other. The node passes the decisions of the
+// Core in package peer to the other parts: each new version and each change of
+// the members becomes a new routing table for the callers' proxy.
 package node
 
 import (
@@ -38,22 +38,21 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// Deps are what a node may be given instead of making it itself.
+// Deps are the dependencies of a node. Only Log is required.
 type Deps struct {
 	Log *event.Log
 	// Store, if set, is used instead of the one in the settings.
 	Store platform.Store
-	// HTTP1 uses this project's HTTP/1.1 between nodes and towards callers,
-	// instead of net/http's servers and HTTP/2.
+	// HTTP1 selects package http1 for callers and between nodes, instead of
+	// net/http's servers and HTTP/2.
 	HTTP1 bool
-	// Platform, if set, makes the node one of a platform with protocols of its
-	// own.
+	// Platform, if set, adapts the node to a platform that has its own protocols.
 	Platform *Platform
-	// Metrics, if set, is the set that the node's metrics join.
+	// Metrics, if set, is the set in which the node registers its metrics.
 	Metrics *metrics.Set
 	// Dial, if set, opens the connections to peers and to the platform.
 	Dial relay.DialFunc
-	// OnVersion, if set, is told of each version that callers are served by.
+	// OnVersion, if set, is called with each version that comes into use.
 	OnVersion func(version uint64)
 }
 
@@ -74,31 +73,32 @@
 	transport transport
 	budget    *caller.Budget
 	platform  Platform
-	follow    *WatchHandle
+	watch     *WatchHandle
 	wg        sync.WaitGroup
 
-	// mu guards what the next table is made of.
-	mu      sync.Mutex
-	version uint64
-	snap    *snapshot.Snapshot
-	members []peer.Member
-	prints  map[uint64]int
+	// mu guards the inputs of the next table and the crash counts by a request's
+	// fingerprint.
+	mu          sync.Mutex
+	version     uint64
+	snap        *snapshot.Snapshot
+	members     []peer.Member
+	crashCounts map[uint64]int
 
-	used      func(version uint64)
+	onVersion func(version uint64)
 	startedAt time.Time
-	leaving   atomic.Bool
-	once      sync.Once
+	stopping  atomic.Bool
+	closeOnce sync.Once
 	ctx       context.Context
 	cancel    context.CancelFunc
 }
 
-// New starts a node. It returns once its addresses are listened at.
+// New starts a node. It returns once the node listens on all its addresses.
 func New(cfg settings.Settings, d Deps) (*Node, error) {
 	n := &Node{
 		cfg: cfg, log: d.Log, metrics: cmp.Or(d.Metrics, metrics.NewSet()),
-		listeners: make(map[string]net.Listener),
-		prints:    make(map[uint64]int),
-		startedAt: time.Now(),
+		listeners:   make(map[string]net.Listener),
+		crashCounts: make(map[uint64]int),
+		startedAt:   time.Now(),
 	}
 	if err := n.loadKeys(); err != nil {
 		return nil, err
@@ -107,27 +107,27 @@
 		n.closeListeners()
 		return nil, err
 	}
-	st := d.Store
-	if st == nil {
-		st = platform.NewHTTP(storeClient(d.Dial), cfg.Platform.URL, cfg.Platform.Token)
+	store := d.Store
+	if store == nil {
+		store = platform.NewHTTP(storeClient(d.Dial), cfg.Platform.URL, cfg.Platform.Token)
 	}
-	n.used = d.OnVersion
+	n.onVersion = d.OnVersion
 	if d.Platform != nil {
 		n.platform = *d.Platform
 	}
-	n.start(st, d)
+	n.start(store, d)
 	n.log.Emit(event.Started, event.Fields{"domain": cfg.Domain, "region": cfg.Region, "caller": cfg.CallerAddr, "plain": cfg.Security.Plain})
 	return n, nil
 }
 
 func storeClient(dial relay.DialFunc) *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext: dial, MaxIdleConnsPerHost: storeConns, IdleConnTimeout: time.Minute,
+		DialContext: dial, MaxIdleConnsPerHost: maxIdleStoreConns, IdleConnTimeout: time.Minute,
 	}}
 }
 
-// storeConns bounds the idle connections to the platform.
-const storeConns = 4
+// maxIdleStoreConns is the maximum number of idle connections to the platform.
+const maxIdleStoreConns = 4
 
 func (n *Node) loadKeys() error {
 	if n.cfg.Security.Plain {
@@ -141,26 +141,26 @@
 	return nil
 }
 
-// Names of the listeners.
+// Names of the listeners, as errors have them.
 const (
-	callers   = "caller"
-	calls     = "call"
-	peers     = "peer"
-	operators = "operator"
-	announce  = "announce"
+	callerListener   = "caller"
+	callListener     = "call"
+	peerListener     = "peer"
+	operatorListener = "operator"
+	announceListener = "announce"
 )
 
 func (n *Node) listen() error {
 	for name, addr := range map[string]*string{
-		callers: &n.cfg.CallerAddr, calls: &n.cfg.CallAddr, peers: &n.cfg.PeerAddr,
-		operators: &n.cfg.OperatorAddr, announce: &n.cfg.AnnounceAddr,
+		callerListener: &n.cfg.CallerAddr, callListener: &n.cfg.CallAddr, peerListener: &n.cfg.PeerAddr,
+		operatorListener: &n.cfg.OperatorAddr, announceListener: &n.cfg.AnnounceAddr,
 	} {
 		l, err := http1.ListenConfig().Listen(context.Background(), "tcp", *addr)
 		if err != nil {
-			return errors.Wrapf(err, "node: %s address", name)
+			return errors.Wrapf(err, "node: listen on the %s address", name)
 		}
 		n.listeners[name] = l
-		*addr = l.Addr().String() // port 0 has become a real one
+		*addr = l.Addr().String() // the actual port, if the settings have port 0
 	}
 	return nil
 }
@@ -171,96 +171,98 @@
 	}
 }
 
-func (n *Node) start(st platform.Store, d Deps) {
+func (n *Node) start(store platform.Store, d Deps) {
 	n.targets = target.New(target.Deps{
-		Changed:   func(t []peer.Target) { n.tell(peer.TargetsChanged{Targets: t}) },
-		Crashed:   func(c peer.Crashed) { n.tell(c) },
-		Suspicion: n.suspicion,
+		Changed:   func(t []peer.Target) { n.sendToCore(peer.TargetsChanged{Targets: t}) },
+		Crashed:   func(c peer.Crashed) { n.sendToCore(c) },
+		Suspicion: n.crashCount,
 		Log:       n.log, Metrics: n.metrics, Stall: n.cfg.StallTimeout,
 		Dialect: n.platform.WrapTargets, Belongs: n.platform.AnswersRequest, Silent: n.platform.SilenceTimeout, Link: n.platform.LinkBytesPerSecond, NoTurns: n.platform.CallerName != "",
 	})
-	n.claims = claim.New(claim.Deps{Store: st, Log: n.log, Host: n.cfg.Host, Metrics: n.metrics, Forward: n.handClaims})
+	n.claims = claim.New(claim.Deps{Store: store, Log: n.log, Host: n.cfg.Host, Metrics: n.metrics, Forward: n.forwardClaims})
 	n.transport = n.newTransport(d.HTTP1, d.Dial)
 	n.budget = caller.NewBudget()
 	n.proxy = caller.New(caller.Deps{
 		Chooser: caller.NewChooser(n.cfg.Domain, n.cfg.Region, rand.Uint64()),
 		Budget:  n.budget, Claims: n.claims,
-		Transport: n.transport, Scheme: n.scheme(), Suspicion: n.suspicion, Runs: n.targets.Runs,
-		Caller: n.callerName(), Log: n.log, Metrics: n.metrics, Stall: n.cfg.StallTimeout,
+		Transport: n.transport, Scheme: n.scheme(), Suspicion: n.crashCount, Runs: n.targets.Runs,
+		Caller: n.callerIdentifier(), Log: n.log, Metrics: n.metrics, Stall: n.cfg.StallTimeout,
 		Hedge: d.Platform != nil,
 	})
-	n.follow = newFollow(n.tell, n.log)
+	n.watch = newWatchHandle(n.sendToCore, n.log)
 	n.peers = peer.NewLinks(n.peerConfig(), peer.Deps{
-		Store: st, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
+		Store: store, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peerListener], Seed: rand.Uint64(),
 		Dial: d.Dial, Claims: n.claims.CommitForwarded,
-		Hooks: peer.Hooks{Use: n.use, Publish: n.publish, Held: n.held, Watch: n.follow.set},
+		Hooks: peer.Hooks{Use: n.useVersion, Publish: n.useMembers, Held: n.setCrashCount, Watch: n.watch.setTurn},
 	})
 	n.operators = operator.New(operator.Deps{
-		Host: n.cfg.Host, Store: st, Peers: n.peers, Log: n.log, Metrics: n.metrics,
+		Host: n.cfg.Host, Store: store, Peers: n.peers, Log: n.log, Metrics: n.metrics,
 		Identify: n.identify, Explain: n.proxy.Explain, Ready: n.Ready,
 	})
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.wg.Go(n.keepClaims)
+	n.wg.Go(n.maintainClaims)
 	n.metrics.GetOrCreateGauge("briarrock_version", func() float64 { return float64(n.Version()) })
 	n.metrics.GetOrCreateGauge("briarrock_members", func() float64 { return float64(n.LiveMembers()) })
 	n.serveAll(d)
-	if watch := n.platform.Watch; watch != nil {
-		n.wg.Go(func() { watch(n.ctx, n.follow) })
+	if run := n.platform.Watch; run != nil {
+		n.wg.Go(func() { run(n.ctx, n.watch) })
 	}
 }
 
-// serveAll starts the servers.
+// serveAll starts the servers of all listeners but that of the peers.
 func (n *Node) serveAll(d Deps) {
-	plain := d.HTTP1 && n.keys == nil
-	var fromCallers http.Handler = n.proxy
+	useHTTP1 := d.HTTP1 && n.keys == nil
+	var callerHandler http.Handler = n.proxy
 	if n.platform.WrapCallers != nil {
-		fromCallers = n.platform.WrapCallers(n.proxy)
+		callerHandler = n.platform.WrapCallers(n.proxy)
 	}
 	announcements := n.targets.Announcements()
 	if n.platform.Announcements != nil {
 		announcements = n.platform.Announcements(n.targets)
 	}
-	if plain {
-		n.serveHTTP1(callers, http1.ServerConfig{Handler: fromCallers, Limits: n.limits})
-		n.serveHTTP1(calls, http1.ServerConfig{Handler: n.targets})
-		n.serveHTTP1(announce, http1.ServerConfig{Handler: announcements})
+	if useHTTP1 {
+		n.serveHTTP1(callerListener, http1.ServerConfig{Handler: callerHandler, Limits: n.limits})
+		n.serveHTTP1(callListener, http1.ServerConfig{Handler: n.targets})
+		n.serveHTTP1(announceListener, http1.ServerConfig{Handler: announcements})
 	} else {
-		n.serve(callers, fromCallers, nil)
-		n.serve(calls, n.onlyPeers(n.targets), n.serverKeys())
-		n.serve(announce, announcements, nil)
+		n.serve(callerListener, callerHandler, nil)
+		n.serve(callListener, n.requireNode(n.targets), n.serverTLS())
+		n.serve(announceListener, announcements, nil)
 	}
-	n.serve(operators, n.operators, n.serverKeys())
+	n.serve(operatorListener, n.operators, n.serverTLS())
 }
 
-// handClaims passes claims on to the node that gathers those of the domain.
-func (n *Node) handClaims(ctx context.Context, orders []byte) ([]byte, error) {
-	b, err := n.peers.HandClaims(ctx, orders)
+// forwardClaims sends encoded claims to the node that commits those of the domain.
+// It returns claim.ErrCommitLocally if nothing was sent.
+func (n *Node) forwardClaims(ctx context.Context, writes []byte) ([]byte, error) {
+	b, err := n.peers.HandClaims(ctx, writes)
 	if errors.Is(err, peer.ErrNoRoot) {
 		return nil, claim.ErrCommitLocally
 	}
 	return b, errors.WithStack(err)
 }
 
-// shareClaims gives the claims their part of what the platform can do.
-func (n *Node) shareClaims() {
+// updateCommitters adapts the rate limit of claims to the number of nodes that
+// commit claims.
+func (n *Node) updateCommitters() {
 	committers := 1
 	n.peers.Ask(func(h *peer.Core) { _, committers = h.Committers() })
 	n.claims.SetCommitters(committers)
 }
 
-// tell passes a message to the Core; before there is one, nothing can happen.
-func (n *Node) tell(m peer.Msg) {
+// sendToCore sends a message to the Core. It drops messages until the Core exists.
+func (n *Node) sendToCore(m peer.Msg) {
 	if n.peers != nil {
 		n.peers.Tell(m)
 	}
 }
 
 func (n *Node) peerConfig() peer.Config {
-	addr, call := cmp.Or(n.cfg.AdvertisedPeerAddr, n.cfg.PeerAddr), cmp.Or(n.cfg.AdvertisedCallAddr, n.cfg.CallAddr)
+	peerAddr, callAddr := cmp.Or(n.cfg.AdvertisedPeerAddr, n.cfg.PeerAddr), cmp.Or(n.cfg.AdvertisedCallAddr, n.cfg.CallAddr)
 	return peer.Config{
 		Self: peer.Member{
 			Host: n.cfg.Host, Domain: n.cfg.Domain, Region: n.cfg.Region,
-			Peer: addr, Call: call, Incarnation: uint64(time.Now().UnixMilli()),
+			Peer: peerAddr, Call: callAddr, Incarnation: uint64(time.Now().UnixMilli()),
 		},
 		Contacts:    n.cfg.Contacts,
 		StoreRegion: n.cfg.Platform.Region,
@@ -270,31 +272,32 @@
 	}
 }
 
-// use takes a version from the Core.
-func (n *Node) use(u peer.Use) {
+// useVersion puts a version from the Core into use.
+func (n *Node) useVersion(u peer.Use) {
 	n.targets.Configure(u.Snapshot)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.version, n.snap = u.Version, u.Snapshot
-	n.retable()
-	if n.used != nil {
-		n.used(u.Version)
+	n.updateTable()
+	if n.onVersion != nil {
+		n.onVersion(u.Version)
 	}
 }
 
-// publish takes the members from the Core.
-func (n *Node) publish(p peer.Publish) {
+// useMembers puts the members from the Core into use.
+func (n *Node) useMembers(p peer.Publish) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.members = p.Members
 	if n.platform.RetryBudget > 0 {
 		n.budget.Share(n.platform.RetryBudget, len(p.Members))
 	}
-	n.retable()
+	n.updateTable()
 }
 
-// retable makes a table of the newest version and members and swaps it in.
-func (n *Node) retable() {
+// updateTable makes a routing table of the newest version and members, and the
+// proxy uses it from then on. The caller holds mu.
+func (n *Node) updateTable() {
 	if n.snap == nil {
 		return
 	}
@@ -305,37 +308,42 @@
 	n.proxy.Use(caller.NewTable(n.version, n.snap, n.members))
 }
 
-func (n *Node) held(h peer.Held) {
+// setCrashCount sets how many times requests with a fingerprint have been in
+// flight when a target crashed. A count of 0 removes the fingerprint.
+func (n *Node) setCrashCount(h peer.Held) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h.Crashes == 0 {
-		delete(n.prints, h.Print)
+		delete(n.crashCounts, h.Print)
 		return
 	}
-	n.prints[h.Print] = h.Crashes
+	n.crashCounts[h.Print] = h.Crashes
 }
 
-func (n *Node) suspicion(mark uint64) int {
+// crashCount returns how many times requests with a fingerprint have been in
+// flight when a target crashed.
+func (n *Node) crashCount(fingerprint uint64) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.prints[mark]
+	return n.crashCounts[fingerprint]
 }
 
-// alone is how long a node that knows nobody else waits for others before it
-// says that it is ready.
-const alone = 2 * time.Second
+// soloReadyDelay is how long a node that knows no other node waits for others
+// before it reports that it is ready.
+const soloReadyDelay = 2 * time.Second
 
-// Ready tells whether the node serves a configuration and is not leaving. One
-// that has just started and has found nobody yet would only refuse its callers
-// for want of targets.
+// Ready reports whether the node has a configuration and is not shutting down. If
+// the platform's adapter watches the platform, a node that has just started and has
+// found no other node is not ready either: it would refuse calls because it knows
+// no targets.
 func (n *Node) Ready() bool {
-	if n.proxy.Table() == nil || n.leaving.Load() {
+	if n.proxy.Table() == nil || n.stopping.Load() {
 		return false
 	}
-	return n.platform.Watch == nil || n.LiveMembers() > 1 || time.Since(n.startedAt) > alone
+	return n.platform.Watch == nil || n.LiveMembers() > 1 || time.Since(n.startedAt) > soloReadyDelay
 }
 
-// Version is the version that callers are served by; 0 before the first.
+// Version returns the version in use for callers; 0 before the first.
 func (n *Node) Version() uint64 {
 	if t := n.proxy.Table(); t != nil {
 		return t.Version()
@@ -343,17 +351,16 @@
 	return 0
 }
 
-// Settings returns the settings with the addresses that are listened at.
+// Settings returns the settings with the addresses on which the node listens.
 func (n *Node) Settings() settings.Settings { return n.cfg }
 
-// Peers returns the node's side towards its peers.
+// Peers returns the node's links to its peers.
 func (n *Node) Peers() *peer.Links { return n.peers }
 
 // Metrics returns the node's metrics.
 func (n *Node) Metrics() *metrics.Set { return n.metrics }
 
-// ReloadKeys takes new keys from the files. If they are not good the old ones
-// stay in use.
+// ReloadKeys reads the key files again. If that fails, the old keys stay in use.
 func (n *Node) ReloadKeys() {
 	if n.keys == nil {
 		return
@@ -365,32 +372,34 @@
 	n.log.Emit(event.KeysLoaded, nil)
 }
 
-// sweepEvery is how often old claims are deleted, by one node of the mesh, and
-// shareEvery how often a node looks how many others commit claims.
+// sweepInterval is how often one node of the mesh deletes expired claims, and
+// committersInterval how often each node reads how many nodes commit claims.
 const (
-	sweepEvery = 10 * time.Minute
-	shareEvery = 2 * time.Second
+	sweepInterval      = 10 * time.Minute
+	committersInterval = 2 * time.Second
 )
 
-// keepClaims keeps the claims' share of the platform up to date, and their
-// rows swept.
-func (n *Node) keepClaims() {
-	next := time.Now().Add(sweepEvery)
+// maintainClaims updates the rate limit of claims and deletes expired claims, until
+// the node closes.
+func (n *Node) maintainClaims() {
+	nextSweep := time.Now().Add(sweepInterval)
 	for n.ctx.Err() == nil {
-		n.shareClaims()
-		platform.Pause(n.ctx, shareEvery)
-		if time.Now().Before(next) {
+		n.updateCommitters()
+		platform.Pause(n.ctx, committersInterval)
+		if time.Now().Before(nextSweep) {
 			continue
 		}
-		next = time.Now().Add(sweepEvery)
+		nextSweep = time.Now().Add(sweepInterval)
 		leads := false
 		n.peers.Ask(func(h *peer.Core) { leads = h.Leads() })
 		if leads {
-			_, _ = n.claims.Sweep(n.ctx, time.Now()) // what is left is for the next time
+			_, _ = n.claims.Sweep(n.ctx, time.Now()) // the next sweep deletes the rest
 		}
 	}
 }
 
+// identify returns the name of the operator with the token or the certificate.
+// Without TLS and without configured operators it accepts every client.
 func (n *Node) identify(cs *tls.ConnectionState, token string) (string, error) {
 	if name, ok := n.cfg.Operators.Name(token); ok {
 		return name, nil
@@ -402,17 +411,19 @@
 	if n.cfg.Security.Plain && len(n.cfg.Operators) == 0 {
 		return "local", nil
 	}
-	return "", errors.New("node: no token or certificate of an operator")
+	return "", errors.New("node: no valid operator token or certificate")
 }
 
-// LiveMembers returns how many live members the node knows, itself included.
+// LiveMembers returns the number of live members that the node knows, including
+// itself.
 func (n *Node) LiveMembers() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.members)
 }
 
-// LiveTargets returns how many targets the node knows of a service.
+// LiveTargets returns the number of targets of a service that are on live members
+// and not draining.
 func (n *Node) LiveTargets(service string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -427,5 +438,5 @@
 	return count
 }
 
-// CloseIdle closes the connections to other nodes that no call uses.
+// CloseIdle closes the idle connections to other nodes.
 func (n *Node) CloseIdle() { n.transport.CloseIdleConnections() }
--- a/briarrockd/node/pages_test.go
+++ b/briarrockd/node/pages_test.go
@@ -15,7 +15,7 @@
 	"briarrock.example/mesh/strict"
 )
 
-// names collects the first group of a pattern, sorted, each once.
+// names returns the distinct matches of the first group of a pattern, sorted.
 func names(pattern, text string) []string {
 	var out []string
 	for _, m := range regexp.MustCompile(pattern).FindAllStringSubmatch(text, -1) {
@@ -25,7 +25,7 @@
 	return slices.Compact(out)
 }
 
-// TestMetricsPage holds docs/METRICS.md and the names in the code together.
+// TestMetricsPage checks that docs/METRICS.md lists exactly the metrics in the code.
 func TestMetricsPage(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../docs/METRICS.md")
@@ -45,8 +45,8 @@
 		names("[\"`](briarrock_[a-z_]+)", code.String()))
 }
 
-// TestSettingsPage holds docs/SETTINGS.md and the settings' reader together:
-// the reader's own list of fields is in its message about an unknown one.
+// TestSettingsPage checks that docs/SETTINGS.md lists exactly the fields that the
+// settings have. It takes them from the message about an unknown field.
 func TestSettingsPage(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
@@ -63,14 +63,14 @@
 	fields := strings.Split(list, ", ")
 	slices.Sort(fields)
 	c.Check(names("(?m)^\\| `([a-z]+)` \\|", string(page)), qt.DeepEquals, fields)
-	// The example on the page is without mistakes.
+	// The example on the page must be valid.
 	_, example, _ := strings.Cut(string(page), "```yaml\n")
 	example, _, _ = strings.Cut(example, "```")
 	_, err = settings.Parse([]byte(example))
 	c.Check(err, qt.IsNil)
 }
 
-// FuzzSettings checks that whatever a file holds gives settings or mistakes.
+// FuzzSettings checks that any input gives either valid settings or an error.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte("host: a\nsecurity: plain\n"))
 	f.Add([]byte("operators: [{name: a, sha256: zz}]\nlog: {level: loud}\n"))
@@ -78,7 +78,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := settings.Parse(b)
 		if err == nil && (s.Host == "" || s.Platform.URL == "") {
-			t.Fatal("settings without what is needed")
+			t.Fatal("settings without a required field")
 		}
 	})
 }
--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -12,35 +12,38 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// Platform is what a platform's adapter brings along: translations at the
-// node's edges. Fields that are nil leave the edge as it is.
+// Platform adapts a node to a platform: it translates between the node's protocols
+// and those of the platform. Unset fields leave the node's behaviour as it is.
 type Platform struct {
-	// Watch looks at the platform when it is this node's turn, until ctx ends.
-	// The node then reads no versions by itself.
-	Watch func(ctx context.Context, f *WatchHandle)
+	// Watch polls the platform while it is this node's turn, until ctx ends. If
+	// it is set, the node reads no versions itself.
+	Watch func(ctx context.Context, h *WatchHandle)
 	// WrapCallers wraps the handler of callers' requests.
 	WrapCallers func(http.Handler) http.Handler
-	// WrapTargets wraps the connections to targets.
+	// WrapTargets wraps the transport to targets.
 	WrapTargets func(http.RoundTripper) http.RoundTripper
-	// AnswersRequest tells whether a target's answer is the one to a request.
+	// AnswersRequest reports whether a target's response answers the request.
 	AnswersRequest func(req *http.Request, res *http.Response) bool
 	// Announcements makes the handler of targets' announcements.
 	Announcements func(*target.Targets) http.Handler
 	// CallerName is the name of all callers at this node; empty if they name
 	// themselves.
 	CallerName string
-	// SilenceTimeout is how long a target may be silent before it is taken for gone.
+	// SilenceTimeout is the time without an announcement after which a target
+	// counts as gone; 0 for the default.
 	SilenceTimeout time.Duration
-	// LameDuck is how long a stopping node still serves its callers, until they
-	// have been sent elsewhere; 0 for the usual time.
+	// LameDuck is how long a stopping node still serves its callers, until the
+	// platform sends them to other nodes. The node uses at least lameDuckTime.
 	LameDuck time.Duration
 	// Bootstrap is set when the whole mesh starts for the first time.
 	Bootstrap bool
-	// LinkBytesPerSecond is the bandwidth of the host's link in bytes a second; 0 if unknown.
+	// LinkBytesPerSecond is the bandwidth of the host's link; 0 if unknown.
 	LinkBytesPerSecond float64
-	// MaxFiles is how many descriptors the process may have open; 0 if unknown.
+	// MaxFiles is the maximum number of open file descriptors of the process; 0
+	// if unknown.
 	MaxFiles int
-	// RetryBudget is how many retries all nodes together may have saved up.
+	// RetryBudget is how many unused retries all nodes together may save up; 0
+	// for the default.
 	RetryBudget float64
 }
 
@@ -48,13 +51,13 @@
 type Version struct {
 	Number   uint64
 	Snapshot *snapshot.Snapshot
-	// LogPosition is the position in the platform's record of changes up to which this
-	// is the newest, At the time of the look.
+	// LogPosition is the position in the platform's change log up to which this
+	// is the newest version. ReadAt is the time of the read.
 	LogPosition uint64
 	ReadAt      time.Time
 }
 
-// limits are the bounds for callers of the version in use.
+// limits returns the limits for callers in the version in use.
 func (n *Node) limits() snapshot.Limits {
 	if t := n.proxy.Table(); t != nil {
 		return t.Limits()
@@ -62,13 +65,14 @@
 	return snapshot.Limits{}
 }
 
-func (n *Node) panicked(v any, stack []byte) {
+func (n *Node) logPanic(v any, stack []byte) {
 	n.log.Emit(event.Panicked, event.Fields{"panic": v, "stack": string(stack)})
 }
 
-// WatchHandle is a node's side of its watch of the platform.
+// WatchHandle connects Platform.Watch with the node: the watch gets its turns from
+// it and reports results through it.
 type WatchHandle struct {
-	tell func(peer.Msg)
+	send func(peer.Msg)
 	log  *event.Log
 
 	mu      sync.Mutex
@@ -76,27 +80,27 @@
 	changed chan struct{} // closed when turn changes
 }
 
-func newFollow(tell func(peer.Msg), log *event.Log) *WatchHandle {
-	return &WatchHandle{tell: tell, log: log, changed: make(chan struct{})}
+func newWatchHandle(send func(peer.Msg), log *event.Log) *WatchHandle {
+	return &WatchHandle{send: send, log: log, changed: make(chan struct{})}
 }
 
-// set takes the Core's decision.
-func (f *WatchHandle) set(w peer.Watch) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.turn = w
-	close(f.changed)
-	f.changed = make(chan struct{})
-	f.log.Emit(event.WatchTurn, event.Fields{"on": w.On, "spare": w.Spare, "seen": w.Seen, "wait": w.Wait.Milliseconds()})
+// setTurn sets whether and how this node polls the platform, as the Core decided.
+func (h *WatchHandle) setTurn(w peer.Watch) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.turn = w
+	close(h.changed)
+	h.changed = make(chan struct{})
+	h.log.Emit(event.WatchTurn, event.Fields{"on": w.On, "spare": w.Spare, "seen": w.Seen, "wait": w.Wait.Milliseconds()})
 }
 
-// WaitForTurn waits until this node is to look at the platform, and says how. It
-// returns false when ctx ends.
-func (f *WatchHandle) WaitForTurn(ctx context.Context) (peer.Watch, bool) {
+// WaitForTurn blocks until this node is to poll the platform, and returns the
+// parameters of the poll. It returns false when ctx ends.
+func (h *WatchHandle) WaitForTurn(ctx context.Context) (peer.Watch, bool) {
 	for {
-		f.mu.Lock()
-		turn, changed := f.turn, f.changed
-		f.mu.Unlock()
+		h.mu.Lock()
+		turn, changed := h.turn, h.changed
+		h.mu.Unlock()
 		if ctx.Err() != nil {
 			return turn, false
 		}
@@ -110,18 +114,19 @@
 	}
 }
 
-// ReportVersion passes on a version that was found.
-func (f *WatchHandle) ReportVersion(v Version) {
+// ReportVersion sends a version that a poll found to the Core.
+func (h *WatchHandle) ReportVersion(v Version) {
 	b, err := snapshot.Encode(v.Snapshot)
 	if err != nil {
-		f.log.Emit(event.VersionRefused, event.Fields{event.Subject: "platform", "version": v.Number, "error": err.Error()})
+		h.log.Emit(event.VersionRefused, event.Fields{event.Subject: "platform", "version": v.Number, "error": err.Error()})
 		return
 	}
-	f.tell(peer.Committed{Version: v.Number, Hash: snapshot.Sum(b), Content: b, Seen: v.LogPosition, At: v.ReadAt})
+	h.send(peer.Committed{Version: v.Number, Hash: snapshot.Sum(b), Content: b, Seen: v.LogPosition, At: v.ReadAt})
 }
 
-// ReportFailure says that a look had no answer.
-func (f *WatchHandle) ReportFailure() { f.tell(peer.PollFailed{}) }
+// ReportFailure reports a poll that got no answer.
+func (h *WatchHandle) ReportFailure() { h.send(peer.PollFailed{}) }
 
-// ReportUnchanged says that a poll found nothing newer than what was told.
-func (f *WatchHandle) ReportUnchanged(l peer.Polled) { f.tell(l) }
+// ReportUnchanged reports a poll that found no version newer than the last reported
+// one.
+func (h *WatchHandle) ReportUnchanged(p peer.Polled) { h.send(p) }
--- a/briarrockd/node/stop.go
+++ b/briarrockd/node/stop.go
@@ -10,93 +10,98 @@
 	"briarrock.example/mesh/platform"
 )
 
-// lame is how long a leaving node still takes calls from its own callers and
-// passes them on, while the others learn that it leaves.
-const lame = time.Second
+// lameDuckTime is how long a stopping node still accepts calls from its own callers
+// and forwards them, until the other nodes have received the notice that it leaves.
+const lameDuckTime = time.Second
 
-// handOver is the last part of that time, in which the host's targets take no
-// more new work.
-const handOver = 500 * time.Millisecond
+// targetDrainTime is the last part of the lame-duck period, in which this host's
+// targets accept no new calls.
+const targetDrainTime = 500 * time.Millisecond
 
-// Stop ends the node gracefully, until ctx ends.
+// Stop shuts the node down gracefully, until ctx ends.
 //
-// Callers are told first, by readiness and with each answer, and are served
-// until they have had the time to go elsewhere. The host's targets go on taking
-// calls meanwhile: they are well, and in a service with few targets a node that
-// restarts would otherwise take a large part of the room away for seconds. They
-// take no new work shortly before the end, so that what runs there, and the
-// calls that it makes through this node, still come to their end.
+// First it signals its callers, by its readiness and in each response, and serves
+// them until they have had time to change to other nodes. This host's targets
+// accept calls during that time: they are healthy, and in a service with few
+// targets a restart of their node would otherwise remove a large part of the
+// capacity for seconds. Shortly before the end the targets accept no new calls, so
+// that the calls that run there, and the calls that those make through this node,
+// can finish.
 func (n *Node) Stop(ctx context.Context) {
 	n.log.Emit(event.Stopping, nil)
-	n.leaving.Store(true)
+	n.stopping.Store(true)
 	for _, s := range n.servers {
 		s.Drain()
 	}
-	platform.Pause(ctx, max(lame, n.platform.LameDuck)-handOver)
+	platform.Pause(ctx, max(lameDuckTime, n.platform.LameDuck)-targetDrainTime)
 	n.targets.Drain()
 	n.peers.Tell(peer.Leave{})
-	platform.Pause(ctx, handOver)
-	if end, ok := ctx.Deadline(); ok {
-		n.proxy.LeaveBy(end)
+	platform.Pause(ctx, targetDrainTime)
+	if deadline, ok := ctx.Deadline(); ok {
+		n.proxy.LeaveBy(deadline)
 	}
-	n.awaitRuns(ctx)
+	n.waitForRuns(ctx)
 	n.proxy.Leave()
 	n.shutdown(ctx)
 	n.log.Emit(event.Stopped, nil)
 }
 
-// shutdown lets what is under way end, and then ends the node. What is not over
-// shortly after ctx is left behind: a call that must not be broken off may have all
-// of its deadline left, and a process that waited for it would be killed.
+// shutdown waits for the requests in flight and closes the node. It abandons what is
+// still in flight closeMargin after ctx ends: a call that must not be interrupted
+// can have all of its deadline left, and a process that waited for it would be
+// killed.
 func (n *Node) shutdown(ctx context.Context) {
-	ended := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(closed)
 		var wg sync.WaitGroup
 		for _, s := range n.servers {
 			wg.Go(func() { s.Shutdown(ctx) })
 		}
 		wg.Wait()
-		n.end()
+		n.close()
 	}()
 	select {
-	case <-ended:
+	case <-closed:
 		return
 	case <-ctx.Done():
 	}
 	select {
-	case <-ended:
-	case <-time.After(endMargin):
+	case <-closed:
+	case <-time.After(closeMargin):
 	}
 }
 
-// endMargin is how long after the time to stop a node's parts may take to end.
-const endMargin = 200 * time.Millisecond
+// closeMargin is how long the node's parts may take to close after the shutdown's
+// context has ended.
+const closeMargin = 200 * time.Millisecond
 
-// How long a stopping node waits for the calls that run at its targets: they may
-// make calls of their own, which come to this node.
+// runsTimeout is how long a stopping node waits for the calls that run at its
+// targets, because they can make calls of their own through this node.
+// runsPollInterval is the interval at which it counts them.
 const (
-	lookForRuns = 20 * time.Millisecond
-	awaitRuns   = time.Second
+	runsPollInterval = 20 * time.Millisecond
+	runsTimeout      = time.Second
 )
 
-func (n *Node) awaitRuns(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, awaitRuns)
+func (n *Node) waitForRuns(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, runsTimeout)
 	defer cancel()
 	for ctx.Err() == nil && n.targets.Running() > 0 {
-		platform.Pause(ctx, lookForRuns)
+		platform.Pause(ctx, runsPollInterval)
 	}
 }
 
-// Kill ends the node at once, as a crash would: for tests.
+// Kill closes the node without a graceful shutdown, as a crash would. It is for
+// tests.
 func (n *Node) Kill() {
-	n.leaving.Store(true)
-	n.end()
+	n.stopping.Store(true)
+	n.close()
 }
 
-func (n *Node) end() { n.once.Do(n.endOnce) }
+func (n *Node) close() { n.closeOnce.Do(n.closeAll) }
 
-func (n *Node) endOnce() {
+func (n *Node) closeAll() {
 	n.cancel()
 	for _, s := range n.servers {
 		s.Close()
