--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// admitAfter is how many announcements make a target believed that does not
+	// admitAfterAnnouncements is how many announcements make a target believed that does not
 	// answer its health check: such answers can be wrong either way, but a
 	// late announcement from before it left is never followed by two more.
-	admitAfter = 3
-	// turnAround is how many announcements in a row with an earlier start are
+	admitAfterAnnouncements = 3
+	// acceptEarlierStartAfter is how many announcements in a row with an earlier start are
 	// believed after all: the host's clock has gone back between two processes
 	// of the target, and the later one would otherwise never be heard.
-	turnAround = 2
-	// leaveMargin is how much later than a target's word that it leaves a process
+	acceptEarlierStartAfter = 2
+	// deregisterMargin is how much later than a target's word that it leaves a process
 	// of the same ID must have begun to be another one: it is up for about so long
 	// after it, and the host's clock may have been set back since it began.
-	leaveMargin = 2 * time.Second
-	// maxLeft bounds the memory for targets that have left.
-	maxLeft = 256
-	// checkWithin bounds a health check, checkAgain is the pause after one that
+	deregisterMargin = 2 * time.Second
+	// maxDeparted bounds the memory for targets that have left.
+	maxDeparted = 256
+	// healthCheckTimeout bounds a health check, checkAgain is the pause after one that
 	// failed.
 	// checkAgainPaced is the pause if the target names a rate.
-	checkWithin     = time.Second
-	checkAgain      = 250 * time.Millisecond
-	checkAgainPaced = 2 * time.Second
+	healthCheckTimeout             = time.Second
+	healthCheckInterval            = 250 * time.Millisecond
+	healthCheckIntervalRateLimited = 2 * time.Second
 )
 
 // HandleAnnouncement takes what a target says of itself. It returns false if the host has
@@ -46,12 +46,12 @@
 	now := time.Now()
 	t.mu.Lock()
 	x := t.all[a.Addr]
-	if t.isLate(x, a) {
+	if t.isStale(x, a) {
 		t.mu.Unlock()
 		t.deps.Log.Emit(event.AnnounceBad, event.Fields{event.Subject: a.ID, "reason": "late", "born": a.StartMillis, "seq": a.Seq, "state": a.State})
 		return true
 	}
-	if x != nil && (x.service != a.Service || x.said.ID != a.ID || x.said.StartMillis != a.StartMillis) {
+	if x != nil && (x.service != a.Service || x.announcement.ID != a.ID || x.announcement.StartMillis != a.StartMillis) {
 		// Another service, name or process at the same address is another target.
 		t.mu.Unlock()
 		t.drop(x, "replaced by "+a.ID)
@@ -66,23 +66,23 @@
 		x = t.newTarget(a)
 		t.all[a.Addr] = x
 	}
-	old := x.said
-	x.said, x.heardAt = a, now
-	x.heard++
-	x.behind = 0
-	t.noteLeaving(a)
-	drain := t.gone || x.drains()
+	old := x.announcement
+	x.announcement, x.announcedAt = a, now
+	x.announcements++
+	x.earlierStarts = 0
+	t.recordIfDraining(a)
+	drain := t.draining || x.isDraining()
 	t.mu.Unlock()
 	if isNew {
 		t.deps.Log.Emit(event.TargetUp, event.Fields{event.Subject: a.Addr, "service": a.Service, "id": a.ID, "born": a.StartMillis, "seq": a.Seq, "state": a.State, "slots": a.Slots})
 	}
-	t.believe(x, old, a, isNew, drain)
+	t.apply(x, old, a, isNew, drain)
 	return true
 }
 
-// isLate tells whether an announcement is from before what is known already.
-func (t *Targets) isLate(x *target, a Announcement) bool {
-	if born, ok := t.left[a.ID]; ok && a.ID != "" && a.StartMillis <= born && a.State != StateDraining {
+// isStale tells whether an announcement is from before what is known already.
+func (t *Targets) isStale(x *target, a Announcement) bool {
+	if startMillis, ok := t.departed[a.ID]; ok && a.ID != "" && a.StartMillis <= startMillis && a.State != StateDraining {
 		return true
 	}
 	if x == nil {
@@ -90,31 +90,31 @@
 	}
 	if a.StartMillis == 0 {
 		// Another writer's: a process that has said when it began always does.
-		return a.ID != "" && a.ID == x.said.ID && x.said.StartMillis != 0
+		return a.ID != "" && a.ID == x.announcement.ID && x.announcement.StartMillis != 0
 	}
-	if a.StartMillis < x.said.StartMillis {
-		x.behind++
-		return x.behind < turnAround || time.Since(x.heardAt) < t.deps.AnnouncementTimeout/2
+	if a.StartMillis < x.announcement.StartMillis {
+		x.earlierStarts++
+		return x.earlierStarts < acceptEarlierStartAfter || time.Since(x.announcedAt) < t.deps.AnnouncementTimeout/2
 	}
-	return a.StartMillis == x.said.StartMillis && a.ID == x.said.ID && a.Seq < x.said.Seq
+	return a.StartMillis == x.announcement.StartMillis && a.ID == x.announcement.ID && a.Seq < x.announcement.Seq
 }
 
-// noteLeaving remembers that a target leaves: within one process that is final.
-func (t *Targets) noteLeaving(a Announcement) {
+// recordIfDraining remembers that a target leaves: within one process that is final.
+func (t *Targets) recordIfDraining(a Announcement) {
 	if a.State == StateDraining && a.ID != "" {
-		t.noteLeft(a.ID, a.StartMillis)
+		t.recordDeparted(a.ID, a.StartMillis)
 	}
 }
 
-func (t *Targets) noteLeft(id string, born int64) {
-	if len(t.left) >= maxLeft {
-		clear(t.left)
+func (t *Targets) recordDeparted(id string, startMillis int64) {
+	if len(t.departed) >= maxDeparted {
+		clear(t.departed)
 	}
-	t.left[id] = max(t.left[id], born)
+	t.departed[id] = max(t.departed[id], startMillis)
 }
 
-// believe acts on an announcement that is not late. drain is set if nothing new may run.
-func (t *Targets) believe(x *target, old, a Announcement, isNew, drain bool) {
+// apply acts on an announcement that is not late. drain is set if nothing new may run.
+func (t *Targets) apply(x *target, old, a Announcement, isNew, drain bool) {
 	if isNew || old.Slots != a.Slots || old.State != a.State {
 		x.step(t.limits(a))
 		x.step(Drain{On: drain})
@@ -122,10 +122,10 @@
 	}
 	admitted := t.admit(x)
 	if isNew && !admitted {
-		t.wg.Go(func() { t.check(x) })
+		t.wg.Go(func() { t.awaitHealthy(x) })
 	}
 	if isNew || admitted || old.Slots != a.Slots || old.State != a.State {
-		t.changed()
+		t.notifyChange()
 	}
 }
 
@@ -134,7 +134,7 @@
 func (t *Targets) admit(x *target) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if x.admitted || t.snap == nil || (x.heard < admitAfter && x.said.ID != "" && t.healthPath(x.service) != "") {
+	if x.admitted || t.snap == nil || (x.announcements < admitAfterAnnouncements && x.announcement.ID != "" && t.healthPath(x.service) != "") {
 		return false
 	}
 	x.admitted = true
@@ -149,7 +149,7 @@
 	return svc.Health
 }
 
-// check asks a target that this process has not known before whether it is
+// awaitHealthy asks a target that this process has not known before whether it is
 // well, until it is or has left.
 //
 // A process that was restarted beside a target which is leaving knows nothing
@@ -158,30 +158,30 @@
 //
 // Before the node has a configuration no call passes: the calls that a run makes
 // come to this very node, and would all be refused.
-func (t *Targets) check(x *target) {
+func (t *Targets) awaitHealthy(x *target) {
 	select {
 	case <-t.done:
 		return
 	case <-t.configured:
 	}
 	for {
-		ok := t.healthy(x)
+		ok := t.checkHealth(x)
 		t.mu.Lock()
 		same := t.all[x.addr] == x
-		done := x.admitted || !same || x.drains()
+		done := x.admitted || !same || x.isDraining()
 		if ok && same {
 			x.admitted = true
 		}
 		t.mu.Unlock()
 		if ok && same && !done {
-			t.changed()
+			t.notifyChange()
 		}
 		if ok || done {
 			return
 		}
-		pause := checkAgain
-		if told, _ := x.notice(); told.Rate.bounded {
-			pause = checkAgainPaced
+		pause := healthCheckInterval
+		if notice, _ := x.notice(); notice.Rate.bounded {
+			pause = healthCheckIntervalRateLimited
 		}
 		select {
 		case <-t.done:
@@ -191,16 +191,16 @@
 	}
 }
 
-// healthy asks a target once.
-func (t *Targets) healthy(x *target) bool {
+// checkHealth asks a target once.
+func (t *Targets) checkHealth(x *target) bool {
 	t.mu.Lock()
 	path := t.healthPath(x.service)
-	id := x.said.ID
+	id := x.announcement.ID
 	t.mu.Unlock()
 	if path == "" {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), checkWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), healthCheckTimeout)
 	defer cancel()
 	u := url.URL{Scheme: x.url.Scheme, Host: x.url.Host, Path: path}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
@@ -231,20 +231,20 @@
 	}
 	known := false
 	for _, x := range t.list() {
-		said := t.lastAnnouncement(x)
-		if said.ID != id {
+		last := t.lastAnnouncement(x)
+		if last.ID != id {
 			continue
 		}
 		known = true
-		said.State = StateDraining
+		last.State = StateDraining
 		t.mu.Lock()
-		t.noteLeaving(said)
+		t.recordIfDraining(last)
 		t.mu.Unlock()
 		t.drop(x, "left")
 	}
 	if !known {
 		t.mu.Lock()
-		t.noteLeft(id, time.Now().Add(leaveMargin).UnixMilli())
+		t.recordDeparted(id, time.Now().Add(deregisterMargin).UnixMilli())
 		t.mu.Unlock()
 	}
 }
--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -37,36 +37,36 @@
 func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
-	here, there := net.Pipe()
-	p.conns <- there
-	return here, nil
+	client, server := net.Pipe()
+	p.conns <- server
+	return client, nil
 }
 
 // host is a node's side towards targets, with one target behind it whose
 // health and answers the test sets.
 type host struct {
 	*Targets
-	health atomic.Int32
-	ran    atomic.Int32
-	told   atomic.Pointer[[]peer.Target]
-	stop   func()
+	health   atomic.Int32
+	ran      atomic.Int32
+	reported atomic.Pointer[[]peer.Target]
+	stop     func()
 }
 
 const address = "10.0.0.7:80"
 
 func newHost() *host {
-	h := newBareHost()
-	h.Configure(posting)
+	h := newUnconfiguredHost()
+	h.Configure(postingConfig)
 	return h
 }
 
-// posting is a version with one service.
-var posting = &snapshot.Snapshot{Services: []snapshot.Service{{
+// postingConfig is a version with one service.
+var postingConfig = &snapshot.Snapshot{Services: []snapshot.Service{{
 	Name: "posting", Slots: 100, Queue: snapshot.QueueBySlots, Health: "/health",
 }}}
 
-// newBareHost is a host whose node has no configuration yet.
-func newBareHost() *host {
+// newUnconfiguredHost is a host whose node has no configuration yet.
+func newUnconfiguredHost() *host {
 	h := new(host)
 	h.health.Store(http.StatusOK)
 	p := &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
@@ -79,7 +79,7 @@
 	})})
 	go func() { _ = s.Serve(p) }()
 	h.Targets = New(Deps{
-		OnChange:   func(ts []peer.Target) { h.told.Store(&ts) },
+		OnChange:   func(ts []peer.Target) { h.reported.Store(&ts) },
 		OnCrash:    func(peer.Crashed) {},
 		CrashCount: func(uint64) int { return 0 },
 		Stall:      time.Minute, Dial: p.dial, AnnouncementTimeout: 6 * time.Second,
@@ -106,8 +106,8 @@
 	return h.ran.Load() > before, kind.Kind(w.Header().Get(kind.HeaderKind))
 }
 
-func said(id string, born, seq int64, state string) Announcement {
-	return Announcement{ID: id, Service: "posting", Addr: address, Slots: 4, State: state, StartMillis: born, Seq: seq}
+func announcement(id string, startMillis, seq int64, state string) Announcement {
+	return Announcement{ID: id, Service: "posting", Addr: address, Slots: 4, State: state, StartMillis: startMillis, Seq: seq}
 }
 
 // TestAnnouncements plays announcements to a host and checks after them
@@ -118,34 +118,34 @@
 func TestAnnouncements(t *testing.T) {
 	const pause = -1 // a second without an announcement
 	type event struct {
-		born, seq int64
-		state     string
+		startMillis, seq int64
+		state            string
 	}
-	left := event{state: "left"}
-	second := event{seq: pause}
+	deregister := event{state: "left"}
+	oneSecond := event{seq: pause}
 	for name, x := range map[string]struct {
 		health int32
 		events []event
 		runs   bool
 	}{
-		"up":                               {200, []event{{1, 1, StateUp}, second}, true},
-		"draining":                         {200, []event{{1, 1, StateUp}, second, {1, 2, StateDraining}}, false},
-		"draining, then a late word of up": {200, []event{{1, 1, StateUp}, second, {1, 3, StateDraining}, {1, 2, StateUp}, second}, false},
-		"draining is final":                {200, []event{{1, 1, StateUp}, second, {1, 2, StateDraining}, {1, 3, StateUp}, second}, false},
-		"left":                             {200, []event{{1, 1, StateUp}, second, left}, false},
-		"left, then a late word of up":     {200, []event{{1, 1, StateUp}, second, left, {1, 2, StateUp}, second}, false},
-		"left before it was heard of, then a late word of up":    {200, []event{left, second, {946684790000, 19, StateUp}, second}, false},
-		"left before it was heard of, then another process":      {200, []event{left, second, second, second, {946684803000, 1, StateUp}, second}, true},
-		"left, then another process":                             {200, []event{{1, 1, StateUp}, second, left, {2, 1, StateUp}, second}, true},
-		"a later process counts anew":                            {200, []event{{1, 9, StateUp}, second, {2, 1, StateUp}, second}, true},
-		"an earlier process's drain is late":                     {200, []event{{2, 1, StateUp}, second, {1, 9, StateDraining}}, true},
-		"one that doesn't say when it began is another writer's": {200, []event{{5, 1, StateUp}, second, {0, 2, StateDraining}}, true},
+		"up":                               {200, []event{{1, 1, StateUp}, oneSecond}, true},
+		"draining":                         {200, []event{{1, 1, StateUp}, oneSecond, {1, 2, StateDraining}}, false},
+		"draining, then a late word of up": {200, []event{{1, 1, StateUp}, oneSecond, {1, 3, StateDraining}, {1, 2, StateUp}, oneSecond}, false},
+		"draining is final":                {200, []event{{1, 1, StateUp}, oneSecond, {1, 2, StateDraining}, {1, 3, StateUp}, oneSecond}, false},
+		"left":                             {200, []event{{1, 1, StateUp}, oneSecond, deregister}, false},
+		"left, then a late word of up":     {200, []event{{1, 1, StateUp}, oneSecond, deregister, {1, 2, StateUp}, oneSecond}, false},
+		"left before it was heard of, then a late word of up":    {200, []event{deregister, oneSecond, {946684790000, 19, StateUp}, oneSecond}, false},
+		"left before it was heard of, then another process":      {200, []event{deregister, oneSecond, oneSecond, oneSecond, {946684803000, 1, StateUp}, oneSecond}, true},
+		"left, then another process":                             {200, []event{{1, 1, StateUp}, oneSecond, deregister, {2, 1, StateUp}, oneSecond}, true},
+		"a later process counts anew":                            {200, []event{{1, 9, StateUp}, oneSecond, {2, 1, StateUp}, oneSecond}, true},
+		"an earlier process's drain is late":                     {200, []event{{2, 1, StateUp}, oneSecond, {1, 9, StateDraining}}, true},
+		"one that doesn't say when it began is another writer's": {200, []event{{5, 1, StateUp}, oneSecond, {0, 2, StateDraining}}, true},
 		"a clock that went back is believed in the end": {200, []event{
-			{9, 1, StateUp}, second, {1, 1, StateUp}, second, second, second, second, {1, 2, StateDraining},
+			{9, 1, StateUp}, oneSecond, {1, 1, StateUp}, oneSecond, oneSecond, oneSecond, oneSecond, {1, 2, StateDraining},
 		}, false},
-		"restarted beside one that leaves, and told late that it is up": {503, []event{{1, 7, StateUp}, second, second}, false},
+		"restarted beside one that leaves, and told late that it is up": {503, []event{{1, 7, StateUp}, oneSecond, oneSecond}, false},
 		"a health check that is wrong is not believed for ever": {503, []event{
-			{1, 1, StateUp}, second, {1, 2, StateUp}, second, {1, 3, StateUp}, second,
+			{1, 1, StateUp}, oneSecond, {1, 2, StateUp}, oneSecond, {1, 3, StateUp}, oneSecond,
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -156,12 +156,12 @@
 				h.health.Store(x.health)
 				for _, e := range x.events {
 					switch e {
-					case left:
+					case deregister:
 						h.Deregister("i-1")
-					case second:
+					case oneSecond:
 						time.Sleep(time.Second)
 					default:
-						c.Assert(h.HandleAnnouncement(said("i-1", e.born, e.seq, e.state)), qt.IsTrue)
+						c.Assert(h.HandleAnnouncement(announcement("i-1", e.startMillis, e.seq, e.state)), qt.IsTrue)
 					}
 					synctest.Wait()
 				}
@@ -170,11 +170,11 @@
 				if !x.runs {
 					c.Check(k, qt.Equals, kind.Drain)
 				}
-				var told []peer.Target
-				if p := h.told.Load(); p != nil {
-					told = *p
+				var reported []peer.Target
+				if p := h.reported.Load(); p != nil {
+					reported = *p
 				}
-				open := len(told) == 1 && !told[0].Draining
+				open := len(reported) == 1 && !reported[0].Draining
 				c.Check(open, qt.Equals, x.runs)
 			})
 		})
@@ -188,12 +188,12 @@
 		c := qt.New(t)
 		h := newHost()
 		defer h.stop()
-		h.HandleAnnouncement(said("i-1", 1, 1, StateUp))
+		h.HandleAnnouncement(announcement("i-1", 1, 1, StateUp))
 		time.Sleep(7 * time.Second)
 		synctest.Wait()
-		c.Check(*h.told.Load(), qt.HasLen, 0)
+		c.Check(*h.reported.Load(), qt.HasLen, 0)
 		h.health.Store(http.StatusServiceUnavailable)
-		h.HandleAnnouncement(said("i-1", 1, 2, StateUp))
+		h.HandleAnnouncement(announcement("i-1", 1, 2, StateUp))
 		synctest.Wait()
 		ran, _ := h.call()
 		c.Check(ran, qt.IsFalse)
@@ -213,17 +213,17 @@
 func TestNoVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		h := newBareHost()
+		h := newUnconfiguredHost()
 		defer h.stop()
 		for seq := range int64(5) {
-			h.HandleAnnouncement(said("i-1", 1, seq, StateUp))
+			h.HandleAnnouncement(announcement("i-1", 1, seq, StateUp))
 			time.Sleep(time.Second)
 		}
 		synctest.Wait()
 		ran, k := h.call()
 		c.Check(ran, qt.IsFalse)
 		c.Check(k, qt.Equals, kind.Drain)
-		h.Configure(posting)
+		h.Configure(postingConfig)
 		synctest.Wait()
 		ran, _ = h.call()
 		c.Check(ran, qt.IsTrue)
--- a/briarrockd/target/bodies_test.go
+++ b/briarrockd/target/bodies_test.go
@@ -14,29 +14,29 @@
 // bandwidth, and each call works for a while once its body has come in. Times
 // are of its own clock, in steps of a millisecond.
 type uploads struct {
-	gate    *Gate
-	now     time.Time
-	link    float64 // bytes a second
-	work    time.Duration
-	queued  map[CallID]upload
-	coming  map[CallID]upload
-	working map[CallID]upload
-	// most is how many bytes were on the way at once at the worst moment.
-	most float64
-	// inAim, late and refused count how uploads ended; held is the longest time
+	gate      *Gate
+	now       time.Time
+	link      float64 // bytes a second
+	work      time.Duration
+	queued    map[CallID]upload
+	receiving map[CallID]upload
+	working   map[CallID]upload
+	// maxInFlightBytes is how many bytes were on the way at once at the worst moment.
+	maxInFlightBytes float64
+	// inTime, late and refused count how uploads ended; held is the longest time
 	// after which one was refused.
-	inAim, late, refused int
-	held                 time.Duration
-	// short is the longest time that a short call waited for its start.
-	short time.Duration
+	inTime, late, refused int
+	maxTimeToRefuse       time.Duration
+	// maxShortWait is the longest time that a maxShortWait call waited for its start.
+	maxShortWait time.Duration
 }
 
 type upload struct {
-	at   time.Time
-	left float64
-	ends time.Time
-	aim  time.Time
-	size int64
+	arrivedAt time.Time
+	left      float64
+	endsAt    time.Time
+	aim       time.Time
+	size      int64
 }
 
 func (u *uploads) handle(cmds []Cmd) {
@@ -46,49 +46,49 @@
 			b := u.queued[x.ID]
 			delete(u.queued, x.ID)
 			if b.size == 0 {
-				u.short = max(u.short, u.now.Sub(b.at))
-				b.ends = u.now.Add(u.work)
+				u.maxShortWait = max(u.maxShortWait, u.now.Sub(b.arrivedAt))
+				b.endsAt = u.now.Add(u.work)
 				u.working[x.ID] = b
 				continue
 			}
-			u.coming[x.ID] = b
+			u.receiving[x.ID] = b
 		case Refuse:
 			u.refused++
-			u.held = max(u.held, u.now.Sub(u.queued[x.ID].at))
+			u.maxTimeToRefuse = max(u.maxTimeToRefuse, u.now.Sub(u.queued[x.ID].arrivedAt))
 			delete(u.queued, x.ID)
 		}
 	}
 }
 
 func (u *uploads) arrive(id CallID, size int64, aim time.Duration) {
-	b := upload{at: u.now, left: float64(size), aim: u.now.Add(aim), size: size}
+	b := upload{arrivedAt: u.now, left: float64(size), aim: u.now.Add(aim), size: size}
 	u.queued[id] = b
 	u.handle(u.gate.Step(u.now, Arrival{
 		ID: id, Priority: snapshot.Normal, Deadline: u.now.Add(2 * aim), Aim: b.aim, BodyBytes: size,
 	}))
 }
 
-// pass lets a millisecond pass.
-func (u *uploads) pass() {
+// advance lets a millisecond advance.
+func (u *uploads) advance() {
 	u.now = u.now.Add(time.Millisecond)
-	onWay := 0.0
-	for id, b := range u.coming {
-		onWay += b.left
-		b.left -= u.link / 1000 / float64(len(u.coming))
-		u.coming[id] = b
+	inFlightBytes := 0.0
+	for id, b := range u.receiving {
+		inFlightBytes += b.left
+		b.left -= u.link / 1000 / float64(len(u.receiving))
+		u.receiving[id] = b
 	}
-	u.most = max(u.most, onWay)
-	for id, b := range u.coming {
+	u.maxInFlightBytes = max(u.maxInFlightBytes, inFlightBytes)
+	for id, b := range u.receiving {
 		if b.left > 0 {
 			continue
 		}
-		delete(u.coming, id)
-		b.ends = u.now.Add(u.work)
+		delete(u.receiving, id)
+		b.endsAt = u.now.Add(u.work)
 		u.working[id] = b
 		u.handle(u.gate.Step(u.now, BodyReceived{id}))
 	}
 	for id, b := range u.working {
-		if b.ends.After(u.now) {
+		if b.endsAt.After(u.now) {
 			continue
 		}
 		delete(u.working, id)
@@ -97,9 +97,9 @@
 		case u.now.After(b.aim):
 			u.late++
 		default:
-			u.inAim++
+			u.inTime++
 		}
-		u.handle(u.gate.Step(u.now, Completed{ID: id, Duration: u.now.Sub(b.at)}))
+		u.handle(u.gate.Step(u.now, Completed{ID: id, Duration: u.now.Sub(b.arrivedAt)}))
 	}
 	u.handle(u.gate.Step(u.now, Tick{}))
 }
@@ -125,7 +125,7 @@
 		rng := rand.New(rand.NewPCG(1, 7))
 		u := &uploads{
 			now: time.Unix(0, 0), link: link, work: 370 * time.Millisecond,
-			queued: map[CallID]upload{}, coming: map[CallID]upload{}, working: map[CallID]upload{},
+			queued: map[CallID]upload{}, receiving: map[CallID]upload{}, working: map[CallID]upload{},
 		}
 		u.gate = NewGate(Limits{Slots: 40, Queue: 80, LinkBandwidth: link})
 		perMS := use * link / mean / 1000
@@ -140,15 +140,15 @@
 				id++
 				u.arrive(id, 0, aim)
 			}
-			u.pass()
+			u.advance()
 		}
-		took := float64(u.inAim) * mean / (link * seconds)
+		took := float64(u.inTime) * mean / (link * seconds)
 		c.Logf("use %.1f: sent %d, in aim %d, late %d, refused %d (held %v), link used well %.2f, most %.0f KB at once, short waited %v",
-			use, sent, u.inAim, u.late, u.refused, u.held, took, u.most/1000, u.short)
-		c.Check(u.most <= 400e3, qt.IsTrue)
-		c.Check(u.short <= time.Millisecond, qt.IsTrue)
+			use, sent, u.inTime, u.late, u.refused, u.maxTimeToRefuse, took, u.maxInFlightBytes/1000, u.maxShortWait)
+		c.Check(u.maxInFlightBytes <= 400e3, qt.IsTrue)
+		c.Check(u.maxShortWait <= time.Millisecond, qt.IsTrue)
 		c.Check(u.late*50 <= sent, qt.IsTrue)
 		c.Check(took >= 0.85*min(use, 1), qt.IsTrue, qt.Commentf("%v of the link at %v", took, use))
-		c.Check(u.held <= aim, qt.IsTrue)
+		c.Check(u.maxTimeToRefuse <= aim, qt.IsTrue)
 	}
 }
--- a/briarrockd/target/broken_test.go
+++ b/briarrockd/target/broken_test.go
@@ -13,11 +13,11 @@
 	"briarrock.example/briarrockd/relay"
 )
 
-// breaking is a transport to a target whose answers break off halfway.
-type breaking struct{ length int64 }
+// truncatedAnswer is a transport to a target whose answers break off halfway.
+type truncatedAnswer struct{ length int64 }
 
 // RoundTrip implements http.RoundTripper.
-func (b breaking) RoundTrip(req *http.Request) (*http.Response, error) {
+func (b truncatedAnswer) RoundTrip(req *http.Request) (*http.Response, error) {
 	half := strings.NewReader(strings.Repeat("x", int(b.length/2)))
 	return &http.Response{
 		StatusCode: http.StatusOK, Header: make(http.Header), Request: req, ContentLength: b.length,
@@ -29,7 +29,7 @@
 // breaks off and ends its exchange as if it were complete.
 func TestLongAnswerBreaksOff(t *testing.T) {
 	c := qt.New(t)
-	ts := newBodyHost(breaking{4 * relay.KeepAnswer})
+	ts := newTargets(truncatedAnswer{4 * relay.KeepAnswer})
 	defer ts.Close()
 	defer func() { c.Check(recover(), qt.Equals, http.ErrAbortHandler) }()
 	send(ts)
--- a/briarrockd/target/driver.go
+++ b/briarrockd/target/driver.go
@@ -18,15 +18,15 @@
 	for _, c := range x.gate.Step(time.Now(), m) {
 		switch c := c.(type) {
 		case Start:
-			x.hand(c.ID, c)
+			x.deliver(c.ID, c)
 		case Refuse:
-			x.hand(c.ID, c)
+			x.deliver(c.ID, c)
 		}
 	}
 	x.setTimer()
 }
 
-func (x *target) hand(id CallID, c Cmd) {
+func (x *target) deliver(id CallID, c Cmd) {
 	if ch, ok := x.waiters[id]; ok {
 		delete(x.waiters, id)
 		ch <- c
@@ -50,8 +50,8 @@
 	x.timer.Reset(d)
 }
 
-// enter waits until the gate lets a call run or refuses it.
-func (x *target) enter(ctx context.Context, a Arrival) (CallID, Refuse) {
+// acquire waits until the gate lets a call run or refuses it.
+func (x *target) acquire(ctx context.Context, a Arrival) (CallID, Refuse) {
 	ch := make(chan Cmd, 1)
 	x.mu.Lock()
 	x.lastID++
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -22,32 +22,32 @@
 	draining bool
 	limit    limiter
 	pacer    pacer
-	bodies   bodies
+	bodies   bodyLimiter
 	overload overload
 	reserve  reserve
 
 	running map[CallID]snapshot.Priority
-	queue   []waiting
-	// turn counts the calls that each queued caller has had started, so that
+	queue   []queuedCall
+	// startedByCaller counts the calls that each queued caller has had started, so that
 	// callers with many calls wait for those with few.
-	turn map[string]int
-	cmds []Cmd
-	now  time.Time
+	startedByCaller map[string]int
+	cmds            []Cmd
+	now             time.Time
 	// shedAt is when the target last refused work.
 	shedAt time.Time
 }
 
-// minWait is the least time after which asking again is worth it. Right
+// minRetryAfter is the least time after which asking again is worth it. Right
 // after a refusal the same slots are still taken; callers who came back at once
 // would only be refused again, and keep the gate busy with it. What waits is no
 // reason to come later: it is run in the order of the aims, and a caller who
 // comes back late can only be answered late.
-const minWait = 50 * time.Millisecond
+const minRetryAfter = 50 * time.Millisecond
 
 // NewGate returns a gate with the given limits.
 func NewGate(l Limits) *Gate {
-	g := &Gate{running: make(map[CallID]snapshot.Priority), turn: make(map[string]int)}
-	g.limits(l)
+	g := &Gate{running: make(map[CallID]snapshot.Priority), startedByCaller: make(map[string]int)}
+	g.setLimits(l)
 	return g
 }
 
@@ -57,23 +57,23 @@
 	g.cmds = nil
 	switch m := m.(type) {
 	case Arrival:
-		g.arrive(m)
+		g.handleArrival(m)
 	case Canceled:
 		g.remove(m.ID)
 	case BodyReceived:
-		g.bodies.taken(m.ID)
+		g.bodies.received(m.ID)
 	case Completed:
-		g.ended(m)
+		g.handleCompleted(m)
 	case Limits:
-		g.limits(m)
+		g.setLimits(m)
 	case Throttle:
-		g.pacer.set(now, m.Rate)
+		g.pacer.setRate(now, m.Rate)
 	case Drain:
-		g.drain(m.On)
+		g.setDraining(m.On)
 	case Tick:
 	}
 	g.expire()
-	g.start()
+	g.startQueued()
 	return g.cmds
 }
 
@@ -82,7 +82,7 @@
 // Rejections are fast, so a target that sheds would look idle and attract more load:
 // for a while after one it counts as taken.
 func (g *Gate) Load(now time.Time) float64 {
-	load := float64(len(g.running)+len(g.queue)) / float64(g.allowed())
+	load := float64(len(g.running)+len(g.queue)) / float64(g.concurrencyLimit())
 	load = max(load, g.bodies.load(now, g.queuedBytes(nil)), g.pacer.load(now))
 	if !g.shedAt.IsZero() && now.Sub(g.shedAt) < shedWindow {
 		load += shedLoad
@@ -103,24 +103,24 @@
 func (g *Gate) Queued() int { return len(g.queue) }
 
 // ConcurrencyLimit is how many calls may run at once now.
-func (g *Gate) ConcurrencyLimit() int { return g.allowed() }
+func (g *Gate) ConcurrencyLimit() int { return g.concurrencyLimit() }
 
-func (g *Gate) allowed() int { return max(1, min(g.slots, g.limit.value())) }
+func (g *Gate) concurrencyLimit() int { return max(1, min(g.slots, g.limit.value())) }
 
-func (g *Gate) limits(l Limits) {
+func (g *Gate) setLimits(l Limits) {
 	if l.Slots != g.slots {
 		g.limit.reset(l.Slots)
 	}
 	g.slots = max(1, l.Slots)
-	g.bodies.link = l.LinkBandwidth
+	g.bodies.bandwidth = l.LinkBandwidth
 	g.queueMax = max(0, l.Queue)
 }
 
-func (g *Gate) refuse(id CallID, k kind.Kind) { g.refuseFor(id, k, 0) }
+func (g *Gate) refuse(id CallID, k kind.Kind) { g.refuseWithRetry(id, k, 0) }
 
-// refuseFor refuses a call that is not worth asking for again before wait is over;
+// refuseWithRetry refuses a call that is not worth asking for again before wait is over;
 // 0 if nobody knows.
-func (g *Gate) refuseFor(id CallID, k kind.Kind, wait time.Duration) {
+func (g *Gate) refuseWithRetry(id CallID, k kind.Kind, wait time.Duration) {
 	r := Refuse{ID: id, Kind: k, RetryAfter: wait}
 	if wait > 0 {
 		r.RetryAfterSeconds = max(1, int(wait.Round(time.Second)/time.Second))
@@ -128,48 +128,48 @@
 	g.cmds = append(g.cmds, r)
 }
 
-// shortage is the kind of room that a call is refused for now.
-func (g *Gate) shortage() kind.Kind {
+// shortageKind is the kind of room that a call is refused for now.
+func (g *Gate) shortageKind() kind.Kind {
 	if !g.pacer.ready(g.now) {
 		return kind.Rate
 	}
 	return kind.Full
 }
 
-// reject refuses a call for want of room.
-func (g *Gate) reject(a *Arrival, k kind.Kind) {
+// rejectForCapacity refuses a call for want of room.
+func (g *Gate) rejectForCapacity(a *Arrival, k kind.Kind) {
 	if !a.CrossRegion {
-		g.overload.refused(g.now, a.Priority)
+		g.overload.recordRefused(g.now, a.Priority)
 	}
-	g.refuseFor(a.ID, k, g.again(a))
+	g.refuseWithRetry(a.ID, k, g.retryAfter(a))
 }
 
-// again is when a call that is refused for want of room is worth asking for again. The
+// retryAfter is when a call that is refused for want of room is worth asking for retryAfter. The
 // more calls are refused, the more of the time in which it could still be answered
 // within its aim is used: callers who return at once meet the same overload.
-func (g *Gate) again(a *Arrival) time.Duration {
-	again := max(g.wait(0, snapshot.MostUrgent), minWait, g.pacer.again(g.now, len(g.queue)))
+func (g *Gate) retryAfter(a *Arrival) time.Duration {
+	wait := max(g.slotWait(0, snapshot.MostUrgent), minRetryAfter, g.pacer.retryAfter(g.now, len(g.queue)))
 	if a.Aim.IsZero() {
-		return again
+		return wait
 	}
-	left := float64(spare(a.Aim.Sub(g.now), g.limit.work.of(a.Route)))
-	return max(again, time.Duration(float64(g.overload.share[a.Priority])*left))
+	left := float64(slack(a.Aim.Sub(g.now), g.limit.durations.ofRoute(a.Route)))
+	return max(wait, time.Duration(float64(g.overload.refusedShare[a.Priority])*left))
 }
 
 // MeanDuration is how long a call takes as a rule; 0 before any has ended.
-func (g *Gate) MeanDuration() time.Duration { return g.limit.work.all }
+func (g *Gate) MeanDuration() time.Duration { return g.limit.durations.mean }
 
-// wait is how long a call behind n others is expected to be queued. The more
+// slotWait is how long a call behind n others is expected to be queued. The more
 // urgent calls that are still to come go before it too.
-func (g *Gate) wait(n int, priority snapshot.Priority) time.Duration {
-	left := max(1, float64(g.allowed())-g.reserve.taken(priority))
-	return time.Duration(float64(g.limit.work.usual()) * float64(n+1) / left)
+func (g *Gate) slotWait(n int, priority snapshot.Priority) time.Duration {
+	left := max(1, float64(g.concurrencyLimit())-g.reserve.meanHigherPriority(priority))
+	return time.Duration(float64(g.limit.durations.overall()) * float64(n+1) / left)
 }
 
-func (g *Gate) arrive(m Arrival) {
+func (g *Gate) handleArrival(m Arrival) {
 	m.Priority = min(m.Priority, snapshot.MostUrgent)
 	if !m.Aim.IsZero() {
-		g.reserve.arrived(m.Priority, spare(m.Aim.Sub(g.now), g.limit.work.of(m.Route)))
+		g.reserve.recordArrival(m.Priority, slack(m.Aim.Sub(g.now), g.limit.durations.ofRoute(m.Route)))
 	}
 	switch {
 	case g.draining:
@@ -178,46 +178,46 @@
 	case !m.Deadline.After(g.now):
 		g.refuse(m.ID, kind.Deadline)
 		return
-	case m.CrossRegion && g.overload.on(g.now, m.Priority):
-		g.refuseFor(m.ID, g.shortage(), overloadWindow)
+	case m.CrossRegion && g.overload.isOverloaded(g.now, m.Priority):
+		g.refuseWithRetry(m.ID, g.shortageKind(), overloadWindow)
 		return
-	case m.CrossRegion && !g.spares(&m):
-		g.reject(&m, g.shortage())
+	case m.CrossRegion && !g.admitsCrossRegion(&m):
+		g.rejectForCapacity(&m, g.shortageKind())
 		return
-	case g.fits(&m):
+	case g.canStart(&m):
 		// What is queued then waits for the link, and not for a slot.
-		g.overload.decided(m.Priority, false)
-		g.queue = append(g.queue, waiting{m, g.now})
+		g.overload.recordDecision(m.Priority, false)
+		g.queue = append(g.queue, queuedCall{m, g.now})
 		return
 	}
-	ok := g.inTime(m)
-	g.overload.decided(m.Priority, !ok)
+	ok := g.expectedInTime(m)
+	g.overload.recordDecision(m.Priority, !ok)
 	if !ok {
-		g.reject(&m, g.shortage())
+		g.rejectForCapacity(&m, g.shortageKind())
 		return
 	}
-	if g.overShare(m.Caller) {
-		g.reject(&m, kind.Limit)
+	if g.exceedsCallerShare(m.Caller) {
+		g.rejectForCapacity(&m, kind.Limit)
 		return
 	}
 	if len(g.queue) >= g.queueMax && !g.evict(m.Priority) {
-		g.reject(&m, g.shortage())
+		g.rejectForCapacity(&m, g.shortageKind())
 		return
 	}
-	g.queue = append(g.queue, waiting{m, g.now})
+	g.queue = append(g.queue, queuedCall{m, g.now})
 }
 
-// fits tells whether a call can be started now.
-func (g *Gate) fits(a *Arrival) bool {
-	return g.free(a) > 0 && g.bodies.room(a) && g.pacer.ready(g.now)
+// canStart tells whether a call can be started now.
+func (g *Gate) canStart(a *Arrival) bool {
+	return g.freeSlots(a) > 0 && g.bodies.admits(a) && g.pacer.ready(g.now)
 }
 
-// free is how many slots a call may choose from.
-func (g *Gate) free(a *Arrival) int {
-	return g.allowed() - len(g.running) - g.reserve.kept(a.Priority, g.limit.work.of(a.Route))
+// freeSlots is how many slots a call may choose from.
+func (g *Gate) freeSlots(a *Arrival) int {
+	return g.concurrencyLimit() - len(g.running) - g.reserve.reservedSlots(a.Priority, g.limit.durations.ofRoute(a.Route))
 }
 
-func (g *Gate) ended(m Completed) {
+func (g *Gate) handleCompleted(m Completed) {
 	priority, ok := g.running[m.ID]
 	if !ok {
 		return
@@ -228,11 +228,11 @@
 	}
 	running := len(g.running)
 	delete(g.running, m.ID)
-	g.bodies.taken(m.ID)
-	g.limit.ended(g.now, m, running, g.slots)
+	g.bodies.received(m.ID)
+	g.limit.observe(g.now, m, running, g.slots)
 }
 
-func (g *Gate) drain(on bool) {
+func (g *Gate) setDraining(on bool) {
 	g.draining = on
 	if !on {
 		return
@@ -243,28 +243,28 @@
 	g.queue = nil
 }
 
-// start lets queued calls run while there are slots.
-func (g *Gate) start() {
-	for len(g.running) < g.allowed() {
-		i := g.next()
+// startQueued lets queued calls run while there are slots.
+func (g *Gate) startQueued() {
+	for len(g.running) < g.concurrencyLimit() {
+		i := g.nextStartable()
 		if i < 0 {
 			break
 		}
 		w := g.queue[i]
 		g.queue = append(g.queue[:i], g.queue[i+1:]...)
-		if !g.startable(w) {
-			g.reject(&w.Arrival, g.shortage())
+		if !g.worthStarting(w) {
+			g.rejectForCapacity(&w.Arrival, g.shortageKind())
 			continue
 		}
 		g.running[w.ID] = w.Priority
 		g.reserve.running[w.Priority]++
-		g.overload.started(g.now, w.Priority)
-		g.bodies.begin(g.now, &w.Arrival)
+		g.overload.recordStarted(g.now, w.Priority)
+		g.bodies.start(g.now, &w.Arrival)
 		g.pacer.take(g.now)
-		g.turn[w.Caller]++
+		g.startedByCaller[w.Caller]++
 		g.cmds = append(g.cmds, Start{w.ID})
 	}
-	if len(g.queue) == 0 && len(g.turn) > 0 {
-		clear(g.turn)
+	if len(g.queue) == 0 && len(g.startedByCaller) > 0 {
+		clear(g.startedByCaller)
 	}
 }
--- a/briarrockd/target/gate_test.go
+++ b/briarrockd/target/gate_test.go
@@ -173,12 +173,12 @@
 					Deadline: now.Add(time.Duration(rapid.IntRange(-5, 100).Draw(t, "deadline")) * time.Millisecond),
 				}))
 			case 3:
-				if id, ok := least(running); ok {
+				if id, ok := lowestID(running); ok {
 					delete(running, id)
 					handle(g.Step(now, Completed{ID: id, Duration: time.Millisecond, Shed: rapid.Bool().Draw(t, "shed")}))
 				}
 			case 4:
-				if id, ok := least(waiting); ok {
+				if id, ok := lowestID(waiting); ok {
 					delete(waiting, id)
 					handle(g.Step(now, Canceled{id}))
 				}
@@ -190,14 +190,14 @@
 		}
 		// With time, all that waits is run or refused.
 		for len(running) > 0 {
-			id, _ := least(running)
+			id, _ := lowestID(running)
 			delete(running, id)
 			handle(g.Step(now.Add(time.Second), Completed{ID: id, Duration: time.Millisecond}))
 		}
 		for at := g.NextTick(); !at.IsZero(); at = g.NextTick() {
 			handle(g.Step(at, Tick{}))
 			for len(running) > 0 {
-				id, _ := least(running)
+				id, _ := lowestID(running)
 				delete(running, id)
 				handle(g.Step(at, Completed{ID: id, Duration: time.Millisecond}))
 			}
@@ -208,7 +208,7 @@
 	})
 }
 
-func least(m map[CallID]bool) (CallID, bool) {
+func lowestID(m map[CallID]bool) (CallID, bool) {
 	best, ok := CallID(0), false
 	for id := range m {
 		if !ok || id < best {
@@ -221,11 +221,11 @@
 func TestAnnouncement(t *testing.T) {
 	c := qt.New(t)
 	good := Announcement{Service: "posting", Addr: "10.0.0.7:80", Slots: 20, Connections: 110}
-	c.Check(good.problem("10.0.0.7:999"), qt.Equals, "")
+	c.Check(good.validate("10.0.0.7:999"), qt.Equals, "")
 	// Whoever reaches the address must not be able to draw a service's calls
 	// to another machine.
-	c.Check(good.problem("10.0.0.8:999"), qt.Not(qt.Equals), "")
-	for _, spoil := range []func(*Announcement){
+	c.Check(good.validate("10.0.0.8:999"), qt.Not(qt.Equals), "")
+	for _, invalidate := range []func(*Announcement){
 		func(a *Announcement) { a.Addr = "posting:80" },
 		func(a *Announcement) { a.Addr = "10.0.0.7" },
 		func(a *Announcement) { a.Service = "" },
@@ -235,7 +235,7 @@
 		func(a *Announcement) { a.State = "well" },
 	} {
 		a := good
-		spoil(&a)
-		c.Check(a.problem("10.0.0.7:999"), qt.Not(qt.Equals), "")
+		invalidate(&a)
+		c.Check(a.validate("10.0.0.7:999"), qt.Not(qt.Equals), "")
 	}
 }
--- a/briarrockd/target/held_test.go
+++ b/briarrockd/target/held_test.go
@@ -19,11 +19,11 @@
 	"briarrock.example/mesh/kind"
 )
 
-// counting is a transport to a target that answers each request.
-type counting struct{ requests int }
+// echoTransport is a transport to a target that answers each request.
+type echoTransport struct{ requests int }
 
 // RoundTrip implements http.RoundTripper.
-func (s *counting) RoundTrip(req *http.Request) (*http.Response, error) {
+func (s *echoTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	s.requests++
 	b, err := io.ReadAll(req.Body)
 	return &http.Response{
@@ -32,35 +32,35 @@
 	}, err
 }
 
-// lost is a body whose caller has gone.
-type lost struct{}
+// failingBody is a body whose caller has gone.
+type failingBody struct{}
 
 // Read implements io.Reader.
-func (lost) Read([]byte) (int, error) { return 0, errors.New("lost") }
+func (failingBody) Read([]byte) (int, error) { return 0, errors.New("lost") }
 
-// stuck is a body whose caller's node is cut off: nothing comes until it is closed.
-type stuck struct{ closed chan struct{} }
+// blockedBody is a body whose caller's node is cut off: nothing comes until it is closed.
+type blockedBody struct{ closed chan struct{} }
 
 // Read implements io.Reader.
-func (s stuck) Read([]byte) (int, error) {
+func (s blockedBody) Read([]byte) (int, error) {
 	<-s.closed
 	return 0, errors.New("closed")
 }
 
 // Close implements io.Closer.
-func (s stuck) Close() error {
+func (s blockedBody) Close() error {
 	close(s.closed)
 	return nil
 }
 
-// newBodyHost is a host with a target of one slot behind a transport.
-func newBodyHost(tr http.RoundTripper) *Targets {
+// newTargets is a host with a target of one slot behind a transport.
+func newTargets(tr http.RoundTripper) *Targets {
 	x := New(Deps{
 		OnChange: func([]peer.Target) {}, CrashCount: func(uint64) int { return 0 },
 		Log: event.New(io.Discard, true, logrus.ErrorLevel, "h"), Stall: time.Minute, AnnouncementTimeout: time.Hour,
 		WrapTransport: func(http.RoundTripper) http.RoundTripper { return tr },
 	})
-	x.Configure(posting)
+	x.Configure(postingConfig)
 	x.HandleAnnouncement(Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp})
 	return x
 }
@@ -82,12 +82,12 @@
 func TestBodyNeverComes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		tr := new(counting)
-		x := newBodyHost(tr)
+		tr := new(echoTransport)
+		x := newTargets(tr)
 		defer x.Close()
 		began := time.Now()
-		w := sendHeld(x, stuck{make(chan struct{})})
-		c.Check(time.Since(began), qt.Equals, heldBodyWithin)
+		w := sendHeld(x, blockedBody{make(chan struct{})})
+		c.Check(time.Since(began), qt.Equals, heldBodyTimeout)
 		c.Check(kind.ParseRan(w.Header().Get(kind.HeaderRan)), qt.Equals, kind.RanNo)
 		c.Check(sendHeld(x, strings.NewReader("order")).Body.String(), qt.Equals, "order")
 		c.Check(tr.requests, qt.Equals, 1)
@@ -99,11 +99,11 @@
 // the target.
 func TestBodyFirst(t *testing.T) {
 	c := qt.New(t)
-	tr := new(counting)
-	x := newBodyHost(tr)
+	tr := new(echoTransport)
+	x := newTargets(tr)
 	defer x.Close()
 	for range 2 { // the slot is free again
-		w := sendHeld(x, lost{})
+		w := sendHeld(x, failingBody{})
 		c.Check(tr.requests, qt.Equals, 0)
 		c.Check(kind.ParseRan(w.Header().Get(kind.HeaderRan)), qt.Equals, kind.RanNo)
 	}
--- a/briarrockd/target/load_test.go
+++ b/briarrockd/target/load_test.go
@@ -11,37 +11,37 @@
 
 // flow is one route's calls at a gate: one each every, that take work.
 type flow struct {
-	route       string
-	priority    snapshot.Priority
-	every, work time.Duration
-	aim, most   time.Duration // aim and deadline, from the arrival on
+	route          string
+	priority       snapshot.Priority
+	interval, work time.Duration
+	aim, deadline  time.Duration // aim and deadline, from the arrival on
 }
 
 // tally is what became of a flow's calls.
 type tally struct{ started, refused, inTime int }
 
-// play drives a gate with flows for some time, in steps of a millisecond. Each
+// simulate drives a gate with flows for some time, in steps of a millisecond. Each
 // call that is started ends after its work.
-func play(g *Gate, flows []flow, last time.Duration) []tally {
+func simulate(g *Gate, flows []flow, last time.Duration) []tally {
 	type run struct {
-		flow   int
-		came   time.Time
-		began  time.Time
-		ending time.Time
+		flow      int
+		arrivedAt time.Time
+		startedAt time.Time
+		endsAt    time.Time
 	}
 	const step = time.Millisecond
 	out := make([]tally, len(flows))
 	calls := make(map[CallID]*run)
 	next := CallID(0)
 	start := time.Unix(0, 0)
-	take := func(now time.Time, cmds []Cmd) {
+	handle := func(now time.Time, cmds []Cmd) {
 		for _, c := range cmds {
 			switch c := c.(type) {
 			case Start:
 				r := calls[c.ID]
 				out[r.flow].started++
-				r.began, r.ending = now, now.Add(flows[r.flow].work)
-				if !r.ending.After(r.came.Add(flows[r.flow].aim)) {
+				r.startedAt, r.endsAt = now, now.Add(flows[r.flow].work)
+				if !r.endsAt.After(r.arrivedAt.Add(flows[r.flow].aim)) {
 					out[r.flow].inTime++
 				}
 			case Refuse:
@@ -54,23 +54,23 @@
 		now := start.Add(at)
 		for id := CallID(1); id <= next; id++ {
 			r := calls[id]
-			if r == nil || r.ending.IsZero() || r.ending.After(now) {
+			if r == nil || r.endsAt.IsZero() || r.endsAt.After(now) {
 				continue
 			}
 			delete(calls, id)
 			f := flows[r.flow]
-			take(now, g.Step(now, Completed{ID: id, Route: f.route, Duration: f.work}))
+			handle(now, g.Step(now, Completed{ID: id, Route: f.route, Duration: f.work}))
 		}
 		for i, f := range flows {
-			for n := at / f.every; n*f.every >= at && n*f.every < at+step; n++ {
+			for n := at / f.interval; n*f.interval >= at && n*f.interval < at+step; n++ {
 				next++
-				calls[next] = &run{flow: i, came: now}
-				take(now, g.Step(now, Arrival{
-					ID: next, Route: f.route, Priority: f.priority, Aim: now.Add(f.aim), Deadline: now.Add(f.most),
+				calls[next] = &run{flow: i, arrivedAt: now}
+				handle(now, g.Step(now, Arrival{
+					ID: next, Route: f.route, Priority: f.priority, Aim: now.Add(f.aim), Deadline: now.Add(f.deadline),
 				}))
 			}
 		}
-		take(now, g.Step(now, Tick{}))
+		handle(now, g.Step(now, Tick{}))
 	}
 	return out
 }
@@ -88,7 +88,7 @@
 		{"lookup", snapshot.Urgent, 6 * time.Millisecond, 12 * time.Millisecond, 60 * time.Millisecond, 200 * time.Millisecond},
 		{"report", snapshot.Bulk, 8 * time.Millisecond, 180 * time.Millisecond, 800 * time.Millisecond, 1200 * time.Millisecond},
 	}
-	got := play(NewGate(Limits{Slots: slots, Queue: 2 * slots}), flows, last)
+	got := simulate(NewGate(Limits{Slots: slots, Queue: 2 * slots}), flows, last)
 	lookups, reports := got[0], got[1]
 	c.Check(float64(lookups.inTime) >= 0.99*float64(lookups.started+lookups.refused), qt.IsTrue, qt.Commentf("%+v", lookups))
 	busy := time.Duration(lookups.started)*flows[0].work + time.Duration(reports.started)*flows[1].work
@@ -109,7 +109,7 @@
 		{"order", snapshot.Urgent, 20 * time.Millisecond, 78 * time.Millisecond, 300 * time.Millisecond, 800 * time.Millisecond},
 		{"read", snapshot.Bulk, 3 * time.Millisecond, 78 * time.Millisecond, 300 * time.Millisecond, 800 * time.Millisecond},
 	}
-	got := play(NewGate(Limits{Slots: slots, Queue: 2 * slots}), flows, last)
+	got := simulate(NewGate(Limits{Slots: slots, Queue: 2 * slots}), flows, last)
 	orders, reads := got[0], got[1]
 	c.Check(orders.refused, qt.Equals, 0)
 	c.Check(orders.inTime, qt.Equals, orders.started)
@@ -129,6 +129,6 @@
 	x := &Targets{deps: Deps{}}
 	g := NewGate(x.limits(Announcement{Slots: slots, State: StateCold}))
 	flows := []flow{{"read", snapshot.Normal, 4 * time.Millisecond, 120 * time.Millisecond, 300 * time.Millisecond, 800 * time.Millisecond}}
-	got := play(g, flows, time.Second)[0]
+	got := simulate(g, flows, time.Second)[0]
 	c.Check(got.started >= slots*7, qt.IsTrue, qt.Commentf("%+v", got))
 }
--- a/briarrockd/target/observe.go
+++ b/briarrockd/target/observe.go
@@ -17,9 +17,9 @@
 	HeaderLeaving = "Briarrock-Leaving"
 )
 
-// observe takes what a target tells of itself in the head of an answer to a request
+// observeAnswer takes what a target tells of itself in the head of an answer to a request
 // that was sent at sent.
-func (t *Targets) observe(x *target, h http.Header, sent time.Time) {
+func (t *Targets) observeAnswer(x *target, h http.Header, sent time.Time) {
 	t.observeRate(x, h, sent)
 	t.observeLeaving(x, h, "answer")
 }
@@ -44,24 +44,24 @@
 		return
 	}
 	if leaving {
-		t.leave(x, source)
+		t.markLeaving(x, source)
 	}
 }
 
-// leave ends new calls to a target that is about to stop. Within one process that is final,
+// markLeaving ends new calls to a target that is about to stop. Within one process that is final,
 // whatever announcements were under way.
-func (t *Targets) leave(x *target, source string) {
+func (t *Targets) markLeaving(x *target, source string) {
 	if x.leaving.Swap(true) {
 		return
 	}
 	t.mu.Lock()
-	said := x.said
-	said.State = StateDraining
-	t.noteLeaving(said)
+	last := x.announcement
+	last.State = StateDraining
+	t.recordIfDraining(last)
 	t.mu.Unlock()
-	t.deps.Log.Emit(event.TargetState, event.Fields{event.Subject: x.addr, "id": said.ID, "state": StateDraining, "source": source})
+	t.deps.Log.Emit(event.TargetState, event.Fields{event.Subject: x.addr, "id": last.ID, "state": StateDraining, "source": source})
 	x.step(Drain{On: true})
-	t.changed()
+	t.notifyChange()
 }
 
 func (t *Targets) observeRate(x *target, h http.Header, sent time.Time) {
@@ -73,15 +73,15 @@
 			return
 		}
 	}
-	t.setRate(x, "answer", func(n *namedRate) { n.answered(sent, time.Now(), r) })
+	t.setRate(x, "answer", func(n *advertisedRate) { n.updateFromAnswer(sent, time.Now(), r) })
 }
 
 // setRate changes what is known of a target's rate, and bounds its calls by that.
-func (t *Targets) setRate(x *target, source string, change func(*namedRate)) {
+func (t *Targets) setRate(x *target, source string, change func(*advertisedRate)) {
 	x.mu.Lock()
-	old := x.named
-	change(&x.named)
-	named := x.named
+	old := x.advertised
+	change(&x.advertised)
+	named := x.advertised
 	if named.rate != old.rate {
 		x.stepLocked(Throttle{named.rate})
 	}
@@ -91,20 +91,20 @@
 	}
 }
 
-func (t *Targets) logRateChange(x *target, old, named namedRate, source string) {
+func (t *Targets) logRateChange(x *target, old, named advertisedRate, source string) {
 	f := event.Fields{
 		event.Subject: x.addr, "service": x.service, "id": t.lastAnnouncement(x).ID,
 		"from": old.rate.String(), "rate": named.rate.String(), "source": source,
 	}
-	if !old.at.IsZero() {
-		f["age"] = time.Since(old.at).Milliseconds()
+	if !old.answeredAt.IsZero() {
+		f["age"] = time.Since(old.answeredAt).Milliseconds()
 	}
 	t.deps.Log.Emit(event.TargetRate, f)
 }
 
-// learn takes what a caller's node reports of this host's targets. A process that was
+// applyReports takes what a caller's node reports of this host's targets. A process that was
 // started beside a target knows nothing of what that has said before.
-func (t *Targets) learn(reports []Notice) {
+func (t *Targets) applyReports(reports []Notice) {
 	if len(reports) == 0 {
 		return
 	}
@@ -113,9 +113,9 @@
 			if n.Process != x.process {
 				continue
 			}
-			t.setRate(x, "report", func(known *namedRate) { known.reported(n.Rate) })
+			t.setRate(x, "report", func(known *advertisedRate) { known.updateFromReport(n.Rate) })
 			if n.Leaving {
-				t.leave(x, "report")
+				t.markLeaving(x, "report")
 			}
 		}
 	}
@@ -125,32 +125,32 @@
 func (x *target) notice() (Notice, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	n := Notice{Process: x.process, Rate: x.named.rate, Leaving: x.leaving.Load(), At: x.named.at}
-	return n, x.named.ever || n.Leaving
+	n := Notice{Process: x.process, Rate: x.advertised.rate, Leaving: x.leaving.Load(), At: x.advertised.answeredAt}
+	return n, x.advertised.known || n.Leaving
 }
 
-// limited is how many targets of this host name a rate now.
-func (t *Targets) limited() int {
+// countRateLimited is how many targets of this host name a rate now.
+func (t *Targets) countRateLimited() int {
 	n := 0
 	for _, x := range t.list() {
-		if told, _ := x.notice(); told.Rate.bounded {
+		if notice, _ := x.notice(); notice.Rate.bounded {
 			n++
 		}
 	}
 	return n
 }
 
-// describeRate adds the rate in force to the fields of a call's line, with how many calls it
+// addRateFields adds the rate in force to the fields of a call's line, with how many calls it
 // lets start now and how long ago an answer named it.
-func (x *target) describeRate(f event.Fields) {
+func (x *target) addRateFields(f event.Fields) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.named.rate.bounded {
+	if !x.advertised.rate.bounded {
 		return
 	}
 	now := time.Now()
-	f["rate"], f["tokens"] = x.named.rate.String(), strconv.FormatFloat(x.gate.pacer.tokens(now), 'f', 2, 64)
-	if !x.named.at.IsZero() {
-		f["rateage"] = now.Sub(x.named.at).Milliseconds()
+	f["rate"], f["tokens"] = x.advertised.rate.String(), strconv.FormatFloat(x.gate.pacer.tokens(now), 'f', 2, 64)
+	if !x.advertised.answeredAt.IsZero() {
+		f["rateage"] = now.Sub(x.advertised.answeredAt).Milliseconds()
 	}
 }
--- a/briarrockd/target/observe_test.go
+++ b/briarrockd/target/observe_test.go
@@ -13,20 +13,20 @@
 	"briarrock.example/mesh/kind"
 )
 
-// telling is a transport to a target whose answers all have one status and head.
-type telling struct {
+// fixedAnswer is a transport to a target whose answers all have one status and head.
+type fixedAnswer struct {
 	status int
 	head   atomic.Pointer[http.Header]
 }
 
-func newTelling(status int, head http.Header) *telling {
-	x := &telling{status: status}
+func newFixedAnswer(status int, head http.Header) *fixedAnswer {
+	x := &fixedAnswer{status: status}
 	x.head.Store(&head)
 	return x
 }
 
 // RoundTrip implements http.RoundTripper.
-func (x *telling) RoundTrip(req *http.Request) (*http.Response, error) {
+func (x *fixedAnswer) RoundTrip(req *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: x.status, Header: x.head.Load().Clone(), Body: http.NoBody, Request: req}, nil
 }
 
@@ -60,12 +60,12 @@
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				ts := newBodyHost(newTelling(x.status, x.head))
+				ts := newTargets(newFixedAnswer(x.status, x.head))
 				defer ts.Close()
 				w := send(ts)
-				told := ReadNotices(w.Header(), time.Now())
-				c.Assert(told, qt.HasLen, 1)
-				c.Check(told[0].Rate, qt.Equals, NewRate(1))
+				notices := ReadNotices(w.Header(), time.Now())
+				c.Assert(notices, qt.HasLen, 1)
+				c.Check(notices[0].Rate, qt.Equals, NewRate(1))
 				w = send(ts)
 				c.Check(kindOf(w), qt.Equals, kind.Rate)
 				c.Check(w.Header().Get(kind.HeaderRan), qt.Equals, "no")
@@ -81,14 +81,14 @@
 func TestRateInHealthCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		tr := newTelling(http.StatusOK, http.Header{HeaderRate: {"1"}})
-		ts := newBodyHost(tr)
+		tr := newFixedAnswer(http.StatusOK, http.Header{HeaderRate: {"1"}})
+		ts := newTargets(tr)
 		defer ts.Close()
 		x := ts.list()[0]
-		c.Check(ts.healthy(x), qt.IsTrue)
+		c.Check(ts.checkHealth(x), qt.IsTrue)
 		c.Check(kindOf(send(ts)), qt.Equals, kind.Rate)
 		tr.head.Store(&http.Header{})
-		c.Check(ts.healthy(x), qt.IsTrue)
+		c.Check(ts.checkHealth(x), qt.IsTrue)
 		c.Check(kindOf(send(ts)), qt.Equals, kind.Rate)
 	})
 }
@@ -99,7 +99,7 @@
 func TestReportedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		ts := newBodyHost(newTelling(http.StatusOK, http.Header{}))
+		ts := newTargets(newFixedAnswer(http.StatusOK, http.Header{}))
 		defer ts.Close()
 		x := ts.list()[0]
 		c.Check(kindOf(send(ts, Notice{Process: "another/0", Rate: NewRate(1)})), qt.Equals, kind.None)
@@ -119,24 +119,24 @@
 func TestLeavingInAnswer(t *testing.T) {
 	up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", StartMillis: 7, Seq: 9}
 	for _, x := range []struct {
-		value  string
-		leaves bool
-		tell   func(ts *Targets)
+		value   string
+		leaves  bool
+		trigger func(ts *Targets)
 	}{
 		{"1", true, func(ts *Targets) { send(ts) }},
-		{"1", true, func(ts *Targets) { ts.healthy(ts.list()[0]) }},
+		{"1", true, func(ts *Targets) { ts.checkHealth(ts.list()[0]) }},
 		{"0", false, func(ts *Targets) { send(ts) }},
 		{"soon", false, func(ts *Targets) { send(ts) }},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			tr := newTelling(http.StatusOK, http.Header{})
-			ts := newBodyHost(tr)
+			tr := newFixedAnswer(http.StatusOK, http.Header{})
+			ts := newTargets(tr)
 			defer ts.Close()
 			ts.HandleAnnouncement(up)
 			time.Sleep(time.Second) // its health check
 			tr.head.Store(&http.Header{HeaderLeaving: {x.value}})
-			x.tell(ts)
+			x.trigger(ts)
 			tr.head.Store(&http.Header{})
 			ts.HandleAnnouncement(up)
 			want := kind.None
@@ -158,8 +158,8 @@
 func TestRateBesideOtherWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		tr := newTelling(http.StatusOK, http.Header{HeaderRate: {"1"}})
-		ts := newBodyHost(tr)
+		tr := newFixedAnswer(http.StatusOK, http.Header{HeaderRate: {"1"}})
+		ts := newTargets(tr)
 		defer ts.Close()
 		up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", StartMillis: 7, Seq: 1}
 		ts.HandleAnnouncement(up)
@@ -203,7 +203,7 @@
 func TestLeavingBesideAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		ts := newBodyHost(newTelling(http.StatusOK, http.Header{}))
+		ts := newTargets(newFixedAnswer(http.StatusOK, http.Header{}))
 		defer ts.Close()
 		other := Announcement{Service: "posting", Addr: "10.0.0.7:81", Slots: 1, State: StateUp}
 		ts.HandleAnnouncement(other)
@@ -227,14 +227,14 @@
 // TestIdleAgain guards against a target that is passed over for good beside another one on
 // its host, since its load is still that of the moment of its last call.
 func TestIdleAgain(t *testing.T) {
-	for name, tell := range map[string]http.Header{
+	for name, head := range map[string]http.Header{
 		"named a rate": {HeaderRate: {"2"}},
 		"shed a call":  {kind.HeaderRan: {"no"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				ts := newBodyHost(newTelling(http.StatusServiceUnavailable, tell))
+				ts := newTargets(newFixedAnswer(http.StatusServiceUnavailable, head))
 				defer ts.Close()
 				first := ts.list()[0]
 				send(ts)
@@ -242,7 +242,7 @@
 				ts.HandleAnnouncement(Announcement{Service: "posting", Addr: "10.0.0.7:81", Slots: 4, State: StateUp})
 				second := ts.list()[1]
 				second.step(Arrival{ID: 1, Deadline: time.Now().Add(time.Minute)})
-				c.Check(ts.find("posting"), qt.Equals, first)
+				c.Check(ts.leastLoaded("posting"), qt.Equals, first)
 			})
 		})
 	}
--- a/briarrockd/target/overload.go
+++ b/briarrockd/target/overload.go
@@ -10,9 +10,9 @@
 	// overloadWindow is how long after the refusal of a call the own region counts
 	// as short of room.
 	overloadWindow = 500 * time.Millisecond
-	// lessUrgentWindow is how long after the start of a less urgent call there counts as
+	// lowerPriorityWindow is how long after the start of a less urgent call there counts as
 	// being more of its kind: the more urgent ones get those slots first.
-	lessUrgentWindow = 500 * time.Millisecond
+	lowerPriorityWindow = 500 * time.Millisecond
 	// rejectWeight is the weight of the newest call in the share that is refused,
 	// so that the share tells of the last twenty calls.
 	rejectWeight = 0.05
@@ -25,19 +25,19 @@
 type overload struct {
 	// refusedAt is when calls of the own region were last refused.
 	refusedAt [snapshot.MostUrgent + 1]time.Time
-	// share is the part of the last calls that found no room.
-	share [snapshot.MostUrgent + 1]share
+	// refusedShare is the part of the last calls that found no room.
+	refusedShare [snapshot.MostUrgent + 1]movingShare
 	// startedAt is when a call was last started.
 	startedAt [snapshot.MostUrgent + 1]time.Time
 }
 
-// refused notes that a call of the own region was refused.
-func (p *overload) refused(now time.Time, priority snapshot.Priority) {
+// recordRefused notes that a call of the own region was recordRefused.
+func (p *overload) recordRefused(now time.Time, priority snapshot.Priority) {
 	p.refusedAt[min(priority, snapshot.MostUrgent)] = now
 }
 
-// on tells whether calls of at least a priority were refused a moment ago.
-func (p *overload) on(now time.Time, priority snapshot.Priority) bool {
+// isOverloaded tells whether calls of at least a priority were refused a moment ago.
+func (p *overload) isOverloaded(now time.Time, priority snapshot.Priority) bool {
 	for _, at := range p.refusedAt[min(priority, snapshot.MostUrgent):] {
 		if !at.IsZero() && now.Sub(at) < overloadWindow {
 			return true
@@ -46,45 +46,45 @@
 	return false
 }
 
-// decided counts a call as let in or refused.
-func (p *overload) decided(priority snapshot.Priority, refused bool) {
-	p.share[min(priority, snapshot.MostUrgent)].observe(refused, rejectWeight)
+// recordDecision counts a call as let in or refused.
+func (p *overload) recordDecision(priority snapshot.Priority, refused bool) {
+	p.refusedShare[min(priority, snapshot.MostUrgent)].observe(refused, rejectWeight)
 }
 
-// started notes that a call was started.
-func (p *overload) started(now time.Time, priority snapshot.Priority) {
+// recordStarted notes that a call was recordStarted.
+func (p *overload) recordStarted(now time.Time, priority snapshot.Priority) {
 	p.startedAt[min(priority, snapshot.MostUrgent)] = now
 }
 
-// patience is the part of its spare time that a call may spend in the queue.
+// maxWaitShare is the part of its spare time that a call may spend in the queue.
 //
 // A queue bridges the moments in which calls come faster than slots come free.
 // Where they do so all the time it is never empty, and every call waits in it
 // for nothing: as many are done as without. So the more calls are refused, the
 // less of its time a call may spend waiting, and the rest is told at once.
-func (p *overload) patience(priority snapshot.Priority) float64 {
-	return max(0, 1-float64(p.share[min(priority, snapshot.MostUrgent)])/maxRejectShare)
+func (p *overload) maxWaitShare(priority snapshot.Priority) float64 {
+	return max(0, 1-float64(p.refusedShare[min(priority, snapshot.MostUrgent)])/maxRejectShare)
 }
 
-// first tells whether less urgent calls are still started. Then it is not calls of
+// lowerPriorityStarted tells whether less urgent calls are still started. Then it is not calls of
 // this priority that there are too many of: the next slots are theirs.
-func (p *overload) first(now time.Time, priority snapshot.Priority) bool {
+func (p *overload) lowerPriorityStarted(now time.Time, priority snapshot.Priority) bool {
 	for _, at := range p.startedAt[:min(priority, snapshot.MostUrgent)] {
-		if !at.IsZero() && now.Sub(at) < lessUrgentWindow {
+		if !at.IsZero() && now.Sub(at) < lowerPriorityWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// share is a moving share of the events of which something holds.
-type share float64
+// movingShare is a moving movingShare of the events of which something holds.
+type movingShare float64
 
 // observe counts an event by weight.
-func (s *share) observe(holds bool, weight float64) {
+func (s *movingShare) observe(holds bool, weight float64) {
 	x := 0.0
 	if holds {
 		x = 1
 	}
-	*s += share(weight * (x - float64(*s)))
+	*s += movingShare(weight * (x - float64(*s)))
 }
--- a/briarrockd/target/rate.go
+++ b/briarrockd/target/rate.go
@@ -46,29 +46,29 @@
 	return r.bounded && (!than.bounded || r.perSecond < than.perSecond)
 }
 
-// namedRate is the rate that a target names, as far as it is known here.
+// advertisedRate is the rate that a target names, as far as it is known here.
 //
 // Answers overtake each other. One is known to be newer only if its request was sent
 // after the rate in force had been received; among others the stricter rate holds.
-type namedRate struct {
-	rate Rate
-	at   time.Time // when an answer named it last; zero if none has come here
-	ever bool      // a rate has been named
+type advertisedRate struct {
+	rate       Rate
+	answeredAt time.Time // when an answer named it last; zero if none has come here
+	known      bool      // a rate has been named
 }
 
-// answered takes the rate in an answer, none included, whose request was sent at sent.
-func (n *namedRate) answered(sent, now time.Time, r Rate) {
-	if !sent.After(n.at) && n.rate.stricter(r) {
+// updateFromAnswer takes the rate in an answer, none included, whose request was sent at sent.
+func (n *advertisedRate) updateFromAnswer(sent, now time.Time, r Rate) {
+	if !sent.After(n.answeredAt) && n.rate.stricter(r) {
 		return
 	}
-	n.rate, n.at = r, now
-	n.ever = n.ever || r.bounded
+	n.rate, n.answeredAt = r, now
+	n.known = n.known || r.bounded
 }
 
-// reported takes the rate that another node was told. It holds until the first answer:
+// updateFromReport takes the rate that another node was told. It holds until the first answer:
 // this process gets all of them, and so knows better from then on.
-func (n *namedRate) reported(r Rate) {
-	if n.at.IsZero() && r.stricter(n.rate) {
-		n.rate, n.ever = r, true
+func (n *advertisedRate) updateFromReport(r Rate) {
+	if n.answeredAt.IsZero() && r.stricter(n.rate) {
+		n.rate, n.known = r, true
 	}
 }
--- a/briarrockd/target/rate_test.go
+++ b/briarrockd/target/rate_test.go
@@ -16,9 +16,9 @@
 		n, bounded := r.PerSecond()
 		c.Check(n, qt.Equals, want)
 		c.Check(bounded, qt.IsTrue)
-		again, err := ParseRate(r.String())
+		reparsed, err := ParseRate(r.String())
 		c.Check(err, qt.IsNil)
-		c.Check(again, qt.Equals, r)
+		c.Check(reparsed, qt.Equals, r)
 	}
 	for _, text := range []string{"", "many", "-1", "NaN", "+Inf", "1e999", "24.9 ", "24,9"} {
 		_, err := ParseRate(text)
@@ -33,7 +33,7 @@
 func TestNamedRateOrder(t *testing.T) {
 	c := qt.New(t)
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
-	var n namedRate
+	var n advertisedRate
 	for _, x := range []struct {
 		sent, received int
 		named          Rate
@@ -50,7 +50,7 @@
 		{100, 150, NewRate(30), NewRate(30)}, // possibly newer than the end
 		{151, 160, Rate{}, Rate{}},
 	} {
-		n.answered(at(x.sent), at(x.received), x.named)
+		n.updateFromAnswer(at(x.sent), at(x.received), x.named)
 		c.Check(n.rate, qt.Equals, x.want, qt.Commentf("received at %d ms", x.received))
 	}
 }
--- a/briarrockd/target/reserve.go
+++ b/briarrockd/target/reserve.go
@@ -10,8 +10,8 @@
 	// runningWeight is the weight of the newest moment in the mean number of
 	// calls that run, looked at as each call arrives.
 	runningWeight = 0.02
-	// spareWeight is that of the newest call in the spare time of a priority.
-	spareWeight = 0.1
+	// slackWeight is that of the newest call in the spare time of a priority.
+	slackWeight = 0.1
 	// priorities is the number of priorities.
 	priorities = int(snapshot.MostUrgent) + 1
 )
@@ -26,38 +26,38 @@
 type reserve struct {
 	// running is how many calls of each priority run now, mean how many do as a
 	// rule.
-	running [priorities]int
-	mean    [priorities]float64
-	// spare is the time that calls of each priority have beside their work.
-	spare [priorities]time.Duration
+	running     [priorities]int
+	meanRunning [priorities]float64
+	// slack is the time that calls of each priority have beside their work.
+	slack [priorities]time.Duration
 }
 
-// arrived looks at what runs as a call arrives, and notes its spare time.
-func (r *reserve) arrived(priority snapshot.Priority, spare time.Duration) {
+// recordArrival looks at what runs as a call arrives, and notes its spare time.
+func (r *reserve) recordArrival(priority snapshot.Priority, slack time.Duration) {
 	for i, n := range r.running {
-		r.mean[i] += runningWeight * (float64(n) - r.mean[i])
+		r.meanRunning[i] += runningWeight * (float64(n) - r.meanRunning[i])
 	}
-	r.spare[priority] = average(r.spare[priority], max(spare, 1), spareWeight)
+	r.slack[priority] = movingAverage(r.slack[priority], max(slack, 1), slackWeight)
 }
 
-// kept is how many slots a call that takes so long has to leave free for more
+// reservedSlots is how many slots a call that takes so long has to leave free for more
 // urgent ones.
-func (r *reserve) kept(priority snapshot.Priority, work time.Duration) int {
-	need, have := 0.0, 0
+func (r *reserve) reservedSlots(priority snapshot.Priority, work time.Duration) int {
+	needed, taken := 0.0, 0
 	for i := int(priority) + 1; i < priorities; i++ {
-		if r.spare[i] > 0 && r.spare[i] < work {
-			need += r.mean[i]
-			have += r.running[i]
+		if r.slack[i] > 0 && r.slack[i] < work {
+			needed += r.meanRunning[i]
+			taken += r.running[i]
 		}
 	}
-	return max(0, int(need)-have)
+	return max(0, int(needed)-taken)
 }
 
-// taken is how many slots more urgent calls have as a rule.
-func (r *reserve) taken(priority snapshot.Priority) float64 {
+// meanHigherPriority is how many slots more urgent calls have as a rule.
+func (r *reserve) meanHigherPriority(priority snapshot.Priority) float64 {
 	n := 0.0
 	for i := int(priority) + 1; i < priorities; i++ {
-		n += r.mean[i]
+		n += r.meanRunning[i]
 	}
 	return n
 }
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -44,21 +44,21 @@
 
 // call is what the headers of a call say.
 type call struct {
-	service  string
-	caller   string
-	priority snapshot.Priority
-	route    string
-	deadline time.Time
-	aim      time.Time // zero if the caller's node says none
-	mark     uint64    // fingerprint of the request
-	trace    string
-	once     bool
-	far      bool
-	// waited is how long the gate held the call back.
-	waited time.Duration
+	service     string
+	caller      string
+	priority    snapshot.Priority
+	route       string
+	deadline    time.Time
+	aim         time.Time // zero if the caller's node says none
+	fingerprint uint64    // fingerprint of the request
+	trace       string
+	atMostOnce  bool
+	crossRegion bool
+	// queuedFor is how long the gate held the call back.
+	queuedFor time.Duration
 }
 
-func readCall(r *http.Request, now time.Time) (call, bool) {
+func parseCall(r *http.Request, now time.Time) (call, bool) {
 	ms, err := strconv.ParseInt(r.Header.Get(HeaderDeadline), 10, 64)
 	if err != nil || ms < 0 || ms > maxDeadline.Milliseconds() {
 		return call{}, false
@@ -70,67 +70,67 @@
 		aim = now.Add(time.Duration(ms) * time.Millisecond)
 	}
 	return call{
-		aim:      aim,
-		service:  r.Header.Get(HeaderService),
-		caller:   r.Header.Get(HeaderCaller),
-		priority: min(snapshot.Priority(priority), snapshot.MostUrgent),
-		deadline: now.Add(time.Duration(ms) * time.Millisecond),
-		route:    r.Header.Get(HeaderRoute),
-		mark:     mark,
-		trace:    r.Header.Get(HeaderTrace),
-		once:     r.Header.Get(HeaderAtMostOnce) != "",
-		far:      r.Header.Get(HeaderCrossRegion) != "",
+		aim:         aim,
+		service:     r.Header.Get(HeaderService),
+		caller:      r.Header.Get(HeaderCaller),
+		priority:    min(snapshot.Priority(priority), snapshot.MostUrgent),
+		deadline:    now.Add(time.Duration(ms) * time.Millisecond),
+		route:       r.Header.Get(HeaderRoute),
+		fingerprint: mark,
+		trace:       r.Header.Get(HeaderTrace),
+		atMostOnce:  r.Header.Get(HeaderAtMostOnce) != "",
+		crossRegion: r.Header.Get(HeaderCrossRegion) != "",
 	}, true
 }
 
 // ServeHTTP runs a call that another node sends for a target of this host.
 func (t *Targets) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
-	c, ok := readCall(r, now)
+	c, ok := parseCall(r, now)
 	if !ok {
 		relay.Fail(w, kind.Request, kind.RanNo, 0)
 		return
 	}
-	t.learn(ReadNotices(r.Header, now))
-	x := t.find(c.service)
+	t.applyReports(ReadNotices(r.Header, now))
+	x := t.leastLoaded(c.service)
 	if x == nil {
 		t.refuse(w, c, nil, Refuse{Kind: kind.Drain})
 		return
 	}
-	if c.mark != 0 && t.deps.CrashCount(c.mark) >= peer.HoldAt {
+	if c.fingerprint != 0 && t.deps.CrashCount(c.fingerprint) >= peer.HoldAt {
 		t.refuse(w, c, x, Refuse{Kind: kind.Held})
 		return
 	}
 	relay.Duplex(w, r)
-	arrive := Arrival{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, CrossRegion: c.far, BodyBytes: r.ContentLength}
+	arrival := Arrival{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, CrossRegion: c.crossRegion, BodyBytes: r.ContentLength}
 	if t.deps.NoFairQueueing {
-		arrive.Caller = ""
+		arrival.Caller = ""
 	}
-	id, refuse := x.enter(r.Context(), arrive)
+	id, refuse := x.acquire(r.Context(), arrival)
 	if refuse.Kind != kind.None {
 		t.refuse(w, c, x, refuse)
 		return
 	}
-	if !t.take(w, r, x, id, c) {
+	if !t.readHeldBody(w, r, x, id, c) {
 		return
 	}
-	c.waited = time.Since(now)
-	t.waited.Update(c.waited.Seconds())
-	t.run(w, r, x, id, c)
+	c.queuedFor = time.Since(now)
+	t.waited.Update(c.queuedFor.Seconds())
+	t.forward(w, r, x, id, c)
 }
 
-// heldBodyWithin bounds the time in which a short body comes once it has been asked for.
-const heldBodyWithin = 500 * time.Millisecond
+// heldBodyTimeout bounds the time in which a short body comes once it has been asked for.
+const heldBodyTimeout = 500 * time.Millisecond
 
-// take reads a short body that the caller's node has held back before anything of its
+// readHeldBody reads a short body that the caller's node has held back before anything of its
 // request goes to the target: without it, the request has not run. It returns false if
 // the body did not come.
-func (t *Targets) take(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) bool {
+func (t *Targets) readHeldBody(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) bool {
 	if r.Header.Get(http1.HeaderHeld) == "" || relay.IsStreamed(r) {
 		return true
 	}
 	// A caller's node that has been cut off meanwhile must not keep the slot.
-	b, err := relay.ReadBody(r, min(heldBodyWithin, time.Until(c.deadline)))
+	b, err := relay.ReadBody(r, min(heldBodyTimeout, time.Until(c.deadline)))
 	if err != nil {
 		x.step(Completed{ID: id, Route: c.route})
 		t.refuse(w, c, x, Refuse{Kind: kind.Cancel})
@@ -140,13 +140,13 @@
 	return true
 }
 
-// find is the least taken target of a service on this host. One that leaves looks idle,
+// leastLoaded is the least taken target of a service on this host. One that leaves looks idle,
 // and is returned only if there is no other.
-func (t *Targets) find(service string) *target {
+func (t *Targets) leastLoaded(service string) *target {
 	var best, leaving *target
-	least := 0.0
+	minLoad := 0.0
 	for _, x := range t.list() {
-		admitted, drains := t.open(x)
+		admitted, drains := t.admissionState(x)
 		if x.service != service || !admitted {
 			continue
 		}
@@ -157,18 +157,18 @@
 		x.mu.Lock()
 		load := x.gate.Load(time.Now())
 		x.mu.Unlock()
-		if best == nil || load < least {
-			best, least = x, load
+		if best == nil || load < minLoad {
+			best, minLoad = x, load
 		}
 	}
 	return cmp.Or(best, leaving)
 }
 
-// open tells whether calls may pass to a target at all, and whether it leaves.
-func (t *Targets) open(x *target) (admitted, drains bool) {
+// admissionState tells whether calls may pass to a target at all, and whether it leaves.
+func (t *Targets) admissionState(x *target) (admitted, drains bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return x.admitted, x.drains()
+	return x.admitted, x.isDraining()
 }
 
 func (t *Targets) refuse(w http.ResponseWriter, c call, x *target, r Refuse) {
@@ -178,8 +178,8 @@
 	}
 	f := event.Fields{"trace": c.trace, "service": c.service, "priority": c.priority, "kind": string(r.Kind), "after": r.RetryAfter.Milliseconds()}
 	if x != nil {
-		f["target"], f["load"] = x.addr, x.writeState(w.Header())
-		x.describeRate(f)
+		f["target"], f["load"] = x.addr, x.writeLoad(w.Header())
+		x.addRateFields(f)
 	}
 	t.deps.Log.Call(event.RunRefused, f, false)
 	if r.RetryAfter > 0 {
@@ -189,9 +189,9 @@
 	relay.Fail(w, r.Kind, kind.RanNo, r.RetryAfterSeconds)
 }
 
-// writeState puts into a head how taken the target is and what it has told of itself. It
+// writeLoad puts into a head how taken the target is and what it has told of itself. It
 // returns the load.
-func (x *target) writeState(h http.Header) string {
+func (x *target) writeLoad(h http.Header) string {
 	x.mu.Lock()
 	load, usual := x.gate.Load(time.Now()), x.gate.MeanDuration()
 	x.mu.Unlock()
@@ -206,130 +206,130 @@
 	return text
 }
 
-// run passes a call that the gate has started on to its target.
-func (t *Targets) run(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) {
+// forward passes a call that the gate has started on to its target.
+func (t *Targets) forward(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) {
 	t.started.Inc()
 	defer t.track(c.trace)()
-	ended := Completed{ID: id, Route: c.route}
-	defer func() { x.step(ended) }()
-	began := time.Now()
+	completed := Completed{ID: id, Route: c.route}
+	defer func() { x.step(completed) }()
+	sent := time.Now()
 	ctx := r.Context()
-	if c.once {
+	if c.atMostOnce {
 		// What must not run twice is not broken off in the midst either: its
 		// caller could not tell how far it came.
 		ctx = context.WithoutCancel(ctx)
 	}
 	res, out := relay.Send(ctx, relay.Call{
-		In: r, URL: relay.Toward(x.url, r), Host: r.Host, Add: t.towardsTarget(r, x, c),
-		Body: body(r, func() { x.step(BodyReceived{id}) }), Length: r.ContentLength, Transport: x.transport, Stall: t.deps.Stall,
-		Deadline: c.deadline, Streamed: relay.IsStreamed(r), Once: c.once,
+		In: r, URL: relay.Toward(x.url, r), Host: r.Host, Add: t.targetHeaders(r, x, c),
+		Body: requestBody(r, func() { x.step(BodyReceived{id}) }), Length: r.ContentLength, Transport: x.transport, Stall: t.deps.Stall,
+		Deadline: c.deadline, Streamed: relay.IsStreamed(r), Once: c.atMostOnce,
 	})
 	if res != nil {
-		t.observe(x, res.Header, began)
+		t.observeAnswer(x, res.Header, sent)
 	}
 	if res != nil && (res.ContentLength >= 0 || !relay.IsStreamed(r)) {
 		if err := relay.Whole(res, relay.KeepAnswer); err != nil {
 			res, out = nil, relay.Outcome{Kind: kind.Broken, Sent: true, Err: err}
 		}
 	}
-	ended.Duration = time.Since(began)
+	completed.Duration = time.Since(sent)
 	if res == nil {
-		ended.Failed = out.Kind == kind.Broken || out.Kind == kind.Late
-		t.tell(c, x, ended.Duration, string(out.Kind), out.Err)
-		t.failed(w, x, c, out)
+		completed.Failed = out.Kind == kind.Broken || out.Kind == kind.Late
+		t.logCall(c, x, completed.Duration, string(out.Kind), out.Err)
+		t.handleFailure(w, x, c, out)
 		return
 	}
 	if kind.ParseRan(res.Header.Get(kind.HeaderRan)) == kind.RanNo {
-		t.unrun(w, x, c, res, &ended)
+		t.handleNotRun(w, x, c, res, &completed)
 		return
 	}
-	if ended.Shed = shed(res); ended.Shed {
-		x.step(ended) // counts now, so that this very answer tells of it
+	if completed.Shed = isShed(res); completed.Shed {
+		x.step(completed) // counts now, so that this very answer tells of it
 	}
-	ended.Failed = res.StatusCode >= http.StatusInternalServerError
-	t.tell(c, x, ended.Duration, strconv.Itoa(res.StatusCode), nil)
-	_ = x.writeState(w.Header())
+	completed.Failed = res.StatusCode >= http.StatusInternalServerError
+	t.logCall(c, x, completed.Duration, strconv.Itoa(res.StatusCode), nil)
+	_ = x.writeLoad(w.Header())
 	w.Header().Set(kind.HeaderRan, kind.RanYes.String())
 	out = relay.Answer(w, res, t.deps.Stall)
 	if out.Kind != kind.None {
 		panic(http.ErrAbortHandler)
 	}
-	if c.mark != 0 && t.deps.CrashCount(c.mark) > 0 {
-		t.deps.OnCrash(peer.Crashed{Print: c.mark, Service: c.service, Clear: true})
+	if c.fingerprint != 0 && t.deps.CrashCount(c.fingerprint) > 0 {
+		t.deps.OnCrash(peer.Crashed{Print: c.fingerprint, Service: c.service, Clear: true})
 	}
 }
 
-// unrun takes a target's answer that it did not run a request: it has no room,
+// handleNotRun takes a target's answer that it did not run a request: it has no room,
 // or it is another target than the one that the request was for.
-func (t *Targets) unrun(w http.ResponseWriter, x *target, c call, res *http.Response, ended *Completed) {
+func (t *Targets) handleNotRun(w http.ResponseWriter, x *target, c call, res *http.Response, completed *Completed) {
 	// Read to its end, the refusal leaves the connection for the next request. A
 	// target that sheds would otherwise cost its node a new one each time, and a
 	// small host's processor is then taken up by them.
-	_, _ = io.CopyN(io.Discard, res.Body, maxRefusal)
+	_, _ = io.CopyN(io.Discard, res.Body, maxRefusalBytes)
 	_ = res.Body.Close()
 	if res.StatusCode == http.StatusMisdirectedRequest {
 		t.drop(x, "another target answers at its address")
 		t.refuse(w, c, nil, Refuse{Kind: kind.Drain})
 		return
 	}
-	ended.Shed = true
-	x.step(*ended)
-	t.refuse(w, c, x, Refuse{Kind: kind.Shed, RetryAfter: shedAgain})
+	completed.Shed = true
+	x.step(*completed)
+	t.refuse(w, c, x, Refuse{Kind: kind.Shed, RetryAfter: shedRetryAfter})
 }
 
-// maxRefusal bounds what is read of the body of a refusal, in bytes.
-const maxRefusal = 4 << 10
+// maxRefusalBytes bounds what is read of the body of a refusal, in bytes.
+const maxRefusalBytes = 4 << 10
 
-// shedAgain is when to ask again after a target refused a request by itself:
+// shedRetryAfter is when to ask again after a target refused a request by itself:
 // some usual requests have ended by then.
-const shedAgain = 50 * time.Millisecond
+const shedRetryAfter = 50 * time.Millisecond
 
-// tell writes the line of a call that ran.
-func (t *Targets) tell(c call, x *target, took time.Duration, outcome string, cause error) {
-	plain := len(outcome) > 0 && outcome[0] == '2'
+// logCall writes the line of a call that ran.
+func (t *Targets) logCall(c call, x *target, took time.Duration, outcome string, cause error) {
+	success := len(outcome) > 0 && outcome[0] == '2'
 	f := event.Fields{
-		"trace": c.trace, "service": c.service, "priority": c.priority, "target": x.addr, "waited": c.waited.Milliseconds(),
+		"trace": c.trace, "service": c.service, "priority": c.priority, "target": x.addr, "waited": c.queuedFor.Milliseconds(),
 		"ms": took.Milliseconds(), "outcome": outcome, "left": time.Until(c.deadline).Milliseconds(),
 	}
 	if cause != nil {
 		f["cause"] = cause.Error()
 	}
-	x.describeRate(f)
-	t.deps.Log.Call(event.RunEnded, f, plain)
+	x.addRateFields(f)
+	t.deps.Log.Call(event.RunEnded, f, success)
 }
 
-// body is a request's body, nil for none. taken is called at its end.
-func body(r *http.Request, taken func()) io.Reader {
+// requestBody is a request's requestBody, nil for none. taken is called at its end.
+func requestBody(r *http.Request, onEnd func()) io.Reader {
 	if r.ContentLength == 0 {
 		return nil
 	}
-	return &taking{r.Body, taken}
+	return &notifyingBody{r.Body, onEnd}
 }
 
-// taking is a body that tells when it has come in.
-type taking struct {
+// notifyingBody is a body that tells when it has come in.
+type notifyingBody struct {
 	io.Reader
-	taken func()
+	onEnd func()
 }
 
 // Read implements io.Reader.
-func (t *taking) Read(p []byte) (int, error) {
+func (t *notifyingBody) Read(p []byte) (int, error) {
 	n, err := t.Reader.Read(p)
-	if err != nil && t.taken != nil {
-		t.taken()
-		t.taken = nil
+	if err != nil && t.onEnd != nil {
+		t.onEnd()
+		t.onEnd = nil
 	}
 	return n, err //nolint:wrapcheck // io.EOF must pass as it is
 }
 
-// shed tells whether a target's answer is a refusal for load.
-func shed(res *http.Response) bool {
+// isShed tells whether a target's answer is a refusal for load.
+func isShed(res *http.Response) bool {
 	return res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
 }
 
-// towardsTarget are the headers that a target may use: who calls, how much
+// targetHeaders are the headers that a target may use: who calls, how much
 // time is left, and the name of the call.
-func (t *Targets) towardsTarget(r *http.Request, x *target, c call) http.Header {
+func (t *Targets) targetHeaders(r *http.Request, x *target, c call) http.Header {
 	h := make(http.Header, 4)
 	if id := t.lastAnnouncement(x).ID; id != "" {
 		h.Set(HeaderInstance, id)
@@ -343,9 +343,9 @@
 	return h
 }
 
-// failed answers a call whose target did not, and finds out whether the
+// handleFailure answers a call whose target did not, and finds out whether the
 // target has crashed.
-func (t *Targets) failed(w http.ResponseWriter, x *target, c call, out relay.Outcome) {
+func (t *Targets) handleFailure(w http.ResponseWriter, x *target, c call, out relay.Outcome) {
 	t.deps.Log.Emit(event.CallFailed, event.Fields{
 		event.Subject: x.addr, "service": c.service, "kind": string(out.Kind), "sent": out.Sent,
 	})
@@ -357,26 +357,26 @@
 	case kind.Refused:
 		t.drop(x, "refuses connections")
 	case kind.Broken:
-		t.lookForCrash(x, c)
+		t.detectCrash(x, c)
 	}
-	_ = x.writeState(w.Header())
+	_ = x.writeLoad(w.Header())
 	relay.Fail(w, out.Kind, ran, 0)
 }
 
-// lookForCrash is called for a request whose connection broke off. If the
+// detectCrash is called for a request whose connection broke off. If the
 // target no longer listens it has crashed, and the request was in flight: it
 // may be the reason. Each request that was in flight reports itself, so no
 // list of them is kept; one that runs to its end later is cleared.
-func (t *Targets) lookForCrash(x *target, c call) {
+func (t *Targets) detectCrash(x *target, c call) {
 	conn, err := net.DialTimeout("tcp", x.addr, dialTimeout)
 	if err == nil {
 		_ = conn.Close()
 		return
 	}
 	t.drop(x, "crashed")
-	if c.mark == 0 {
+	if c.fingerprint == 0 {
 		return
 	}
-	t.deps.Log.Emit(event.TargetCrashed, event.Fields{event.Subject: x.addr, "service": c.service, "print": c.mark})
-	t.deps.OnCrash(peer.Crashed{Print: c.mark, Service: c.service})
+	t.deps.Log.Emit(event.TargetCrashed, event.Fields{event.Subject: x.addr, "service": c.service, "print": c.fingerprint})
+	t.deps.OnCrash(peer.Crashed{Print: c.fingerprint, Service: c.service})
 }
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -42,11 +42,11 @@
 
 // Times and bounds.
 const (
-	// goneAfter is how long a target may be silent as a rule: three
+	// defaultAnnouncementTimeout is how long a target may be silent as a rule: three
 	// announcements, one of which comes each second, and some delay.
-	goneAfter = 3500 * time.Millisecond
-	// sweepEvery is how often silent targets are looked for.
-	sweepEvery      = 500 * time.Millisecond
+	defaultAnnouncementTimeout = 3500 * time.Millisecond
+	// sweepInterval is how often silent targets are looked for.
+	sweepInterval   = 500 * time.Millisecond
 	maxAnnouncement = 4 << 10
 	maxTargets      = 16
 	maxSlots        = 10000
@@ -107,23 +107,23 @@
 // Targets are the targets on this host. New makes one.
 type Targets struct {
 	deps Deps
-	// telling is held while the mesh is told of a change; mu may be taken
+	// notifyMu is held while the mesh is told of a change; mu may be taken
 	// inside it.
-	telling sync.Mutex
-	mu      sync.Mutex
-	all     map[string]*target // by address
-	snap    *snapshot.Snapshot
-	gone    bool // the node itself is leaving
-	done    chan struct{}
-	wg      sync.WaitGroup
+	notifyMu sync.Mutex
+	mu       sync.Mutex
+	all      map[string]*target // by address
+	snap     *snapshot.Snapshot
+	draining bool // the node itself is leaving
+	done     chan struct{}
+	wg       sync.WaitGroup
 	// configured is closed with the first version.
 	configured chan struct{}
 
 	// traces counts the calls of each name that targets run now.
 	traces map[string]int
-	// left are the targets that have said that they leave, by their ID, with
+	// departed are the targets that have said that they leave, by their ID, with
 	// the time of their start.
-	left map[string]int64
+	departed map[string]int64
 
 	started  *metrics.Counter
 	refused  *metrics.Counter
@@ -138,23 +138,23 @@
 	service string
 	addr    string
 	// process names the target's process among all that have its name or address.
-	process string
-	url     *url.URL
-	said    Announcement
-	heardAt time.Time
-	// heard counts the announcements; admitted is set once calls may pass.
-	heard    int
-	admitted bool
-	// behind counts announcements in a row that seem to be from before the one
+	process      string
+	url          *url.URL
+	announcement Announcement
+	announcedAt  time.Time
+	// announcements counts the announcements; admitted is set once calls may pass.
+	announcements int
+	admitted      bool
+	// earlierStarts counts announcements in a row that seem to be from before the one
 	// held.
-	behind    int
-	pool      *http1.Pool
-	transport http.RoundTripper
-	gate      *Gate
-	waiters   map[CallID]chan Cmd
-	lastID    CallID
-	timer     *time.Timer
-	named     namedRate
+	earlierStarts int
+	pool          *http1.Pool
+	transport     http.RoundTripper
+	gate          *Gate
+	waiters       map[CallID]chan Cmd
+	lastID        CallID
+	timer         *time.Timer
+	advertised    advertisedRate
 	// leaving is set once the target has told in an answer that it is about to stop.
 	leaving atomic.Bool
 	mu      sync.Mutex
@@ -166,7 +166,7 @@
 		d.Metrics = metrics.NewSet()
 	}
 	if d.AnnouncementTimeout == 0 {
-		d.AnnouncementTimeout = goneAfter
+		d.AnnouncementTimeout = defaultAnnouncementTimeout
 	}
 	if d.Dial == nil {
 		d.Dial = http1.Dialer(dialTimeout)
@@ -175,9 +175,9 @@
 		deps: d,
 		all:  make(map[string]*target),
 
-		traces: make(map[string]int),
-		left:   make(map[string]int64),
-		done:   make(chan struct{}),
+		traces:   make(map[string]int),
+		departed: make(map[string]int64),
+		done:     make(chan struct{}),
 
 		configured: make(chan struct{}),
 		started:    d.Metrics.GetOrCreateCounter("briarrock_target_calls_total"),
@@ -187,7 +187,7 @@
 	}
 	d.Metrics.GetOrCreateGauge("briarrock_target_running", func() float64 { return float64(t.Running()) })
 	d.Metrics.GetOrCreateGauge("briarrock_target_queued", func() float64 { return float64(t.count((*Gate).Queued)) })
-	d.Metrics.GetOrCreateGauge("briarrock_target_limited", func() float64 { return float64(t.limited()) })
+	d.Metrics.GetOrCreateGauge("briarrock_target_limited", func() float64 { return float64(t.countRateLimited()) })
 	t.wg.Go(t.sweep)
 	return t
 }
@@ -226,7 +226,7 @@
 func (t *Targets) lastAnnouncement(x *target) Announcement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return x.said
+	return x.announcement
 }
 
 // Configure takes the limits of a new version.
@@ -262,7 +262,7 @@
 // Drain makes the node refuse all new calls: it is about to stop.
 func (t *Targets) Drain() {
 	t.mu.Lock()
-	t.gone = true
+	t.draining = true
 	t.mu.Unlock()
 	for _, x := range t.list() {
 		x.step(Drain{On: true})
@@ -284,7 +284,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if problem := a.problem(r.RemoteAddr); problem != "" {
+	if problem := a.validate(r.RemoteAddr); problem != "" {
 		http.Error(w, problem, http.StatusBadRequest)
 		return
 	}
@@ -295,10 +295,10 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// problem checks an announcement that came from remote. A target may speak
+// validate checks an announcement that came from remote. A target may speak
 // only for its own host: otherwise whoever reaches the announce address could
 // draw the calls of a service to another machine.
-func (a *Announcement) problem(remote string) string {
+func (a *Announcement) validate(remote string) string {
 	if a.State == "" {
 		a.State = StateUp
 	}
@@ -321,19 +321,19 @@
 	return ""
 }
 
-// changed tells the mesh which targets there are now. One telling goes after
+// notifyChange tells the mesh which targets there are now. One telling goes after
 // the other: crossed ones would leave the mesh with the older list, and work
 // would go on coming for a target that leaves.
-func (t *Targets) changed() {
-	t.telling.Lock()
-	defer t.telling.Unlock()
+func (t *Targets) notifyChange() {
+	t.notifyMu.Lock()
+	defer t.notifyMu.Unlock()
 	t.mu.Lock()
 	out := make([]peer.Target, 0, len(t.all))
 	for _, x := range t.all {
 		out = append(out, peer.Target{
 			Service:  x.service,
-			Slots:    x.said.Slots,
-			Draining: t.gone || !x.admitted || x.drains(),
+			Slots:    x.announcement.Slots,
+			Draining: t.draining || !x.admitted || x.isDraining(),
 		})
 	}
 	t.mu.Unlock()
@@ -341,13 +341,13 @@
 	t.deps.OnChange(out)
 }
 
-// drains tells whether the target has said that it is about to stop. The lock of Targets
+// isDraining tells whether the target has said that it is about to stop. The lock of Targets
 // must be held.
-func (x *target) drains() bool { return x.said.State == StateDraining || x.leaving.Load() }
+func (x *target) isDraining() bool { return x.announcement.State == StateDraining || x.leaving.Load() }
 
 // sweep drops targets that have stopped announcing themselves.
 func (t *Targets) sweep() {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -358,7 +358,7 @@
 		now := time.Now()
 		for _, x := range t.list() {
 			t.mu.Lock()
-			silent := now.Sub(x.heardAt) > t.deps.AnnouncementTimeout
+			silent := now.Sub(x.announcedAt) > t.deps.AnnouncementTimeout
 			t.mu.Unlock()
 			if silent {
 				t.drop(x, "silent")
@@ -378,8 +378,8 @@
 	if !same {
 		return
 	}
-	t.deps.Log.Emit(event.TargetGone, event.Fields{event.Subject: x.addr, "service": x.service, "id": x.said.ID, "reason": reason})
+	t.deps.Log.Emit(event.TargetGone, event.Fields{event.Subject: x.addr, "service": x.service, "id": x.announcement.ID, "reason": reason})
 	x.step(Drain{On: true})
 	x.pool.Close()
-	t.changed()
+	t.notifyChange()
 }
