--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -14,34 +14,35 @@
 )
 
 const (
-	// admitAfterAnnouncements is how many announcements make a target believed that does not
-	// answer its health check: such answers can be wrong either way, but a
-	// late announcement from before it left is never followed by two more.
+	// admitAfterAnnouncements is the number of announcements after which a target gets calls
+	// although its health check fails. A failing health check can be wrong, and an announcement
+	// that was delayed since before the target deregistered is never followed by two more.
 	admitAfterAnnouncements = 3
-	// acceptEarlierStartAfter is how many announcements in a row with an earlier start are
-	// believed after all: the host's clock has gone back between two processes
-	// of the target, and the later one would otherwise never be heard.
+	// acceptEarlierStartAfter is the number of consecutive announcements with an earlier process
+	// start after which they are accepted. The host's clock was then set back between two
+	// processes of the target; without this rule the later process would be ignored for as long
+	// as it runs.
 	acceptEarlierStartAfter = 2
-	// deregisterMargin is how much later than a target's word that it leaves a process
-	// of the same ID must have begun to be another one: it is up for about so long
-	// after it, and the host's clock may have been set back since it began.
+	// deregisterMargin is how much later than a deregistration a process with the same ID must
+	// have started to count as another process. The deregistering process still runs for about
+	// this long, and the host's clock may have been set back since that process started.
 	deregisterMargin = 2 * time.Second
-	// maxDeparted bounds the memory for targets that have left.
+	// maxDeparted bounds the memory for targets that drain or have deregistered.
 	maxDeparted = 256
-	// healthCheckTimeout bounds a health check, checkAgain is the pause after one that
-	// failed.
-	// checkAgainPaced is the pause if the target names a rate.
+	// healthCheckTimeout bounds one health check. healthCheckInterval is the pause after one
+	// that failed, healthCheckIntervalRateLimited the pause if the target advertises a rate
+	// limit.
 	healthCheckTimeout             = time.Second
 	healthCheckInterval            = 250 * time.Millisecond
 	healthCheckIntervalRateLimited = 2 * time.Second
 )
 
-// HandleAnnouncement takes what a target says of itself. It returns false if the host has
-// too many targets for one more.
+// HandleAnnouncement processes an announcement of a target. It returns false if the host already
+// has maxTargets targets.
 //
-// Announcements can be late: one from before the target said that it leaves
-// must not bring work back to it, and one of an earlier process at the same
-// address must not replace a later one's.
+// Announcements can arrive late. One that was sent before the target started to drain must not
+// bring calls back to it, and one of an earlier process at the same address must not replace
+// that of a later process.
 func (t *Targets) HandleAnnouncement(a Announcement) bool {
 	now := time.Now()
 	t.mu.Lock()
@@ -52,7 +53,7 @@
 		return true
 	}
 	if x != nil && (x.service != a.Service || x.announcement.ID != a.ID || x.announcement.StartMillis != a.StartMillis) {
-		// Another service, name or process at the same address is another target.
+		// A different service, ID or process at the same address is a different target.
 		t.mu.Unlock()
 		t.drop(x, "replaced by "+a.ID)
 		return t.HandleAnnouncement(a)
@@ -80,7 +81,7 @@
 	return true
 }
 
-// isStale tells whether an announcement is from before what is known already.
+// isStale reports whether an announcement is older than what is already known of the target.
 func (t *Targets) isStale(x *target, a Announcement) bool {
 	if startMillis, ok := t.departed[a.ID]; ok && a.ID != "" && a.StartMillis <= startMillis && a.State != StateDraining {
 		return true
@@ -89,7 +90,8 @@
 		return false
 	}
 	if a.StartMillis == 0 {
-		// Another writer's: a process that has said when it began always does.
+		// A process that has announced its start time once does so in every announcement, so
+		// this one has a different sender.
 		return a.ID != "" && a.ID == x.announcement.ID && x.announcement.StartMillis != 0
 	}
 	if a.StartMillis < x.announcement.StartMillis {
@@ -99,7 +101,7 @@
 	return a.StartMillis == x.announcement.StartMillis && a.ID == x.announcement.ID && a.Seq < x.announcement.Seq
 }
 
-// recordIfDraining remembers that a target leaves: within one process that is final.
+// recordIfDraining records that a target drains. A process never leaves that state.
 func (t *Targets) recordIfDraining(a Announcement) {
 	if a.State == StateDraining && a.ID != "" {
 		t.recordDeparted(a.ID, a.StartMillis)
@@ -113,7 +115,7 @@
 	t.departed[id] = max(t.departed[id], startMillis)
 }
 
-// apply acts on an announcement that is not late. drain is set if nothing new may run.
+// apply applies an announcement that is not stale. drain is set if no new call may start.
 func (t *Targets) apply(x *target, old, a Announcement, isNew, drain bool) {
 	if isNew || old.Slots != a.Slots || old.State != a.State {
 		x.step(t.limits(a))
@@ -129,8 +131,9 @@
 	}
 }
 
-// admit lets calls pass to a target that needs no health check, or that has
-// announced itself often enough. It tells whether that is new.
+// admit lets calls pass to a target that needs no health check or has sent
+// admitAfterAnnouncements announcements. It reports whether the target was admitted by this
+// call.
 func (t *Targets) admit(x *target) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,15 +152,15 @@
 	return svc.Health
 }
 
-// awaitHealthy asks a target that this process has not known before whether it is
-// well, until it is or has left.
+// awaitHealthy repeats the health check of a target that is new to this process until the check
+// succeeds or the target drains or is gone.
 //
-// A process that was restarted beside a target which is leaving knows nothing
-// of that. A late announcement could tell it that the target is up, and it
-// would send new work to it. The target's own answer is of the moment.
+// A node process that was restarted while a target drains does not know that it drains, and a
+// late announcement could present the target as up. The health check shows the target's present
+// state.
 //
-// Before the node has a configuration no call passes: the calls that a run makes
-// come to this very node, and would all be refused.
+// Before the node has a configuration no call passes: a target's own outgoing calls go through
+// this node, which would refuse all of them.
 func (t *Targets) awaitHealthy(x *target) {
 	select {
 	case <-t.done:
@@ -191,7 +194,7 @@
 	}
 }
 
-// checkHealth asks a target once.
+// checkHealth sends one health check and reports whether it succeeded.
 func (t *Targets) checkHealth(x *target) bool {
 	t.mu.Lock()
 	path := t.healthPath(x.service)
@@ -214,17 +217,16 @@
 		return false
 	}
 	t.observeHealth(x, res.Header, sent)
-	_ = relay.Whole(res, maxAnnouncement)
+	_ = relay.Whole(res, maxAnnouncementBytes)
 	t.deps.Log.Emit(event.TargetState, event.Fields{event.Subject: x.addr, "id": id, "health": res.StatusCode})
 	return res.StatusCode == http.StatusOK
 }
 
-// Deregister takes a target's word that it leaves for good.
+// Deregister removes the target with an ID, which has said that it stops.
 //
-// This process may have been started so lately that it hasn't heard of the target
-// before. An announcement that was held up would then seem to be a new target's,
-// and bring work to one that has left. When the target began is not known here,
-// but it was before now.
+// A node process that has just started may not know the target yet. A delayed announcement would
+// then look like one of a new target and bring calls to a process that has stopped. The start
+// time of that process is not known here, but it is before now.
 func (t *Targets) Deregister(id string) {
 	if id == "" {
 		return
--- a/briarrockd/target/bodies.go
+++ b/briarrockd/target/bodies.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// How the bodies of requests share the host's link.
+// Limits of the bandwidth that request bodies share on the host's link.
 const (
-	// longBodyBytes is the length in bytes from which on a body counts. Shorter ones
-	// are sent along with their heads and take a slow link some 20 ms.
+	// longBodyBytes is the length above which a body counts towards the limit. Shorter bodies
+	// are sent along with their heads and occupy a slow link for about 20 ms.
 	longBodyBytes = 16 << 10
-	// unknownBodyBytes stands for a length that is not known, in bytes.
+	// unknownBodyBytes is assumed for a body of unknown length.
 	unknownBodyBytes = 64 << 10
-	// minBodyBandwidth is the share of the link, in bytes a second, that each long
-	// body under way is to get: 60 KB then come in within 150 ms.
+	// minBodyBandwidth is the bandwidth in bytes a second that each long body in transit should
+	// get: 60 KB are then received within 150 ms.
 	minBodyBandwidth = 400 << 10
-	// minConcurrentBodies is how many may be under way in any case. One alone leaves the
-	// least before the short calls that share the link; that it rests for the way
-	// there and back between two costs less.
+	// minConcurrentBodies is the number of long bodies that may always be in transit. A single
+	// body delays the short calls on the same link least. The link is then idle for a round trip
+	// between two bodies, which costs less.
 	minConcurrentBodies = 1
 	// usageWindow is the time over which the use of the link is averaged.
 	usageWindow = time.Second
 )
 
-// bodyLimiter bounds how many long bodyLimiter come in at once.
+// bodyLimiter limits how many long request bodies the host receives at once.
 //
-// A small host's link takes a tenth of a second for one upload. If all that come
-// are let in together they fill the queues in front of the link, and everything
-// else that the host has to receive stands behind them for seconds: short calls,
-// answers to the calls of its own target, heartbeats of its peers. Nothing
-// of it fails by itself; it is all late. With few at a time the rest wait where
-// they came in, without a byte on the way, and what is short passes.
+// The link of a small host needs a tenth of a second for one upload. If all uploads are admitted
+// at once, they fill the queues in front of the link, and everything else that the host receives
+// waits behind them for seconds: short calls, answers to its own target's calls, and heartbeats
+// of its peers. Nothing fails then, but everything is late. With few uploads at a time, the
+// others wait at the node that received them from the caller, without a byte in transit, and
+// short messages pass.
 type bodyLimiter struct {
 	bandwidth float64          // bytes a second; 0 for no bound
-	inFlight  map[CallID]int64 // bytes of those under way
-	// usage is the average use of the link by long bodies at flowAt, in bytes a
+	inFlight  map[CallID]int64 // lengths of the bodies in transit
+	// usage is the moving average of the bandwidth that long bodies used, at usageAt, in bytes a
 	// second.
 	usage   float64
 	usageAt time.Time
@@ -48,10 +48,10 @@
 	return a.BodyBytes
 }
 
-// limit is how many long bodies may come in at once.
+// limit returns how many long bodies may be in transit at once.
 func (b *bodyLimiter) limit() int { return max(minConcurrentBodies, int(b.bandwidth/minBodyBandwidth)) }
 
-// admits tells whether a call's body may come in now.
+// admits reports whether a call's body may be sent now.
 func (b *bodyLimiter) admits(a *Arrival) bool { return !b.isLong(a) || len(b.inFlight) < b.limit() }
 
 func (b *bodyLimiter) start(now time.Time, a *Arrival) {
@@ -72,7 +72,8 @@
 	return b.usage / (1 + now.Sub(b.usageAt).Seconds()/usageWindow.Seconds())
 }
 
-// wait is how long a body behind so many bytes of queued ones waits.
+// wait returns the time that a body waits for the bodies in transit and for queued bytes before
+// it.
 func (b *bodyLimiter) wait(queued int64) time.Duration {
 	for _, n := range b.inFlight {
 		queued += n
@@ -80,8 +81,7 @@
 	return time.Duration(float64(queued) / b.bandwidth * float64(time.Second))
 }
 
-// load is how taken the link is: 1 when it is used all the time, more when
-// bodies wait for it.
+// load returns the utilization of the link: 1 if it is always in use, more if bodies are queued.
 func (b *bodyLimiter) load(now time.Time, queued int64) float64 {
 	if b.bandwidth <= 0 {
 		return 0
--- a/briarrockd/target/driver.go
+++ b/briarrockd/target/driver.go
@@ -7,7 +7,7 @@
 	"briarrock.example/mesh/kind"
 )
 
-// step gives the gate a message and hands out what it decides.
+// step passes a message to the gate and delivers the gate's decisions to the waiting calls.
 func (x *target) step(m Msg) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -33,7 +33,8 @@
 	}
 }
 
-// setTimer wakes the gate when a queued call's deadline passes or its turn comes.
+// setTimer schedules the gate's next Tick: when a queued call's deadline or aim passes, or when
+// the rate limit lets the next call start.
 func (x *target) setTimer() {
 	at := x.gate.NextTick()
 	if at.IsZero() {
@@ -50,7 +51,8 @@
 	x.timer.Reset(d)
 }
 
-// acquire waits until the gate lets a call run or refuses it.
+// acquire waits until the gate starts a call or refuses it. The returned Refuse has kind.None if
+// the call was started.
 func (x *target) acquire(ctx context.Context, a Arrival) (CallID, Refuse) {
 	ch := make(chan Cmd, 1)
 	x.mu.Lock()
--- a/briarrockd/target/far.go
+++ b/briarrockd/target/far.go
@@ -1,16 +1,15 @@
 package target
 
-// crossRegionFreeDivisor is the part of the slots, as 1/crossRegionFreeDivisor, that calls from other regions
-// leave free: the own region's load goes up and down within moments.
+// crossRegionFreeDivisor is the part of the slots, as 1/crossRegionFreeDivisor, that calls from
+// other regions leave free, since the load from the host's own region varies within moments.
 const crossRegionFreeDivisor = 8
 
-// admitsCrossRegion tells whether a call from another region may have a slot, as far as that
-// is a matter of room.
+// admitsCrossRegion reports whether enough slots are free for a call from another region.
 //
-// Where both regions are short of room, calls that cross take a slot from a call
-// that need not, hold it longer and load the link between the regions, and
-// nobody is served who would not have been. So a call from afar gets room that
-// the own region has no use for, or that it would leave to less urgent work.
+// If both regions are short of slots, a call from another region takes a slot from a local call,
+// holds it longer and loads the link between the regions, and no more calls are served in total.
+// So such a call gets only a slot that the own region does not use, or would use only for less
+// urgent calls.
 func (g *Gate) admitsCrossRegion(m *Arrival) bool {
 	return g.freeSlots(m)-len(g.queue) > g.concurrencyLimit()/crossRegionFreeDivisor
 }
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -7,15 +7,15 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// Gate decides which calls a target runs, and when. It is the only place that
-// counts the target's slots, since all of the target's work passes its node.
+// Gate is the admission control of one target: it decides which calls run, and when. It is the
+// only place that counts the target's slots, since all calls to the target pass through its
+// node.
 //
-// Calls beyond the limit wait in a short queue, the more urgent first and
-// within the same urgency the callers in turn. A call that could not be
-// started before its deadline is refused at once: its caller learns it while
-// there is still time to go elsewhere.
+// Calls beyond the concurrency limit wait in a short queue, ordered by priority and, within a
+// priority, fairly between callers. A call that could not be started before its deadline is
+// refused at once, while its caller still has time to try another target.
 //
-// Gate is a step function without I/O and clock; driver.go runs it.
+// Gate is a step function without I/O and without a clock; driver.go runs it.
 type Gate struct {
 	slots    int
 	queueMax int
@@ -28,20 +28,19 @@
 
 	running map[CallID]snapshot.Priority
 	queue   []queuedCall
-	// startedByCaller counts the calls that each queued caller has had started, so that
-	// callers with many calls wait for those with few.
+	// startedByCaller counts the calls that were started for each caller since the queue was
+	// last empty. Callers with few started calls go first.
 	startedByCaller map[string]int
 	cmds            []Cmd
 	now             time.Time
-	// shedAt is when the target last refused work.
+	// shedAt is when the target last refused a call itself.
 	shedAt time.Time
 }
 
-// minRetryAfter is the least time after which asking again is worth it. Right
-// after a refusal the same slots are still taken; callers who came back at once
-// would only be refused again, and keep the gate busy with it. What waits is no
-// reason to come later: it is run in the order of the aims, and a caller who
-// comes back late can only be answered late.
+// minRetryAfter is the least time after a refusal at which a retry is useful. Right after a
+// refusal the same slots are still in use, and callers that retried at once would only be
+// refused again and keep the gate busy. Queued calls are no reason for a later retry: calls run
+// in the order of their aims, and a caller that retries late can only be answered late.
 const minRetryAfter = 50 * time.Millisecond
 
 // NewGate returns a gate with the given limits.
@@ -51,7 +50,7 @@
 	return g
 }
 
-// Step takes what happened at now and returns what was decided.
+// Step processes the message m that arrived at now and returns the gate's decisions.
 func (g *Gate) Step(now time.Time, m Msg) []Cmd {
 	g.now = now
 	g.cmds = nil
@@ -77,10 +76,11 @@
 	return g.cmds
 }
 
-// Load is how taken the gate is at now: 1 when every slot runs and nothing waits.
+// Load returns the utilization of the target at now: 1 if every slot is in use and no call is
+// queued.
 //
-// Rejections are fast, so a target that sheds would look idle and attract more load:
-// for a while after one it counts as taken.
+// Refusals are fast, so a target that sheds load would look idle and attract more calls. Its
+// load is therefore raised by shedLoad for shedWindow after a refusal.
 func (g *Gate) Load(now time.Time) float64 {
 	load := float64(len(g.running)+len(g.queue)) / float64(g.concurrencyLimit())
 	load = max(load, g.bodies.load(now, g.queuedBytes(nil)), g.pacer.load(now))
@@ -90,19 +90,19 @@
 	return load
 }
 
-// How long and by how much a target counts as taken after it refused work.
+// shedLoad is added to the load of a target for shedWindow after it refused a call.
 const (
 	shedWindow = time.Second
 	shedLoad   = 3
 )
 
-// Running is how many calls run now.
+// Running returns the number of calls that run.
 func (g *Gate) Running() int { return len(g.running) }
 
-// Queued is how many calls wait now.
+// Queued returns the number of queued calls.
 func (g *Gate) Queued() int { return len(g.queue) }
 
-// ConcurrencyLimit is how many calls may run at once now.
+// ConcurrencyLimit returns how many calls may run at once now.
 func (g *Gate) ConcurrencyLimit() int { return g.concurrencyLimit() }
 
 func (g *Gate) concurrencyLimit() int { return max(1, min(g.slots, g.limit.value())) }
@@ -118,8 +118,7 @@
 
 func (g *Gate) refuse(id CallID, k kind.Kind) { g.refuseWithRetry(id, k, 0) }
 
-// refuseWithRetry refuses a call that is not worth asking for again before wait is over;
-// 0 if nobody knows.
+// refuseWithRetry refuses a call whose caller may retry after wait; 0 if unknown.
 func (g *Gate) refuseWithRetry(id CallID, k kind.Kind, wait time.Duration) {
 	r := Refuse{ID: id, Kind: k, RetryAfter: wait}
 	if wait > 0 {
@@ -128,7 +127,8 @@
 	g.cmds = append(g.cmds, r)
 }
 
-// shortageKind is the kind of room that a call is refused for now.
+// shortageKind returns the resource that a call is refused for now: the target's rate or its
+// slots.
 func (g *Gate) shortageKind() kind.Kind {
 	if !g.pacer.ready(g.now) {
 		return kind.Rate
@@ -136,7 +136,7 @@
 	return kind.Full
 }
 
-// rejectForCapacity refuses a call for want of room.
+// rejectForCapacity refuses a call for lack of capacity.
 func (g *Gate) rejectForCapacity(a *Arrival, k kind.Kind) {
 	if !a.CrossRegion {
 		g.overload.recordRefused(g.now, a.Priority)
@@ -144,9 +144,9 @@
 	g.refuseWithRetry(a.ID, k, g.retryAfter(a))
 }
 
-// retryAfter is when a call that is refused for want of room is worth asking for retryAfter. The
-// more calls are refused, the more of the time in which it could still be answered
-// within its aim is used: callers who return at once meet the same overload.
+// retryAfter returns when a retry is useful for a call that is refused for lack of capacity. It
+// grows with the share of refused calls, up to all of the call's slack: callers that retry at
+// once meet the same overload.
 func (g *Gate) retryAfter(a *Arrival) time.Duration {
 	wait := max(g.slotWait(0, snapshot.MostUrgent), minRetryAfter, g.pacer.retryAfter(g.now, len(g.queue)))
 	if a.Aim.IsZero() {
@@ -156,11 +156,11 @@
 	return max(wait, time.Duration(float64(g.overload.refusedShare[a.Priority])*left))
 }
 
-// MeanDuration is how long a call takes as a rule; 0 before any has ended.
+// MeanDuration returns the mean duration of the target's calls; 0 before the first has ended.
 func (g *Gate) MeanDuration() time.Duration { return g.limit.durations.mean }
 
-// slotWait is how long a call behind n others is expected to be queued. The more
-// urgent calls that are still to come go before it too.
+// slotWait returns the expected time until a slot is free for a call behind n others. Slots that
+// more urgent calls usually hold don't count, since those that arrive later go before it too.
 func (g *Gate) slotWait(n int, priority snapshot.Priority) time.Duration {
 	left := max(1, float64(g.concurrencyLimit())-g.reserve.meanHigherPriority(priority))
 	return time.Duration(float64(g.limit.durations.overall()) * float64(n+1) / left)
@@ -185,7 +185,7 @@
 		g.rejectForCapacity(&m, g.shortageKind())
 		return
 	case g.canStart(&m):
-		// What is queued then waits for the link, and not for a slot.
+		// A slot is free, so calls that are already queued wait for the link and not for a slot.
 		g.overload.recordDecision(m.Priority, false)
 		g.queue = append(g.queue, queuedCall{m, g.now})
 		return
@@ -207,12 +207,13 @@
 	g.queue = append(g.queue, queuedCall{m, g.now})
 }
 
-// canStart tells whether a call can be started now.
+// canStart reports whether a call can be started now.
 func (g *Gate) canStart(a *Arrival) bool {
 	return g.freeSlots(a) > 0 && g.bodies.admits(a) && g.pacer.ready(g.now)
 }
 
-// freeSlots is how many slots a call may choose from.
+// freeSlots returns how many slots are free for a call, without those reserved for more urgent
+// calls.
 func (g *Gate) freeSlots(a *Arrival) int {
 	return g.concurrencyLimit() - len(g.running) - g.reserve.reservedSlots(a.Priority, g.limit.durations.ofRoute(a.Route))
 }
@@ -243,7 +244,7 @@
 	g.queue = nil
 }
 
-// startQueued lets queued calls run while there are slots.
+// startQueued starts queued calls while slots are free.
 func (g *Gate) startQueued() {
 	for len(g.running) < g.concurrencyLimit() {
 		i := g.nextStartable()
--- a/briarrockd/target/limiter.go
+++ b/briarrockd/target/limiter.go
@@ -2,66 +2,67 @@
 
 import "time"
 
-// How the limit follows what the target can really do.
+// Parameters by which the concurrency limit follows the target's real capacity.
 const (
-	// decreaseFactor is the factor by which refusals and failures lower the limit.
+	// decreaseFactor is the factor by which refusals and slow calls lower the limit.
 	decreaseFactor = 0.7
-	// minDecreaseInterval is the least time between two such steps: one burst of
-	// refusals is one signal.
+	// minDecreaseInterval is the least time between two decreases: one burst of refusals is one
+	// signal.
 	minDecreaseInterval = 200 * time.Millisecond
-	// minLimitShareShed is the part of the slots below which the limit does not go. A
-	// target that refuses or fails at random, at any load, would otherwise lose
-	// nearly all of its capacity, and with it that of its whole service.
+	// minLimitShareShed is the share of the slots below which refusals don't lower the limit. A
+	// target that refuses or fails calls at random, at any load, would otherwise lose nearly all
+	// of its capacity, and its whole service with it.
 	minLimitShareShed = 0.4
-	// minLimitShareSlow is that part where calls have only become slow: that may be the
-	// work's own doing, and fewer slots would then make it no faster.
+	// minLimitShareSlow is that share where calls have only become slow: the cause may be the
+	// work itself, which fewer slots would not make faster.
 	minLimitShareSlow = 0.75
-	// maxSlowdown is how many times its duration at low load the mean duration
-	// must reach, at a full limit, for the limit to go down: an announced
-	// number of slots that is too high shows as calls that slow each other.
+	// maxSlowdown is the ratio of a call's mean duration to its mean duration at low load above
+	// which the limit goes down, if it is reached. If a target announces more slots than it has,
+	// its calls slow each other down.
 	maxSlowdown = 4
-	// recoveryDelay is how long after a step down calls that end well raise the
-	// limit also where it is not reached: calls that come only where there is room,
-	// as those from other regions, would find none for good.
+	// recoveryDelay is the time after a decrease from which on successful calls raise the limit
+	// even if it is not reached. Calls that are only sent where slots are free, such as those
+	// from other regions, would otherwise never find one again.
 	recoveryDelay = time.Second
-	// lowLoadShare is the part of the limit up to which load counts as low.
+	// lowLoadShare is the share of the limit up to which load counts as low.
 	lowLoadShare = 0.5
-	// shedWeight is the weight of the newest call in the shares that are shed, and
-	// shedByLoad how many times as many must be shed at high load as at low load for
-	// the load to be taken for the cause.
+	// shedWeight is the weight of the newest call in the shares of shed calls. Load counts as
+	// the cause of shedding if the share at high load is at least minShedRatio times the share
+	// at low load.
 	shedWeight   = 0.05
 	minShedRatio = 2
-	// minShedLowLoad is the share that must be shed at low load for it to count.
+	// minShedLowLoad is the share of calls shed at low load below which load always counts as
+	// the cause.
 	minShedLowLoad = 0.2
-	// slownessWeight is the weight of the newest call in the slowness.
+	// slownessWeight is the weight of the newest call in the mean slowness.
 	slownessWeight = 0.1
 )
 
-// limiter is a concurrency limit between a part of the announced slots and
-// all of them. It goes up by about one for each round of calls that end well at
-// a full limit, or some time after the last trouble, and down by a factor when the
-// target refuses or slows down.
+// limiter is an adaptive concurrency limit between a share of the announced slots and all of
+// them. It increases by about one for each round of calls that succeed while the limit is
+// reached, or recoveryDelay after the last decrease. It decreases by decreaseFactor when the
+// target sheds load or slows down.
 type limiter struct {
 	limit     float64
 	durations callDurations
-	// slowness is how many times their usual duration at low load the last few
-	// calls took; 0 if not known.
+	// slowness is the moving average of a call's duration divided by its route's mean duration
+	// at low load; 0 if unknown.
 	slowness    float64
 	decreasedAt time.Time
-	// shedLowLoad and shedHighLoad are the shares of the calls that the target refuses by
-	// itself at low and at high load.
+	// shedLowLoad and shedHighLoad are the shares of calls that the target itself refuses at low
+	// and at high load.
 	shedLowLoad, shedHighLoad movingShare
 }
 
-// reset begins anew with all slots. A target that has just started and is slow
-// for a while gets all of them as well: it has as many as ever, and after a
-// restart of a whole service there is no other one to wait for.
+// reset sets the limit to all slots. That includes a target that has just started and is slow
+// for a while: it has as many slots as ever, and after the restart of a whole service there is
+// no other target to wait for.
 func (l *limiter) reset(slots int) { l.limit = float64(slots) }
 
 func (l *limiter) value() int { return int(l.limit) }
 
-// observe takes the end of a call. running counts the calls that ran, that one
-// included.
+// observe records the end of a call and adjusts the limit. running is the number of calls that
+// ran, including this one.
 func (l *limiter) observe(now time.Time, m Completed, running, slots int) {
 	full := running >= l.value()
 	l.observeShed(m.Shed, float64(running) <= lowLoadShare*float64(slots))
@@ -86,8 +87,8 @@
 	}
 }
 
-// observeShed notes whether the target refused a call. One that refuses as many at low
-// load does so for another reason, and a lower limit would only cost room.
+// observeShed records whether the target refused a call. If it refuses as many calls at low
+// load, load is not the cause, and a lower limit would only cost capacity.
 func (l *limiter) observeShed(shed, lowLoad bool) {
 	if lowLoad {
 		l.shedLowLoad.observe(shed, shedWeight)
@@ -96,7 +97,7 @@
 	l.shedHighLoad.observe(shed, shedWeight)
 }
 
-// decrease takes the limit down by a step, though not below a floor.
+// decrease lowers the limit by decreaseFactor, but not below floor.
 func (l *limiter) decrease(now time.Time, floor float64) {
 	if now.Sub(l.decreasedAt) < minDecreaseInterval {
 		return
--- a/briarrockd/target/message.go
+++ b/briarrockd/target/message.go
@@ -7,64 +7,66 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// CallID names one call at one gate.
+// CallID identifies a call at one gate.
 type CallID uint64
 
-// Msg is something that happened at a gate.
+// Msg is an event that the gate processes.
 type Msg interface{ msg() }
 
-// Arrival is a call that wants to be run.
+// Arrival is the arrival of a call to be run.
 type Arrival struct {
 	ID       CallID
 	Caller   string
 	Priority snapshot.Priority
-	// Route names the route that the call came by, empty if nobody says: calls
-	// of one route take about the same time.
+	// Route is the name of the call's route, empty if unknown. Calls of one route take about the
+	// same time.
 	Route    string
 	Deadline time.Time
-	// Aim is when the answer loses most of its worth; zero if nobody says.
+	// Aim is the call's latency objective as a point in time: an answer after it has lost most
+	// of its value. Zero if the call has none.
 	Aim time.Time
 	// CrossRegion is set for a call from another region.
 	CrossRegion bool
-	// BodyBytes is the length of the request's body in bytes, -1 if not known.
+	// BodyBytes is the length of the request's body, -1 if unknown.
 	BodyBytes int64
 }
 
-// Canceled is a call whose caller went away while it was queued.
+// Canceled reports that the caller of a queued call has disconnected.
 type Canceled struct{ ID CallID }
 
-// BodyReceived says that the body of a call that was started has come in.
+// BodyReceived reports that the body of a started call has been received.
 type BodyReceived struct{ ID CallID }
 
-// Completed is a call that was started and is now at its end.
+// Completed reports the end of a call that was started.
 type Completed struct {
 	ID CallID
-	// Route is that of the call.
+	// Route is the name of the call's route.
 	Route string
-	// Duration is the time that the target took.
+	// Duration is the time that the target took to answer.
 	Duration time.Duration
-	// Shed is set when the target refused it for load.
+	// Shed is set if the target refused the call because of its load.
 	Shed bool
-	// Failed is set when the target broke off, was late or failed: the time that
-	// it took says nothing of how long work takes.
+	// Failed is set if the call broke off, was late or failed: its duration then says nothing
+	// about how long calls take.
 	Failed bool
 }
 
-// Limits sets what the target and the operator allow.
+// Limits are the limits that the target announces and the operator configures.
 type Limits struct {
 	Slots int
 	Queue int
-	// LinkBandwidth is the bandwidth of the host's link in bytes a second; 0 if not known.
+	// LinkBandwidth is the bandwidth of the host's link in bytes a second; 0 if unknown.
 	LinkBandwidth float64
 }
 
-// Throttle bounds the calls that start in a second to what the target takes.
+// Throttle limits the calls started in a second to the target's rate.
 type Throttle struct{ Rate Rate }
 
-// Drain says that the target leaves: what runs may end, nothing else starts.
+// Drain turns draining on or off: while it is on, running calls may end and no other call
+// starts.
 type Drain struct{ On bool }
 
-// Tick says that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (Arrival) msg()      {}
@@ -76,14 +78,14 @@
 func (Drain) msg()        {}
 func (Tick) msg()         {}
 
-// Cmd is what a gate decides.
+// Cmd is a decision of the gate.
 type Cmd interface{ cmd() }
 
-// Start lets a call run.
+// Start starts a call.
 type Start struct{ ID CallID }
 
-// Refuse turns a call away. After is the number of seconds until it is worth
-// asking again, and Wait the same more finely; 0 if nobody knows.
+// Refuse refuses a call. RetryAfter is the time until a retry is useful, and RetryAfterSeconds
+// the same in whole seconds; 0 if unknown.
 type Refuse struct {
 	ID                CallID
 	Kind              kind.Kind
--- a/briarrockd/target/nested.go
+++ b/briarrockd/target/nested.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// IsRunning tells whether a target of this host runs a call of the given name now.
+// IsRunning reports whether a target of this host is running a call with the given trace ID.
 func (t *Targets) IsRunning(trace string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -23,12 +23,12 @@
 	}
 }
 
-// traceSeparator stands between the name of a call and that of one which its run
-// makes.
+// traceSeparator separates the trace ID of a call from the suffix that names an outgoing call of
+// its run.
 const traceSeparator = "."
 
-// ParentTrace returns the name of the call whose run made the one of the given name; false
-// if the name says that no run did.
+// ParentTrace returns the trace ID of the call whose run made the call with the given trace ID,
+// and false if that ID is not one of an outgoing call of a run.
 func ParentTrace(trace string) (string, bool) {
 	i := strings.LastIndex(trace, traceSeparator)
 	if i <= 0 {
--- a/briarrockd/target/notice.go
+++ b/briarrockd/target/notice.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// HeaderNotice carries what targets have told of themselves between nodes, a value each:
-// from a target's node in its answers, and from the callers' nodes that have passed such
-// answers on back to it in their requests. So the knowledge reaches a node that replaces
-// the target's before any request that it binds.
+// HeaderNotice carries the rates and drain states that targets have reported in their answers,
+// one Notice for each value. The target's node sends them in its answers, and the nodes of the
+// callers send them back to it in their requests. A node process that replaces the target's node
+// thus learns them with the first request that they apply to.
 const HeaderNotice = "Briarrock-Notice"
 
-// maxNotices bounds the notices in one head.
+// maxNotices bounds the notices in one header.
 const maxNotices = maxTargets
 
-// Notice is what one process of a target has told of itself in its answers.
+// Notice is the state that one process of a target has reported in its answers.
 type Notice struct {
-	// Process names the target's process.
+	// Process identifies the target's process.
 	Process string
-	// Rate is what it takes.
+	// Rate is the rate limit that it advertises.
 	Rate Rate
-	// Leaving is set once it is about to stop. No process takes that back.
+	// Leaving is set once the process is about to stop. A process never takes that back.
 	Leaving bool
-	// At is when that was told last; zero if this is not known.
+	// At is when the rate was last reported; zero if unknown.
 	At time.Time
 }
 
-// The fields of a notice on the wire.
+// Fields of a notice on the wire.
 const (
 	noticeProcess = "process"
 	noticeRate    = "rate"
@@ -36,7 +36,7 @@
 	noticeAge     = "age" // milliseconds
 )
 
-// WriteNotices adds notices to a head.
+// WriteNotices adds notices to the headers of a request or answer.
 func WriteNotices(h http.Header, now time.Time, list ...Notice) {
 	for _, n := range list {
 		v := url.Values{noticeProcess: {n.Process}}
@@ -53,7 +53,7 @@
 	}
 }
 
-// ReadNotices returns the notices in a head. Malformed ones are left out.
+// ReadNotices returns the notices in the headers of a request or answer, without malformed ones.
 func ReadNotices(h http.Header, now time.Time) []Notice {
 	var list []Notice
 	for _, text := range h[HeaderNotice] {
@@ -85,5 +85,5 @@
 	return n, true
 }
 
-// maxAge bounds the age of a notice, against overflow.
+// maxAge bounds the age of a notice, to prevent an overflow.
 const maxAge = 10 * 365 * 24 * time.Hour
--- a/briarrockd/target/observe.go
+++ b/briarrockd/target/observe.go
@@ -8,24 +8,25 @@
 	"briarrock.example/mesh/event"
 )
 
-// Headers by which a target tells of itself in its answers.
+// Headers in which a target reports its state in its answers.
 const (
-	// HeaderRate names the requests a second that it takes from all callers together;
-	// without it there is no bound.
+	// HeaderRate is the rate limit that the target advertises, in requests a second from all
+	// callers together. Without it there is no limit.
 	HeaderRate = "Briarrock-Rate"
-	// HeaderLeaving is set once it is about to stop.
+	// HeaderLeaving is set once the target is about to stop.
 	HeaderLeaving = "Briarrock-Leaving"
 )
 
-// observeAnswer takes what a target tells of itself in the head of an answer to a request
-// that was sent at sent.
+// observeAnswer applies the state that a target reports in the headers of its answer to a
+// request sent at sent.
 func (t *Targets) observeAnswer(x *target, h http.Header, sent time.Time) {
 	t.observeRate(x, h, sent)
 	t.observeLeaving(x, h, "answer")
 }
 
-// observeHealth takes what a target tells in the answer to a health check. One that names
-// no rate ends none: only answers to requests are known to name it.
+// observeHealth applies the state that a target reports in its answer to a health check. An
+// answer without a rate does not end the rate limit: only answers to requests are known to carry
+// one.
 func (t *Targets) observeHealth(x *target, h http.Header, sent time.Time) {
 	if h.Get(HeaderRate) != "" {
 		t.observeRate(x, h, sent)
@@ -40,7 +41,7 @@
 	}
 	leaving, err := strconv.ParseBool(text)
 	if err != nil {
-		t.deps.Log.Emit(event.AnswerBad, event.Fields{event.Subject: x.addr, "service": x.service, "leaving": text, "reason": "neither true nor false"})
+		t.deps.Log.Emit(event.AnswerBad, event.Fields{event.Subject: x.addr, "service": x.service, "leaving": text, "reason": "not a boolean"})
 		return
 	}
 	if leaving {
@@ -48,8 +49,8 @@
 	}
 }
 
-// markLeaving ends new calls to a target that is about to stop. Within one process that is final,
-// whatever announcements were under way.
+// markLeaving ends new calls to a target that is about to stop. A process never leaves that
+// state, even if announcements that were sent earlier arrive afterwards.
 func (t *Targets) markLeaving(x *target, source string) {
 	if x.leaving.Swap(true) {
 		return
@@ -76,7 +77,8 @@
 	t.setRate(x, "answer", func(n *advertisedRate) { n.updateFromAnswer(sent, time.Now(), r) })
 }
 
-// setRate changes what is known of a target's rate, and bounds its calls by that.
+// setRate applies a change to the rate that a target advertises, and to its gate if the rate
+// differs.
 func (t *Targets) setRate(x *target, source string, change func(*advertisedRate)) {
 	x.mu.Lock()
 	old := x.advertised
@@ -102,8 +104,8 @@
 	t.deps.Log.Emit(event.TargetRate, f)
 }
 
-// applyReports takes what a caller's node reports of this host's targets. A process that was
-// started beside a target knows nothing of what that has said before.
+// applyReports applies the notices that a caller's node sent about this host's targets. A node
+// process that was started after a target does not know what the target has reported before.
 func (t *Targets) applyReports(reports []Notice) {
 	if len(reports) == 0 {
 		return
@@ -121,7 +123,8 @@
 	}
 }
 
-// notice is what this node reports of a target; false if that has told nothing.
+// notice returns the state that this node reports of a target, and false if the target has
+// reported nothing.
 func (x *target) notice() (Notice, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -129,7 +132,7 @@
 	return n, x.advertised.known || n.Leaving
 }
 
-// countRateLimited is how many targets of this host name a rate now.
+// countRateLimited returns the number of targets of this host that advertise a rate.
 func (t *Targets) countRateLimited() int {
 	n := 0
 	for _, x := range t.list() {
@@ -140,8 +143,8 @@
 	return n
 }
 
-// addRateFields adds the rate in force to the fields of a call's line, with how many calls it
-// lets start now and how long ago an answer named it.
+// addRateFields adds the rate in force to the fields of a call's log line, with the number of
+// calls that it lets start now (tokens) and the age of the rate in milliseconds (rateage).
 func (x *target) addRateFields(f event.Fields) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/briarrockd/target/overload.go
+++ b/briarrockd/target/overload.go
@@ -7,36 +7,38 @@
 )
 
 const (
-	// overloadWindow is how long after the refusal of a call the own region counts
-	// as short of room.
+	// overloadWindow is how long the host's own region counts as overloaded after a call of it
+	// was refused.
 	overloadWindow = 500 * time.Millisecond
-	// lowerPriorityWindow is how long after the start of a less urgent call there counts as
-	// being more of its kind: the more urgent ones get those slots first.
+	// lowerPriorityWindow is how long after the start of a lower-priority call more such calls
+	// are assumed to follow. Calls of higher priority get the next slots before them.
 	lowerPriorityWindow = 500 * time.Millisecond
-	// rejectWeight is the weight of the newest call in the share that is refused,
-	// so that the share tells of the last twenty calls.
+	// rejectWeight is the weight of the newest call in the share of refused calls, which then
+	// covers about the last twenty calls.
 	rejectWeight = 0.05
-	// maxRejectShare is the share of refused calls from which on nothing queues
-	// beyond minQueue.
+	// maxRejectShare is the share of refused calls from which on no call queues beyond
+	// minQueueLen.
 	maxRejectShare = 0.15
 )
 
-// overload is how short of room a gate is for calls of each priority.
+// overload records how overloaded a gate is for calls of each priority.
 type overload struct {
-	// refusedAt is when calls of the own region were last refused.
+	// refusedAt is when a call of the host's own region was last refused.
 	refusedAt [snapshot.MostUrgent + 1]time.Time
-	// refusedShare is the part of the last calls that found no room.
+	// refusedShare is the moving share of calls that were refused on arrival for lack of
+	// capacity.
 	refusedShare [snapshot.MostUrgent + 1]movingShare
 	// startedAt is when a call was last started.
 	startedAt [snapshot.MostUrgent + 1]time.Time
 }
 
-// recordRefused notes that a call of the own region was recordRefused.
+// recordRefused records the refusal of a call of the host's own region.
 func (p *overload) recordRefused(now time.Time, priority snapshot.Priority) {
 	p.refusedAt[min(priority, snapshot.MostUrgent)] = now
 }
 
-// isOverloaded tells whether calls of at least a priority were refused a moment ago.
+// isOverloaded reports whether a call of at least this priority was refused within
+// overloadWindow.
 func (p *overload) isOverloaded(now time.Time, priority snapshot.Priority) bool {
 	for _, at := range p.refusedAt[min(priority, snapshot.MostUrgent):] {
 		if !at.IsZero() && now.Sub(at) < overloadWindow {
@@ -46,28 +48,28 @@
 	return false
 }
 
-// recordDecision counts a call as let in or refused.
+// recordDecision records whether a call was refused or admitted on arrival.
 func (p *overload) recordDecision(priority snapshot.Priority, refused bool) {
 	p.refusedShare[min(priority, snapshot.MostUrgent)].observe(refused, rejectWeight)
 }
 
-// recordStarted notes that a call was recordStarted.
+// recordStarted records the start of a call.
 func (p *overload) recordStarted(now time.Time, priority snapshot.Priority) {
 	p.startedAt[min(priority, snapshot.MostUrgent)] = now
 }
 
-// maxWaitShare is the part of its spare time that a call may spend in the queue.
+// maxWaitShare returns the share of its slack that a call may spend in the queue, from 0 to 1.
 //
-// A queue bridges the moments in which calls come faster than slots come free.
-// Where they do so all the time it is never empty, and every call waits in it
-// for nothing: as many are done as without. So the more calls are refused, the
-// less of its time a call may spend waiting, and the rest is told at once.
+// A queue bridges the moments in which calls arrive faster than slots become free. If they
+// always do, the queue is never empty and every call waits in it without benefit: throughput is
+// the same without a queue. So the larger the share of refused calls, the shorter a call may
+// wait; the others are refused at once.
 func (p *overload) maxWaitShare(priority snapshot.Priority) float64 {
 	return max(0, 1-float64(p.refusedShare[min(priority, snapshot.MostUrgent)])/maxRejectShare)
 }
 
-// lowerPriorityStarted tells whether less urgent calls are still started. Then it is not calls of
-// this priority that there are too many of: the next slots are theirs.
+// lowerPriorityStarted reports whether lower-priority calls are still being started. The
+// overload is then not caused by calls of this priority, and they get the next slots.
 func (p *overload) lowerPriorityStarted(now time.Time, priority snapshot.Priority) bool {
 	for _, at := range p.startedAt[:min(priority, snapshot.MostUrgent)] {
 		if !at.IsZero() && now.Sub(at) < lowerPriorityWindow {
@@ -77,10 +79,10 @@
 	return false
 }
 
-// movingShare is a moving movingShare of the events of which something holds.
+// movingShare is the exponentially weighted share of events that satisfy a condition.
 type movingShare float64
 
-// observe counts an event by weight.
+// observe adds an event with a weight.
 func (s *movingShare) observe(holds bool, weight float64) {
 	x := 0.0
 	if holds {
--- a/briarrockd/target/pacer.go
+++ b/briarrockd/target/pacer.go
@@ -9,26 +9,27 @@
 const (
 	// burstWindow is the time whose requests may be started at once after a pause.
 	burstWindow = 500 * time.Millisecond
-	// minRate and maxRate bound the rate, in requests a second, that is kept to. Only an
-	// answer can raise or end a rate, so some requests have to pass at any rate.
+	// minRate and maxRate bound the enforced rate, in requests a second. Only an answer can
+	// raise or end a rate limit, so some requests have to pass at any rate.
 	minRate, maxRate = 0.5, 1e6
-	// maxRetrySpread is how much later than the next call in line a refused one may be told to
-	// come back, and maxReturnStep how much later than the one refused before it.
+	// maxRetrySpread is how much later than the next queued call the retry of a refused call may
+	// be set, and maxRetryStep how much later than that of the call refused before it.
 	maxRetrySpread = time.Second
 	maxRetryStep   = maxRetrySpread / 8
-	// oneToken is what counts as one: the bucket's tokens are rounded.
+	// oneToken is the number of tokens that count as one: the bucket's tokens are rounded.
 	oneToken = 1 - 1e-6
 )
 
-// pacer is the token bucket of a target that names a rate. The zero pacer lets all pass.
+// pacer is the token bucket of a target that advertises a rate. The zero pacer does not limit
+// calls.
 type pacer struct {
 	bucket *rate.Limiter
-	// lastRetryAt is when the call that was refused last was told to come back.
+	// lastRetryAt is the retry time of the call that was refused last.
 	lastRetryAt time.Time
 }
 
-// setRate takes another rate. A bucket begins empty: the requests of the moments before have
-// used what it would hold.
+// setRate changes the rate. A new bucket is empty, since the requests of the moments before have
+// used its tokens.
 func (p *pacer) setRate(now time.Time, r Rate) {
 	n, bounded := r.PerSecond()
 	if !bounded {
@@ -46,19 +47,19 @@
 	p.bucket.SetBurstAt(now, burst)
 }
 
-// ready tells whether a call may start now.
+// ready reports whether a call may start now.
 func (p *pacer) ready(now time.Time) bool {
 	return p.bucket == nil || p.bucket.TokensAt(now) >= oneToken
 }
 
-// take counts a call that starts.
+// take takes a token for a call that starts.
 func (p *pacer) take(now time.Time) {
 	if p.bucket != nil {
 		p.bucket.ReserveN(now, 1)
 	}
 }
 
-// wait is how long a call behind n others waits for its turn.
+// wait returns the time until the bucket has a token for a call behind n others.
 func (p *pacer) wait(now time.Time, n int) time.Duration {
 	if p.bucket == nil {
 		return 0
@@ -70,13 +71,13 @@
 	return p.refillTime(missing) + time.Microsecond
 }
 
-// refillTime is the time in which n tokens come.
+// refillTime returns the time in which n tokens are added.
 func (p *pacer) refillTime(n float64) time.Duration {
 	return time.Duration(n / float64(p.bucket.Limit()) * float64(time.Second))
 }
 
-// retryAfter is when a refused call is worth asking for retryAfter behind n that wait. Refused
-// calls get their times one after the other, so that they don't return together.
+// retryAfter returns how long a refused call should wait before a retry, with n calls queued.
+// The retries of successive refused calls are spread so that they don't arrive together.
 func (p *pacer) retryAfter(now time.Time, n int) time.Duration {
 	if p.bucket == nil {
 		return 0
@@ -89,7 +90,7 @@
 	return p.lastRetryAt.Sub(now)
 }
 
-// tokens is how many calls may start now; meaningless without a rate.
+// tokens returns how many calls may start now; 0 without a rate.
 func (p *pacer) tokens(now time.Time) float64 {
 	if p.bucket == nil {
 		return 0
@@ -97,7 +98,7 @@
 	return p.bucket.TokensAt(now)
 }
 
-// load is the part of the burst that is used.
+// load returns the share of the burst that is used.
 func (p *pacer) load(now time.Time) float64 {
 	if p.bucket == nil {
 		return 0
--- a/briarrockd/target/queue.go
+++ b/briarrockd/target/queue.go
@@ -13,36 +13,36 @@
 	queuedAt time.Time
 }
 
-// callerShareDivisor is the part of a full queue that one caller may take while others
-// wait too, as 1/callerShareDivisor.
+// callerShareDivisor sets the share of a full queue that one caller may take while others are
+// queued, as 1/callerShareDivisor.
 const callerShareDivisor = 2
 
-// How much of a queue a call may find before it.
+// Parameters that decide whether a call may queue.
 const (
-	// workFactor is how many times the usual time is allowed for a call's own
-	// work when it is asked whether it will be in time: work varies, and most
-	// calls end within this.
+	// workFactor is how many times its route's mean duration a call is assumed to run when the
+	// gate decides whether it ends in time. Durations vary, and most calls end within this.
 	workFactor = 2.0
-	// minSlackShare is the least part of the time beyond the usual work that a call may wait.
+	// minSlackShare is the least share of the time beyond the mean duration that a call may
+	// wait.
 	minSlackShare = 0.5
-	// minQueueLen is how many may wait in any case: with none, a slot that comes
-	// free stays so until the next call happens to arrive.
+	// minQueueLen is the number of calls that may always queue. With none, a slot that becomes
+	// free stays unused until the next call happens to arrive.
 	minQueueLen = 1
-	// minWorkShare is the part of the usual time below which a queued call is not
-	// worth starting: it would take a slot and be broken off.
+	// minWorkShare is the share of its route's mean duration that a queued call must have left
+	// until its deadline to be started. With less it would take a slot and be cut off.
 	minWorkShare = 0.5
 )
 
-// expectedInTime tells whether a call is expected to end in time: within its aim, if it
-// has one that is not past already.
+// expectedInTime reports whether a call is expected to end in time: within its aim, if it has
+// one that has not passed.
 func (g *Gate) expectedInTime(m Arrival) bool {
 	ahead, wait := g.expectedWait(m)
 	switch {
 	case m.Aim.IsZero():
 		return !g.now.Add(wait).After(m.Deadline)
 	case !m.Aim.After(g.now):
-		// It can only be late, and would make another late too. It gets a slot
-		// that nobody else wants.
+		// The answer can only be late, and queueing the call would make another one late too. It
+		// gets a slot only if one is free.
 		return false
 	}
 	work := g.limit.durations.ofRoute(m.Route)
@@ -52,16 +52,16 @@
 	return wait <= time.Duration(g.overload.maxWaitShare(m.Priority)*float64(slack(m.Aim.Sub(g.now), work)))
 }
 
-// slack is how much of the time until its aim a call has for waiting. Most work ends
-// within workSpread times the usual time; where the aim is not that far off, half of what
-// lies beyond the usual time is left.
+// slack returns how long a call may wait, given the time left until its aim and the mean
+// duration of its work. Most calls end within workFactor times the mean duration. If the aim is
+// nearer than that, minSlackShare of the time beyond the mean duration remains.
 func slack(left, work time.Duration) time.Duration {
 	return max(left-time.Duration(workFactor*float64(work)), time.Duration(minSlackShare*float64(left-work)))
 }
 
-// expectedWait is how many calls go before one that arrives, and how long it is
-// expectedWait to be queued: for a slot if none is free, for its turn at the target's
-// rate, and for the link if its body has to wait for others.
+// expectedWait returns how many queued calls go before an arriving call, and how long it is
+// expected to queue: for a slot if none is free, for a token at the target's rate, and for the
+// link if its body has to wait for others.
 func (g *Gate) expectedWait(m Arrival) (ahead int, wait time.Duration) {
 	call := queuedCall{m, g.now}
 	for i := range g.queue {
@@ -79,8 +79,8 @@
 	return ahead, wait
 }
 
-// queuedBytes are the long bodies of the queued calls that go before one, or of
-// all of them.
+// queuedBytes returns the length of the long bodies of the queued calls that go before a call,
+// or of all queued calls if it is nil.
 func (g *Gate) queuedBytes(before *queuedCall) int64 {
 	n := int64(0)
 	for i := range g.queue {
@@ -91,14 +91,14 @@
 	return n
 }
 
-// worthStarting tells whether a queued call still has the time to be worth a slot.
+// worthStarting reports whether a queued call has enough time left to be started.
 func (g *Gate) worthStarting(w queuedCall) bool {
 	minWork := time.Duration(minWorkShare * float64(g.limit.durations.ofRoute(w.Route)))
 	return w.Aim.IsZero() || !g.now.Add(minWork).After(w.Deadline)
 }
 
-// exceedsCallerShare tells whether a caller would crowd out the others: the queue is
-// half full at least, others wait in it, and this caller has its share.
+// exceedsCallerShare reports whether a caller would crowd out others: the queue is at least half
+// full, other callers are queued, and this caller has its share of the queue.
 func (g *Gate) exceedsCallerShare(caller string) bool {
 	own := 0
 	for _, w := range g.queue {
@@ -110,7 +110,8 @@
 	return others > 0 && len(g.queue)*2 >= g.queueMax && own >= max(1, g.queueMax/callerShareDivisor)
 }
 
-// evict turns away the last call of a lesser priority to make room.
+// evict refuses the last queued call of the lowest priority below p to make room. It returns
+// false if there is none.
 func (g *Gate) evict(p snapshot.Priority) bool {
 	lowest := -1
 	for i, w := range g.queue {
@@ -135,9 +136,9 @@
 	}
 }
 
-// expire refuses queued calls whose deadline has passed, and those that were
-// queued for an aim which is past now, unless the next slot is theirs: they did not
-// run, and their callers have the time to ask elsewhere.
+// expire refuses queued calls whose deadline has passed. It also refuses calls whose aim has
+// passed since they were queued, unless they get the next slots before lower-priority calls.
+// They did not run, and their callers still have time to try another target.
 func (g *Gate) expire() {
 	kept := g.queue[:0]
 	for _, w := range g.queue {
@@ -153,9 +154,10 @@
 	g.queue = kept
 }
 
-// nextStartable is the queued call to run, -1 if there is none: the first of those that have
-// a slot and whose body the link has room for. Short calls don't wait for a link
-// that they hardly use, nor urgent ones for the room that is kept for them.
+// nextStartable returns the index of the queued call to start, -1 if there is none: the first in
+// order among those that have a slot, a token and room on the link for their body. So short
+// calls don't wait for a link that they hardly use, nor urgent calls for the slots that are
+// reserved for them.
 func (g *Gate) nextStartable() int {
 	best := -1
 	for i := range g.queue {
@@ -166,10 +168,9 @@
 	return best
 }
 
-// before tells whether call a goes before call b, which came first: the more
-// urgent one, then that of the caller who had fewer turns, then the one whose
-// aim is before, while it can be kept. Calls that targets make while they run others have the
-// shortest aims, and whole requests wait for them.
+// before reports whether call a goes before call b, which arrived earlier. The higher priority
+// goes first, then the caller with fewer started calls, then the earlier aim if it can still be
+// met. Outgoing calls of targets' runs have the shortest aims, and whole requests wait for them.
 func (g *Gate) before(a, b *queuedCall) bool {
 	switch {
 	case a.Priority != b.Priority:
@@ -181,8 +182,8 @@
 	}
 }
 
-// dueTime is by when a queued call should be done: its aim, or if that is past or
-// unknown, as soon as a call that comes now can be.
+// dueTime returns by when a queued call should have ended: its aim, or if that is unknown or
+// can't be met, the time at which it would have ended had it started on arrival.
 func (w *queuedCall) dueTime(g *Gate) time.Time {
 	soonest := w.queuedAt.Add(g.limit.durations.overall())
 	if w.Aim.After(soonest) {
@@ -191,7 +192,7 @@
 	return soonest
 }
 
-// NextTick is when the gate wants its next Tick; zero for not at all.
+// NextTick returns when the gate needs its next Tick; zero if it needs none.
 func (g *Gate) NextTick() time.Time {
 	if len(g.queue) == 0 {
 		return time.Time{}
--- a/briarrockd/target/rate.go
+++ b/briarrockd/target/rate.go
@@ -8,20 +8,20 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalidRate says that a rate is malformed.
+// ErrInvalidRate is returned for a malformed rate.
 var ErrInvalidRate = errors.New("target: a rate must be a decimal number, zero or more")
 
-// Rate is how many requests a second a target takes from all callers together. The
-// zero Rate is no bound.
+// Rate is a rate limit of a target: the requests a second that it takes from all callers
+// together. The zero Rate is no limit.
 type Rate struct {
 	perSecond float64
 	bounded   bool
 }
 
-// NewRate returns a bound of n requests a second; n must be finite and not negative.
+// NewRate returns a limit of n requests a second; n must be finite and not negative.
 func NewRate(n float64) Rate { return Rate{perSecond: n, bounded: true} }
 
-// ParseRate reads a decimal number of requests a second. Its error is ErrInvalidRate.
+// ParseRate parses a decimal number of requests a second. Its error is ErrInvalidRate.
 func ParseRate(s string) (Rate, error) {
 	n, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
@@ -30,10 +30,10 @@
 	return NewRate(n), nil
 }
 
-// PerSecond returns the requests a second, and whether there is a bound.
+// PerSecond returns the requests a second, and whether there is a limit.
 func (r Rate) PerSecond() (n float64, bounded bool) { return r.perSecond, r.bounded }
 
-// String is the number that ParseRate reads, empty for no bound.
+// String returns the number in the form that ParseRate parses, empty for no limit.
 func (r Rate) String() string {
 	if !r.bounded {
 		return ""
@@ -41,22 +41,23 @@
 	return strconv.FormatFloat(r.perSecond, 'g', -1, 64)
 }
 
-// stricter tells whether a rate lets less pass than another one.
+// stricter reports whether a rate limit is lower than another one.
 func (r Rate) stricter(than Rate) bool {
 	return r.bounded && (!than.bounded || r.perSecond < than.perSecond)
 }
 
-// advertisedRate is the rate that a target names, as far as it is known here.
+// advertisedRate is the rate that a target advertises, as far as this node knows it.
 //
-// Answers overtake each other. One is known to be newer only if its request was sent
-// after the rate in force had been received; among others the stricter rate holds.
+// Answers can arrive out of order. An answer is known to be newer only if its request was sent
+// after the rate in force was received; otherwise the stricter rate holds.
 type advertisedRate struct {
 	rate       Rate
-	answeredAt time.Time // when an answer named it last; zero if none has come here
-	known      bool      // a rate has been named
+	answeredAt time.Time // when the last answer was applied; zero if none was received here
+	known      bool      // whether a rate has ever been advertised
 }
 
-// updateFromAnswer takes the rate in an answer, none included, whose request was sent at sent.
+// updateFromAnswer applies the rate in an answer, or its absence. The answer's request was sent
+// at sent.
 func (n *advertisedRate) updateFromAnswer(sent, now time.Time, r Rate) {
 	if !sent.After(n.answeredAt) && n.rate.stricter(r) {
 		return
@@ -65,8 +66,8 @@
 	n.known = n.known || r.bounded
 }
 
-// updateFromReport takes the rate that another node was told. It holds until the first answer:
-// this process gets all of them, and so knows better from then on.
+// updateFromReport applies a rate that another node has received. It holds until the first
+// answer arrives here: this process receives all of the target's answers from then on.
 func (n *advertisedRate) updateFromReport(r Rate) {
 	if n.answeredAt.IsZero() && r.stricter(n.rate) {
 		n.rate, n.known = r, true
--- a/briarrockd/target/reserve.go
+++ b/briarrockd/target/reserve.go
@@ -7,32 +7,29 @@
 )
 
 const (
-	// runningWeight is the weight of the newest moment in the mean number of
-	// calls that run, looked at as each call arrives.
+	// runningWeight is the weight of the newest sample in the mean number of running calls,
+	// which is sampled as each call arrives.
 	runningWeight = 0.02
-	// slackWeight is that of the newest call in the spare time of a priority.
+	// slackWeight is the weight of the newest call in the mean slack of a priority.
 	slackWeight = 0.1
-	// priorities is the number of priorities.
-	priorities = int(snapshot.MostUrgent) + 1
+	priorities  = int(snapshot.MostUrgent) + 1
 )
 
-// reserve keeps slots for urgent calls that can't wait for the end of long work.
+// reserve keeps slots free for urgent calls that can't wait until a long call ends.
 //
-// Slots are not taken back. Where long calls of little urgency may fill them
-// all, an urgent short one comes too late whatever its place in the queue, and
-// the run at another target that waits for it fails with it. So long calls leave
-// as many slots as the more urgent ones were seen to need, unless these have the
-// time to wait for a slot.
+// Running calls are not preempted. If long calls of low priority could take all slots, a short
+// urgent call would be late whatever its place in the queue, and the run at another target that
+// waits for it would fail. So long calls leave free as many slots as more urgent calls usually
+// use, unless those have enough slack to wait for a slot.
 type reserve struct {
-	// running is how many calls of each priority run now, mean how many do as a
-	// rule.
+	// running is the number of running calls of each priority, meanRunning its moving average.
 	running     [priorities]int
 	meanRunning [priorities]float64
-	// slack is the time that calls of each priority have beside their work.
+	// slack is the mean time that calls of each priority can wait.
 	slack [priorities]time.Duration
 }
 
-// recordArrival looks at what runs as a call arrives, and notes its spare time.
+// recordArrival samples the running calls as a call arrives, and records the call's slack.
 func (r *reserve) recordArrival(priority snapshot.Priority, slack time.Duration) {
 	for i, n := range r.running {
 		r.meanRunning[i] += runningWeight * (float64(n) - r.meanRunning[i])
@@ -40,8 +37,8 @@
 	r.slack[priority] = movingAverage(r.slack[priority], max(slack, 1), slackWeight)
 }
 
-// reservedSlots is how many slots a call that takes so long has to leave free for more
-// urgent ones.
+// reservedSlots returns how many slots a call of this priority, with work as its expected
+// duration, has to leave free for more urgent calls.
 func (r *reserve) reservedSlots(priority snapshot.Priority, work time.Duration) int {
 	needed, taken := 0.0, 0
 	for i := int(priority) + 1; i < priorities; i++ {
@@ -53,7 +50,7 @@
 	return max(0, int(needed)-taken)
 }
 
-// meanHigherPriority is how many slots more urgent calls have as a rule.
+// meanHigherPriority returns the mean number of slots that more urgent calls use.
 func (r *reserve) meanHigherPriority(priority snapshot.Priority) float64 {
 	n := 0.0
 	for i := int(priority) + 1; i < priorities; i++ {
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -18,43 +18,43 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// Headers from the node at the entry to the target's node.
+// Headers from the caller's node to the target's node, and back.
 const (
 	HeaderService     = "Briarrock-Service"
-	HeaderDeadline    = "Briarrock-Deadline" // milliseconds that are left
-	HeaderAim         = "Briarrock-Aim"      // milliseconds until the answer loses most of its worth
+	HeaderDeadline    = "Briarrock-Deadline" // milliseconds left
+	HeaderAim         = "Briarrock-Aim"      // milliseconds until the latency objective of the call
 	HeaderCaller      = "Briarrock-Caller"
 	HeaderPriority    = "Briarrock-Priority"
 	HeaderFingerprint = "Briarrock-Print" // fingerprint of the request
 	HeaderRoute       = "Briarrock-Route" // name of the route
-	HeaderAtMostOnce  = "Briarrock-Once"  // set if it may run only once
+	HeaderAtMostOnce  = "Briarrock-Once"  // set if it may run at most once
 	HeaderCrossRegion = "Briarrock-Far"   // set if the call comes from another region
-	// HeaderLoad tells the entry how taken the target is, and HeaderUsual how
-	// many milliseconds its work takes as a rule.
+	// HeaderLoad reports to the caller's node the utilization of the target, and
+	// HeaderMeanDuration the mean duration of its calls in milliseconds.
 	HeaderLoad         = "Briarrock-Load"
 	HeaderMeanDuration = "Briarrock-Usual"
-	// HeaderInstance tells a target whom the request is for, by its ID.
+	// HeaderInstance is the ID of the target that the request is for.
 	HeaderInstance = "Briarrock-Instance"
-	// HeaderTrace names a call through all of its way.
+	// HeaderTrace is the trace ID of a call, the same on every hop.
 	HeaderTrace = "Briarrock-Trace"
 )
 
-// maxDeadline bounds what a header may ask for.
+// maxDeadline bounds the time that a deadline header may set.
 const maxDeadline = time.Hour
 
-// call is what the headers of a call say.
+// call is the metadata in the headers of a call.
 type call struct {
 	service     string
 	caller      string
 	priority    snapshot.Priority
 	route       string
 	deadline    time.Time
-	aim         time.Time // zero if the caller's node says none
+	aim         time.Time // zero if the call has none
 	fingerprint uint64    // fingerprint of the request
 	trace       string
 	atMostOnce  bool
 	crossRegion bool
-	// queuedFor is how long the gate held the call back.
+	// queuedFor is the time from the arrival of the call until it was passed on to the target.
 	queuedFor time.Duration
 }
 
@@ -83,7 +83,7 @@
 	}, true
 }
 
-// ServeHTTP runs a call that another node sends for a target of this host.
+// ServeHTTP handles a call that another node sends for a target of this host.
 func (t *Targets) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	c, ok := parseCall(r, now)
@@ -119,17 +119,18 @@
 	t.forward(w, r, x, id, c)
 }
 
-// heldBodyTimeout bounds the time in which a short body comes once it has been asked for.
+// heldBodyTimeout bounds the time in which a short body has to arrive once it has been
+// requested.
 const heldBodyTimeout = 500 * time.Millisecond
 
-// readHeldBody reads a short body that the caller's node has held back before anything of its
-// request goes to the target: without it, the request has not run. It returns false if
-// the body did not come.
+// readHeldBody reads a short body that the caller's node has held back, before anything of the
+// request is sent to the target: if the body does not arrive, the request has not run. It
+// returns false then.
 func (t *Targets) readHeldBody(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) bool {
 	if r.Header.Get(http1.HeaderHeld) == "" || relay.IsStreamed(r) {
 		return true
 	}
-	// A caller's node that has been cut off meanwhile must not keep the slot.
+	// If the caller's node has been cut off meanwhile, it must not keep the slot.
 	b, err := relay.ReadBody(r, min(heldBodyTimeout, time.Until(c.deadline)))
 	if err != nil {
 		x.step(Completed{ID: id, Route: c.route})
@@ -140,8 +141,8 @@
 	return true
 }
 
-// leastLoaded is the least taken target of a service on this host. One that leaves looks idle,
-// and is returned only if there is no other.
+// leastLoaded returns the target of a service on this host with the lowest load. A draining
+// target looks idle, and is returned only if there is no other.
 func (t *Targets) leastLoaded(service string) *target {
 	var best, leaving *target
 	minLoad := 0.0
@@ -164,7 +165,7 @@
 	return cmp.Or(best, leaving)
 }
 
-// admissionState tells whether calls may pass to a target at all, and whether it leaves.
+// admissionState reports whether calls may pass to a target at all, and whether it is draining.
 func (t *Targets) admissionState(x *target) (admitted, drains bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,8 +190,8 @@
 	relay.Fail(w, r.Kind, kind.RanNo, r.RetryAfterSeconds)
 }
 
-// writeLoad puts into a head how taken the target is and what it has told of itself. It
-// returns the load.
+// writeLoad adds the target's load, the mean duration of its calls and the state that it has
+// reported to the headers of an answer. It returns the load.
 func (x *target) writeLoad(h http.Header) string {
 	x.mu.Lock()
 	load, usual := x.gate.Load(time.Now()), x.gate.MeanDuration()
@@ -206,7 +207,7 @@
 	return text
 }
 
-// forward passes a call that the gate has started on to its target.
+// forward sends a call that the gate has started to its target, and the answer back.
 func (t *Targets) forward(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) {
 	t.started.Inc()
 	defer t.track(c.trace)()
@@ -215,8 +216,8 @@
 	sent := time.Now()
 	ctx := r.Context()
 	if c.atMostOnce {
-		// What must not run twice is not broken off in the midst either: its
-		// caller could not tell how far it came.
+		// A call that may run at most once is not cut off either: its caller could not tell how
+		// far it got.
 		ctx = context.WithoutCancel(ctx)
 	}
 	res, out := relay.Send(ctx, relay.Call{
@@ -244,7 +245,7 @@
 		return
 	}
 	if completed.Shed = isShed(res); completed.Shed {
-		x.step(completed) // counts now, so that this very answer tells of it
+		x.step(completed) // before writeLoad, so that this answer includes the refusal
 	}
 	completed.Failed = res.StatusCode >= http.StatusInternalServerError
 	t.logCall(c, x, completed.Duration, strconv.Itoa(res.StatusCode), nil)
@@ -259,16 +260,16 @@
 	}
 }
 
-// handleNotRun takes a target's answer that it did not run a request: it has no room,
-// or it is another target than the one that the request was for.
+// handleNotRun handles a target's answer that it did not run a request: it has no capacity, or
+// it is not the target that the request was for.
 func (t *Targets) handleNotRun(w http.ResponseWriter, x *target, c call, res *http.Response, completed *Completed) {
-	// Read to its end, the refusal leaves the connection for the next request. A
-	// target that sheds would otherwise cost its node a new one each time, and a
-	// small host's processor is then taken up by them.
+	// Once the answer has been read to its end, the connection can be reused. A target that
+	// sheds load would otherwise cost its node a new connection for each request, which takes up
+	// the processor of a small host.
 	_, _ = io.CopyN(io.Discard, res.Body, maxRefusalBytes)
 	_ = res.Body.Close()
 	if res.StatusCode == http.StatusMisdirectedRequest {
-		t.drop(x, "another target answers at its address")
+		t.drop(x, "address is used by another target")
 		t.refuse(w, c, nil, Refuse{Kind: kind.Drain})
 		return
 	}
@@ -277,14 +278,14 @@
 	t.refuse(w, c, x, Refuse{Kind: kind.Shed, RetryAfter: shedRetryAfter})
 }
 
-// maxRefusalBytes bounds what is read of the body of a refusal, in bytes.
+// maxRefusalBytes bounds how much of the body of a refusal is read.
 const maxRefusalBytes = 4 << 10
 
-// shedRetryAfter is when to ask again after a target refused a request by itself:
-// some usual requests have ended by then.
+// shedRetryAfter is the retry time after a target itself refused a request: some calls of usual
+// duration have ended by then.
 const shedRetryAfter = 50 * time.Millisecond
 
-// logCall writes the line of a call that ran.
+// logCall writes the log line of a call that was sent to a target.
 func (t *Targets) logCall(c call, x *target, took time.Duration, outcome string, cause error) {
 	success := len(outcome) > 0 && outcome[0] == '2'
 	f := event.Fields{
@@ -298,7 +299,7 @@
 	t.deps.Log.Call(event.RunEnded, f, success)
 }
 
-// requestBody is a request's requestBody, nil for none. taken is called at its end.
+// requestBody returns a request's body, nil for none. onEnd is called when it has been read.
 func requestBody(r *http.Request, onEnd func()) io.Reader {
 	if r.ContentLength == 0 {
 		return nil
@@ -306,7 +307,7 @@
 	return &notifyingBody{r.Body, onEnd}
 }
 
-// notifyingBody is a body that tells when it has come in.
+// notifyingBody is a body that calls onEnd when it has been read.
 type notifyingBody struct {
 	io.Reader
 	onEnd func()
@@ -319,16 +320,16 @@
 		t.onEnd()
 		t.onEnd = nil
 	}
-	return n, err //nolint:wrapcheck // io.EOF must pass as it is
+	return n, err //nolint:wrapcheck // io.EOF must not be wrapped
 }
 
-// isShed tells whether a target's answer is a refusal for load.
+// isShed reports whether a target's answer is a refusal because of load.
 func isShed(res *http.Response) bool {
 	return res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
 }
 
-// targetHeaders are the headers that a target may use: who calls, how much
-// time is left, and the name of the call.
+// targetHeaders returns the headers that a target may use: the caller, the time left, and the
+// trace ID.
 func (t *Targets) targetHeaders(r *http.Request, x *target, c call) http.Header {
 	h := make(http.Header, 4)
 	if id := t.lastAnnouncement(x).ID; id != "" {
@@ -343,8 +344,8 @@
 	return h
 }
 
-// handleFailure answers a call whose target did not, and finds out whether the
-// target has crashed.
+// handleFailure answers a call that the target did not answer, and checks whether the target has
+// crashed.
 func (t *Targets) handleFailure(w http.ResponseWriter, x *target, c call, out relay.Outcome) {
 	t.deps.Log.Emit(event.CallFailed, event.Fields{
 		event.Subject: x.addr, "service": c.service, "kind": string(out.Kind), "sent": out.Sent,
@@ -355,7 +356,7 @@
 	}
 	switch out.Kind {
 	case kind.Refused:
-		t.drop(x, "refuses connections")
+		t.drop(x, "connection refused")
 	case kind.Broken:
 		t.detectCrash(x, c)
 	}
@@ -363,10 +364,9 @@
 	relay.Fail(w, out.Kind, ran, 0)
 }
 
-// detectCrash is called for a request whose connection broke off. If the
-// target no longer listens it has crashed, and the request was in flight: it
-// may be the reason. Each request that was in flight reports itself, so no
-// list of them is kept; one that runs to its end later is cleared.
+// detectCrash checks after a broken connection whether the target still listens. If it does not,
+// it has crashed, and the request in flight may be the cause. Each request in flight reports
+// itself, so no list of them is kept. A suspected request that later runs to its end is cleared.
 func (t *Targets) detectCrash(x *target, c call) {
 	conn, err := net.DialTimeout("tcp", x.addr, dialTimeout)
 	if err == nil {
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -1,15 +1,15 @@
-// Package target is a node's side towards the targets on its host: it takes
-// their announcements, and it is the one way by which calls reach them.
+// Package target runs a node's side of the targets on its host: it processes their announcements
+// and admits and forwards all calls to them.
 //
-// Since all calls for a target pass its own node, that node alone decides on
-// its slots, its queue and its draining, and nobody has to agree with anyone:
+// Since all calls to a target pass through its own node, that node alone decides on its slots,
+// its queue and its draining, without any agreement with other nodes:
 //
-//	ts := target.New(target.Deps{Changed: tell, Log: log})
-//	ts.Configure(snapshot)             // limits from the operator's text
+//	ts := target.New(target.Deps{OnChange: publish, Log: log})
+//	ts.Configure(snapshot)             // limits from the operator's configuration
 //	http.Serve(callListener, ts)       // calls from peers
 //	http.Serve(announceListener, ts.Announcements())
 //
-// The decision itself is in Gate, a step function without I/O.
+// Admission is decided in Gate, a step function without I/O.
 package target
 
 import (
@@ -33,96 +33,93 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// The states that a target may announce.
+// States that a target may announce.
 const (
 	StateUp       = "up"
 	StateCold     = "cold"
 	StateDraining = "draining"
 )
 
-// Times and bounds.
 const (
-	// defaultAnnouncementTimeout is how long a target may be silent as a rule: three
-	// announcements, one of which comes each second, and some delay.
+	// defaultAnnouncementTimeout covers three announcements, of which one is sent each second,
+	// and some delay.
 	defaultAnnouncementTimeout = 3500 * time.Millisecond
-	// sweepInterval is how often silent targets are looked for.
-	sweepInterval   = 500 * time.Millisecond
-	maxAnnouncement = 4 << 10
-	maxTargets      = 16
-	maxSlots        = 10000
-	maxConns        = 65535
-	dialTimeout     = 2 * time.Second
-	idleTimeout     = 60 * time.Second
+	// sweepInterval is how often targets are checked for missing announcements.
+	sweepInterval        = 500 * time.Millisecond
+	maxAnnouncementBytes = 4 << 10
+	maxTargets           = 16
+	maxSlots             = 10000
+	maxConns             = 65535
+	dialTimeout          = 2 * time.Second
+	idleTimeout          = 60 * time.Second
 )
 
-// Announcement is what a target says of itself, as JSON, each second.
+// Announcement is what a target reports of itself, as JSON, each second.
 type Announcement struct {
 	Service     string `json:"service"`
 	Addr        string `json:"addr"`
 	Slots       int    `json:"slots"`
 	Connections int    `json:"connections"`
 	State       string `json:"state"`
-	// ID names the target, if it has a name. Requests then say whom they are
-	// for, so that another target at the same address doesn't run them.
+	// ID identifies the target, if it has an ID. Requests then carry the ID of the target that
+	// they are for, so that another target at the same address does not run them.
 	ID string `json:"id,omitempty"`
-	// StartMillis is when the target's process started, in Unix milliseconds, and Seq
-	// counts its announcements. Together they tell late ones; 0 if it doesn't
-	// say.
+	// StartMillis is when the target's process started, in Unix milliseconds, and Seq counts its
+	// announcements. Together they identify announcements that arrive late. 0 if not announced.
 	StartMillis int64 `json:"born,omitempty"`
 	Seq         int64 `json:"seq,omitempty"`
 }
 
-// Deps are what Targets needs from outside.
+// Deps are the dependencies and settings of Targets.
 type Deps struct {
-	// OnChange is told when the list of targets is another one.
+	// OnChange is called with the list of targets when it changes.
 	OnChange func([]peer.Target)
-	// OnCrash is told of requests that were in flight when a target crashed,
-	// and of suspected ones that came to their end.
+	// OnCrash is called for each request that was in flight when a target crashed, and for each
+	// suspected request that ran to its end.
 	OnCrash func(peer.Crashed)
-	// CrashCount tells how often a request has been in flight at a crash.
+	// CrashCount returns in how many crashes the request with this fingerprint was in flight.
 	CrashCount func(mark uint64) int
 	Log        *event.Log
 	Metrics    *metrics.Set
-	// Stall bounds the time without a byte moving.
+	// Stall is the timeout for an exchange in which no byte moves.
 	Stall time.Duration
-	// WrapTransport, if set, wraps the connections to targets: it translates between
-	// the headers of this package and those that the targets know.
+	// WrapTransport, if set, wraps the transport to targets: it translates between the headers
+	// of this package and those that the targets use.
 	WrapTransport func(http.RoundTripper) http.RoundTripper
-	// ResponseMatches, if set, tells whether an answer is the one to a request.
+	// ResponseMatches, if set, reports whether an answer is the one to a request.
 	ResponseMatches func(req *http.Request, res *http.Response) bool
 	// Dial, if set, opens the connections to targets.
 	Dial relay.DialFunc
-	// NoFairQueueing lets calls be queued without regard to who makes them: where the
-	// name of a caller says only from which host a call comes, taking turns
-	// would mean nothing.
+	// NoFairQueueing turns off fair queueing between callers. It is set where a caller's name
+	// only identifies the host that a call comes from, since fairness between hosts would serve
+	// no purpose.
 	NoFairQueueing bool
-	// AnnouncementTimeout is how long a target may be silent before it is taken for gone; 0
-	// for the usual time.
+	// AnnouncementTimeout is the time without an announcement after which a target is removed; 0
+	// for defaultAnnouncementTimeout.
 	AnnouncementTimeout time.Duration
-	// LinkBandwidth is the bandwidth of this host's link in bytes a second; 0 if it is
-	// not known, and then nothing is bounded by it.
+	// LinkBandwidth is the bandwidth of this host's link in bytes a second; 0 if unknown, and
+	// then request bodies are not limited.
 	LinkBandwidth float64
 }
 
-// Targets are the targets on this host. New makes one.
+// Targets manages the targets on this host. Use New to create one.
 type Targets struct {
 	deps Deps
-	// notifyMu is held while the mesh is told of a change; mu may be taken
-	// inside it.
+	// notifyMu is held while OnChange runs; mu may be locked inside it.
 	notifyMu sync.Mutex
 	mu       sync.Mutex
 	all      map[string]*target // by address
 	snap     *snapshot.Snapshot
-	draining bool // the node itself is leaving
+	draining bool // the node itself is about to stop
 	done     chan struct{}
 	wg       sync.WaitGroup
-	// configured is closed with the first version.
+	// configured is closed when the first configuration arrives.
 	configured chan struct{}
 
-	// traces counts the calls of each name that targets run now.
+	// traces counts the running calls of each trace ID.
 	traces map[string]int
-	// departed are the targets that have said that they leave, by their ID, with
-	// the time of their start.
+	// departed maps the IDs of targets that drain or have deregistered to the start time, in
+	// Unix milliseconds, of the latest process known to have done so.
 	departed map[string]int64
 
 	started  *metrics.Counter
@@ -131,13 +128,13 @@
 	waited   *metrics.Histogram
 }
 
-// target is one target with its gate and its connections. Its service and its
-// address never change; said and what goes with it is guarded by the lock of
-// Targets, the gate and what belongs to it by the target's own.
+// target is one target with its gate and its connections. service and addr never change. The
+// fields from announcement to earlierStarts are guarded by the mutex of Targets, the gate and
+// its state by mu.
 type target struct {
 	service string
 	addr    string
-	// process names the target's process among all that have its name or address.
+	// process identifies the target's process: its ID or address, and its start time.
 	process      string
 	url          *url.URL
 	announcement Announcement
@@ -145,8 +142,8 @@
 	// announcements counts the announcements; admitted is set once calls may pass.
 	announcements int
 	admitted      bool
-	// earlierStarts counts announcements in a row that seem to be from before the one
-	// held.
+	// earlierStarts counts consecutive announcements with an earlier process start than that of
+	// announcement.
 	earlierStarts int
 	pool          *http1.Pool
 	transport     http.RoundTripper
@@ -155,12 +152,12 @@
 	lastID        CallID
 	timer         *time.Timer
 	advertised    advertisedRate
-	// leaving is set once the target has told in an answer that it is about to stop.
+	// leaving is set once the target has reported in an answer that it is about to stop.
 	leaving atomic.Bool
 	mu      sync.Mutex
 }
 
-// New starts with no targets. Close stops it.
+// New starts a Targets without targets. Close stops it.
 func New(d Deps) *Targets {
 	if d.Metrics == nil {
 		d.Metrics = metrics.NewSet()
@@ -192,13 +189,13 @@
 	return t
 }
 
-// Close stops the goroutines. Calls that run go on.
+// Close stops the background goroutines. Running calls continue.
 func (t *Targets) Close() {
 	close(t.done)
 	t.wg.Wait()
 }
 
-// Running is how many calls run at the targets of this host.
+// Running returns the number of calls that run at the targets of this host.
 func (t *Targets) Running() int { return t.count((*Gate).Running) }
 
 func (t *Targets) count(of func(*Gate) int) int {
@@ -222,14 +219,14 @@
 	return out
 }
 
-// lastAnnouncement is a target's last announcement.
+// lastAnnouncement returns a target's last announcement.
 func (t *Targets) lastAnnouncement(x *target) Announcement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return x.announcement
 }
 
-// Configure takes the limits of a new version.
+// Configure applies the limits of a new configuration version.
 func (t *Targets) Configure(s *snapshot.Snapshot) {
 	t.mu.Lock()
 	if t.snap == nil {
@@ -242,7 +239,7 @@
 	}
 }
 
-// limits are the lesser of what the target announces and the operator allows.
+// limits returns the lower of the limits that the target announces and the operator configures.
 func (t *Targets) limits(a Announcement) Limits {
 	l := Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBandwidth: t.deps.LinkBandwidth}
 	t.mu.Lock()
@@ -259,7 +256,7 @@
 	return l
 }
 
-// Drain makes the node refuse all new calls: it is about to stop.
+// Drain refuses all new calls, since the node is about to stop.
 func (t *Targets) Drain() {
 	t.mu.Lock()
 	t.draining = true
@@ -269,7 +266,7 @@
 	}
 }
 
-// Announcements returns the handler for the targets of this host.
+// Announcements returns the handler for announcements of the targets of this host.
 func (t *Targets) Announcements() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/announce", t.announce)
@@ -278,7 +275,7 @@
 
 func (t *Targets) announce(w http.ResponseWriter, r *http.Request) {
 	var a Announcement
-	dec := json.NewDecoder(io.LimitReader(r.Body, maxAnnouncement))
+	dec := json.NewDecoder(io.LimitReader(r.Body, maxAnnouncementBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&a); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -295,9 +292,9 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// validate checks an announcement that came from remote. A target may speak
-// only for its own host: otherwise whoever reaches the announce address could
-// draw the calls of a service to another machine.
+// validate checks an announcement that was received from remote, and returns what is wrong with
+// it. A target may announce only its own host: otherwise whoever reaches the announce address
+// could redirect the calls of a service to another host.
 func (a *Announcement) validate(remote string) string {
 	if a.State == "" {
 		a.State = StateUp
@@ -321,9 +318,9 @@
 	return ""
 }
 
-// notifyChange tells the mesh which targets there are now. One telling goes after
-// the other: crossed ones would leave the mesh with the older list, and work
-// would go on coming for a target that leaves.
+// notifyChange passes the current targets to OnChange. Notifications are serialized: if two
+// overtook each other, the mesh would keep the older list, and calls would continue to come for
+// a target that drains.
 func (t *Targets) notifyChange() {
 	t.notifyMu.Lock()
 	defer t.notifyMu.Unlock()
@@ -341,11 +338,11 @@
 	t.deps.OnChange(out)
 }
 
-// isDraining tells whether the target has said that it is about to stop. The lock of Targets
-// must be held.
+// isDraining reports whether the target has announced or reported that it is about to stop. The
+// mutex of Targets must be held.
 func (x *target) isDraining() bool { return x.announcement.State == StateDraining || x.leaving.Load() }
 
-// sweep drops targets that have stopped announcing themselves.
+// sweep drops targets without an announcement within AnnouncementTimeout.
 func (t *Targets) sweep() {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -367,7 +364,7 @@
 	}
 }
 
-// drop forgets a target until it announces itself again.
+// drop removes a target until it announces itself again.
 func (t *Targets) drop(x *target, reason string) {
 	t.mu.Lock()
 	same := t.all[x.addr] == x
--- a/briarrockd/target/work.go
+++ b/briarrockd/target/work.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	// meanWeight, routeWeight and quietWeight are the weights of the newest call
-	// in the mean of all calls, of one route's and of one route's at low load.
-	// The first covers routes of very different work, so it looks further back.
+	// meanWeight, routeWeight and lowLoadWeight are the weights of the newest call in the mean
+	// of all calls, of one route, and of one route at low load. The mean of all calls covers
+	// routes with very different durations, so it looks further back.
 	meanWeight    = 0.03
 	routeWeight   = 0.1
 	lowLoadWeight = 0.05
-	// maxRoutes bounds the routes that are told apart; the others share the mean
-	// of all.
+	// maxRoutes bounds the routes that have their own mean; the others use the mean of all
+	// calls.
 	maxRoutes = 256
-	// initialMean stands for the usual duration before any is known.
+	// initialMean is used as the mean duration before the first call has ended.
 	initialMean = 5 * time.Millisecond
 )
 
-// callDurations is how long a target's calls take, as a whole and by route: a lookup of
-// some milliseconds and a report of a quarter of a second run in the same slots.
-// Under one mean no short call would seem to be in time, and no long one late.
+// callDurations holds the mean durations of a target's calls, overall and by route. A lookup of
+// a few milliseconds and a report of a quarter of a second run in the same slots: with a single
+// mean no short call would seem to be in time, and no long one late.
 type callDurations struct {
 	mean    time.Duration
 	byRoute map[string]*routeDurations
 }
 
-// routeDurations is how long one route's calls take; 0 for not known yet.
+// routeDurations holds the mean durations of one route's calls; 0 if unknown.
 type routeDurations struct {
 	mean        time.Duration
 	lowLoadMean time.Duration // mean at low load
 }
 
-// observe takes the duration of a call that observe well. It returns how many times
-// the usual duration at low load that is; 0 if nobody knows.
+// observe records the duration of a successful call. It returns the duration divided by the
+// route's mean at low load; 0 if that is unknown.
 func (w *callDurations) observe(route string, took time.Duration, lowLoad bool) float64 {
 	w.mean = movingAverage(w.mean, took, meanWeight)
 	r := w.byRoute[route]
@@ -55,7 +55,7 @@
 	return float64(took) / float64(r.lowLoadMean)
 }
 
-// overall is how long a call takes as a rule, whichever route it is of.
+// overall returns the mean duration of all calls, or initialMean.
 func (w *callDurations) overall() time.Duration {
 	if w.mean == 0 {
 		return initialMean
@@ -63,7 +63,7 @@
 	return w.mean
 }
 
-// ofRoute is how long a call ofRoute a route takes as a rule.
+// ofRoute returns the mean duration of a route's calls, or of all calls if the route is unknown.
 func (w *callDurations) ofRoute(route string) time.Duration {
 	if r := w.byRoute[route]; r != nil {
 		return r.mean
@@ -71,7 +71,8 @@
 	return w.overall()
 }
 
-// movingAverage moves a mean towards the newest value; 0 is no mean yet.
+// movingAverage updates an exponentially weighted mean with the newest value; 0 means that there
+// is no mean yet.
 func movingAverage(mean, newest time.Duration, weight float64) time.Duration {
 	if mean == 0 {
 		return newest
