--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -222,7 +222,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// Deregister removes the target with an ID, which has said that it stops.
+// Deregister removes the target with an ID after it has announced that it stops.
 //
 // A node process that has just started may not know the target yet. A delayed announcement would
 // then look like one of a new target and bring calls to a process that has stopped. The start
--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -18,8 +18,8 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// pipes is a listener whose connections are pipes, so that a test's clock can
-// stand still.
+// pipes is a listener whose connections are in-memory pipes, so that the test can run with a
+// fake clock.
 type pipes struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -42,8 +42,7 @@
 	return client, nil
 }
 
-// host is a node's side towards targets, with one target behind it whose
-// health and answers the test sets.
+// host runs Targets with one target, whose health and answers the test sets.
 type host struct {
 	*Targets
 	health   atomic.Int32
@@ -60,12 +59,12 @@
 	return h
 }
 
-// postingConfig is a version with one service.
+// postingConfig is a configuration with one service.
 var postingConfig = &snapshot.Snapshot{Services: []snapshot.Service{{
 	Name: "posting", Slots: 100, Queue: snapshot.QueueBySlots, Health: "/health",
 }}}
 
-// newUnconfiguredHost is a host whose node has no configuration yet.
+// newUnconfiguredHost returns a host whose node has no configuration yet.
 func newUnconfiguredHost() *host {
 	h := new(host)
 	h.health.Store(http.StatusOK)
@@ -95,7 +94,7 @@
 	return h
 }
 
-// call sends one call and tells whether the target ran it.
+// call sends one call. It reports whether the target ran it, and the kind of the answer.
 func (h *host) call() (ran bool, k kind.Kind) {
 	r := httptest.NewRequest(http.MethodPost, "/x", nil)
 	r.Header.Set(HeaderService, "posting")
@@ -110,11 +109,9 @@
 	return Announcement{ID: id, Service: "posting", Addr: address, Slots: 4, State: state, StartMillis: startMillis, Seq: seq}
 }
 
-// TestAnnouncements plays announcements to a host and checks after them
-// whether a call still reaches the target.
-//
-// Announcements can be late or come from before the target's restart. Each
-// script ends with what a caller then sees.
+// TestAnnouncements sends sequences of announcements and checks after each whether a call still
+// reaches the target. Announcements can arrive late or come from a process before the target's
+// restart.
 func TestAnnouncements(t *testing.T) {
 	const pause = -1 // a second without an announcement
 	type event struct {
@@ -128,23 +125,23 @@
 		events []event
 		runs   bool
 	}{
-		"up":                               {200, []event{{1, 1, StateUp}, oneSecond}, true},
-		"draining":                         {200, []event{{1, 1, StateUp}, oneSecond, {1, 2, StateDraining}}, false},
-		"draining, then a late word of up": {200, []event{{1, 1, StateUp}, oneSecond, {1, 3, StateDraining}, {1, 2, StateUp}, oneSecond}, false},
-		"draining is final":                {200, []event{{1, 1, StateUp}, oneSecond, {1, 2, StateDraining}, {1, 3, StateUp}, oneSecond}, false},
-		"left":                             {200, []event{{1, 1, StateUp}, oneSecond, deregister}, false},
-		"left, then a late word of up":     {200, []event{{1, 1, StateUp}, oneSecond, deregister, {1, 2, StateUp}, oneSecond}, false},
-		"left before it was heard of, then a late word of up":    {200, []event{deregister, oneSecond, {946684790000, 19, StateUp}, oneSecond}, false},
-		"left before it was heard of, then another process":      {200, []event{deregister, oneSecond, oneSecond, oneSecond, {946684803000, 1, StateUp}, oneSecond}, true},
-		"left, then another process":                             {200, []event{{1, 1, StateUp}, oneSecond, deregister, {2, 1, StateUp}, oneSecond}, true},
-		"a later process counts anew":                            {200, []event{{1, 9, StateUp}, oneSecond, {2, 1, StateUp}, oneSecond}, true},
-		"an earlier process's drain is late":                     {200, []event{{2, 1, StateUp}, oneSecond, {1, 9, StateDraining}}, true},
-		"one that doesn't say when it began is another writer's": {200, []event{{5, 1, StateUp}, oneSecond, {0, 2, StateDraining}}, true},
-		"a clock that went back is believed in the end": {200, []event{
+		"up":                           {200, []event{{1, 1, StateUp}, oneSecond}, true},
+		"draining":                     {200, []event{{1, 1, StateUp}, oneSecond, {1, 2, StateDraining}}, false},
+		"draining, then a late up":     {200, []event{{1, 1, StateUp}, oneSecond, {1, 3, StateDraining}, {1, 2, StateUp}, oneSecond}, false},
+		"draining is final":            {200, []event{{1, 1, StateUp}, oneSecond, {1, 2, StateDraining}, {1, 3, StateUp}, oneSecond}, false},
+		"deregistered":                 {200, []event{{1, 1, StateUp}, oneSecond, deregister}, false},
+		"deregistered, then a late up": {200, []event{{1, 1, StateUp}, oneSecond, deregister, {1, 2, StateUp}, oneSecond}, false},
+		"deregistered before its first announcement, then a late up":       {200, []event{deregister, oneSecond, {946684790000, 19, StateUp}, oneSecond}, false},
+		"deregistered before its first announcement, then another process": {200, []event{deregister, oneSecond, oneSecond, oneSecond, {946684803000, 1, StateUp}, oneSecond}, true},
+		"deregistered, then another process":                               {200, []event{{1, 1, StateUp}, oneSecond, deregister, {2, 1, StateUp}, oneSecond}, true},
+		"a later process restarts the sequence":                            {200, []event{{1, 9, StateUp}, oneSecond, {2, 1, StateUp}, oneSecond}, true},
+		"an earlier process's drain is stale":                              {200, []event{{2, 1, StateUp}, oneSecond, {1, 9, StateDraining}}, true},
+		"one without a start time has a different sender":                  {200, []event{{5, 1, StateUp}, oneSecond, {0, 2, StateDraining}}, true},
+		"an earlier start is accepted after a clock reset": {200, []event{
 			{9, 1, StateUp}, oneSecond, {1, 1, StateUp}, oneSecond, oneSecond, oneSecond, oneSecond, {1, 2, StateDraining},
 		}, false},
-		"restarted beside one that leaves, and told late that it is up": {503, []event{{1, 7, StateUp}, oneSecond, oneSecond}, false},
-		"a health check that is wrong is not believed for ever": {503, []event{
+		"a late up while the health check fails": {503, []event{{1, 7, StateUp}, oneSecond, oneSecond}, false},
+		"a failing health check is overruled by announcements": {503, []event{
 			{1, 1, StateUp}, oneSecond, {1, 2, StateUp}, oneSecond, {1, 3, StateUp}, oneSecond,
 		}, true},
 	} {
@@ -181,9 +178,9 @@
 	}
 }
 
-// TestSilent lets a target fall silent: callers are sent elsewhere, and when it
-// is heard again it is asked for its health before it gets work.
-func TestSilent(t *testing.T) {
+// TestAnnouncementTimeout guards against calls to a target that no longer announces itself, and
+// against calls before a health check after it does so again.
+func TestAnnouncementTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newHost()
@@ -205,12 +202,11 @@
 	})
 }
 
-// TestNoVersion restarts a node while it can't get a configuration.
-//
-// Its target announces itself, but a run there would make its calls to this node,
-// which has to refuse them: the caller would get the run's failure. So no call
-// passes until the first version is there, and then at once.
-func TestNoVersion(t *testing.T) {
+// TestNoConfiguration guards against calls to a target while its restarted node has no
+// configuration. The target's own outgoing calls go through the node, which has to refuse them,
+// so the caller would get the run's failure. Calls pass as soon as the first configuration is
+// applied.
+func TestNoConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		h := newUnconfiguredHost()
--- a/briarrockd/target/bodies_test.go
+++ b/briarrockd/target/bodies_test.go
@@ -10,9 +10,9 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// uploads is a slow link in front of a gate: bodies that were let in share its
-// bandwidth, and each call works for a while once its body has come in. Times
-// are of its own clock, in steps of a millisecond.
+// uploads simulates a slow link in front of a gate: admitted bodies share its bandwidth, and
+// each call runs for a while once its body has been received. It has its own clock, in steps of
+// a millisecond.
 type uploads struct {
 	gate      *Gate
 	now       time.Time
@@ -21,13 +21,13 @@
 	queued    map[CallID]upload
 	receiving map[CallID]upload
 	working   map[CallID]upload
-	// maxInFlightBytes is how many bytes were on the way at once at the worst moment.
+	// maxInFlightBytes is the highest number of bytes in transit at once.
 	maxInFlightBytes float64
-	// inTime, late and refused count how uploads ended; held is the longest time
-	// after which one was refused.
+	// inTime, late and refused count the outcomes of uploads; maxTimeToRefuse is the longest
+	// time after which one was refused.
 	inTime, late, refused int
 	maxTimeToRefuse       time.Duration
-	// maxShortWait is the longest time that a maxShortWait call waited for its start.
+	// maxShortWait is the longest time that a call without a body waited for its start.
 	maxShortWait time.Duration
 }
 
@@ -68,7 +68,7 @@
 	}))
 }
 
-// advance lets a millisecond advance.
+// advance moves the clock by a millisecond.
 func (u *uploads) advance() {
 	u.now = u.now.Add(time.Millisecond)
 	inFlightBytes := 0.0
@@ -104,15 +104,15 @@
 	u.handle(u.gate.Step(u.now, Tick{}))
 }
 
-// TestUploads sends uploads and short calls to a target behind a slow link, at
-// half, nine tenths and twice of what the link takes.
+// TestUploads sends uploads and short calls to a target behind a slow link, at 0.5, 0.9 and 2
+// times the link's bandwidth.
 //
-// The pattern is that of many small hosts, with slots to spare: 7 Mbit/s, uploads of 60 KB on the
-// average that work for 370 ms, and calls of other targets with no body. Twenty
-// uploads at once would put two seconds of bytes before everything else that
-// the host receives. Here no more than one is on the way, short calls never
-// wait for them, and what the link can't take in time is refused early, while
-// there is time to go elsewhere; the link itself stays in use.
+// The load is that of many small hosts, whose slots are not the limit: a link of 7 Mbit/s,
+// uploads of 60 KB on average that run for 370 ms, and calls of other targets without a body.
+// Twenty uploads at once would put two seconds of bytes before everything else that the host
+// receives. The test checks that at most one upload is in transit, that short calls never wait
+// for uploads, that uploads which can't be received in time are refused while their callers can
+// still try another target, and that the link stays in use.
 func TestUploads(t *testing.T) {
 	c := qt.New(t)
 	const (
--- a/briarrockd/target/broken_test.go
+++ b/briarrockd/target/broken_test.go
@@ -25,13 +25,13 @@
 	}, nil
 }
 
-// TestLongAnswerBreaksOff guards against an answer that is too long to be read whole,
-// breaks off and ends its exchange as if it were complete.
+// TestLongAnswerBreaksOff guards against a truncated answer that ends its exchange as if it were
+// complete, when it is too long to be buffered.
 func TestLongAnswerBreaksOff(t *testing.T) {
 	c := qt.New(t)
 	ts := newTargets(truncatedAnswer{4 * relay.KeepAnswer})
 	defer ts.Close()
 	defer func() { c.Check(recover(), qt.Equals, http.ErrAbortHandler) }()
 	send(ts)
-	c.Error("the exchange has ended as if the answer were complete")
+	c.Error("exchange ended as if the truncated answer were complete")
 }
--- a/briarrockd/target/gate_test.go
+++ b/briarrockd/target/gate_test.go
@@ -16,8 +16,8 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// TestGate runs the scripts in testdata: calls that arrive and end at a gate,
-// and what it decides. Times are milliseconds from the start of a script.
+// TestGate runs the scripts in testdata: arrivals and completions of calls at a gate, and its
+// decisions. Times are milliseconds from the start of a script.
 func TestGate(t *testing.T) {
 	var g *Gate
 	start := time.Unix(0, 0)
@@ -93,7 +93,7 @@
 	case "tick":
 		return Tick{}
 	}
-	t.Fatalf("no command %q", d.Cmd)
+	t.Fatalf("unknown command %q", d.Cmd)
 	return nil
 }
 
@@ -113,8 +113,8 @@
 	return b.String()
 }
 
-// TestMain fixes the seed of the properties, so that the same commit gives the
-// same verdict; -rapid.seed=0 draws a new one.
+// TestMain fixes the seed of the property tests so that results are reproducible; -rapid.seed=0
+// draws a new one.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -124,11 +124,9 @@
 	os.Exit(m.Run())
 }
 
-// TestGateProperties drives a gate with any order of messages.
-//
-// A caller would see a violation as a target that gets more work than it has
-// slots for, or as a call that is neither run nor refused and hangs until its
-// deadline. Each call must be decided on exactly once.
+// TestGateProperties sends random sequences of messages to a gate. It guards against more
+// running calls than slots, and against a call that is neither started nor refused and hangs
+// until its deadline. Each call must be decided exactly once.
 func TestGateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 6).Draw(t, "slots")
@@ -142,22 +140,22 @@
 				switch c := c.(type) {
 				case Start:
 					if !waiting[c.ID] {
-						t.Fatalf("call %d is started and was not waiting", c.ID)
+						t.Fatalf("call %d was started but not queued", c.ID)
 					}
 					delete(waiting, c.ID)
 					running[c.ID] = true
 				case Refuse:
 					if !waiting[c.ID] {
-						t.Fatalf("call %d is refused and was not waiting", c.ID)
+						t.Fatalf("call %d was refused but not queued", c.ID)
 					}
 					delete(waiting, c.ID)
 				}
 			}
 			if len(running) > slots {
-				t.Fatalf("%d run in %d slots", len(running), slots)
+				t.Fatalf("%d calls run in %d slots", len(running), slots)
 			}
 			if g.Running() != len(running) || g.Queued() != len(waiting) || len(waiting) > queue {
-				t.Fatalf("gate counts %d and %d, not %d and %d", g.Running(), g.Queued(), len(running), len(waiting))
+				t.Fatalf("gate has %d running and %d queued, want %d and %d", g.Running(), g.Queued(), len(running), len(waiting))
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -188,7 +186,7 @@
 				handle(g.Step(now, Throttle{rapid.SampledFrom([]Rate{{}, NewRate(0), NewRate(5), NewRate(1000)}).Draw(t, "rate")}))
 			}
 		}
-		// With time, all that waits is run or refused.
+		// In the end all queued calls are started or refused.
 		for len(running) > 0 {
 			id, _ := lowestID(running)
 			delete(running, id)
@@ -203,7 +201,7 @@
 			}
 		}
 		if len(waiting) > 0 {
-			t.Fatalf("%d calls hang", len(waiting))
+			t.Fatalf("%d calls were never decided", len(waiting))
 		}
 	})
 }
@@ -222,8 +220,8 @@
 	c := qt.New(t)
 	good := Announcement{Service: "posting", Addr: "10.0.0.7:80", Slots: 20, Connections: 110}
 	c.Check(good.validate("10.0.0.7:999"), qt.Equals, "")
-	// Whoever reaches the address must not be able to draw a service's calls
-	// to another machine.
+	// Whoever reaches the announce address must not be able to redirect a service's calls to
+	// another host.
 	c.Check(good.validate("10.0.0.8:999"), qt.Not(qt.Equals), "")
 	for _, invalidate := range []func(*Announcement){
 		func(a *Announcement) { a.Addr = "posting:80" },
--- a/briarrockd/target/held_test.go
+++ b/briarrockd/target/held_test.go
@@ -19,7 +19,7 @@
 	"briarrock.example/mesh/kind"
 )
 
-// echoTransport is a transport to a target that answers each request.
+// echoTransport is a transport to a target that answers each request with its body.
 type echoTransport struct{ requests int }
 
 // RoundTrip implements http.RoundTripper.
@@ -32,13 +32,13 @@
 	}, err
 }
 
-// failingBody is a body whose caller has gone.
+// failingBody is a body whose sender has disconnected.
 type failingBody struct{}
 
 // Read implements io.Reader.
 func (failingBody) Read([]byte) (int, error) { return 0, errors.New("lost") }
 
-// blockedBody is a body whose caller's node is cut off: nothing comes until it is closed.
+// blockedBody is a body whose sender is cut off: Read blocks until the body is closed.
 type blockedBody struct{ closed chan struct{} }
 
 // Read implements io.Reader.
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// newTargets is a host with a target of one slot behind a transport.
+// newTargets returns Targets with one target of one slot, reached by tr.
 func newTargets(tr http.RoundTripper) *Targets {
 	x := New(Deps{
 		OnChange: func([]peer.Target) {}, CrashCount: func(uint64) int { return 0 },
@@ -65,7 +65,7 @@
 	return x
 }
 
-// sendHeld sends a request whose body of five bytes has been held back.
+// sendHeld sends a request whose body of five bytes was held back by the caller's node.
 func sendHeld(x *Targets, body io.Reader) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "/", body)
 	r.ContentLength = 5
@@ -77,9 +77,9 @@
 	return w
 }
 
-// TestBodyNeverComes guards against a slot that is kept for a caller's node which has
-// been cut off after it was asked for the body.
-func TestBodyNeverComes(t *testing.T) {
+// TestHeldBodyTimeout guards against a slot that stays taken by a caller's node which was cut
+// off after its held-back body had been requested.
+func TestHeldBodyTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		tr := new(echoTransport)
@@ -94,15 +94,14 @@
 	})
 }
 
-// TestBodyFirst guards against a request that runs although its caller's node has been
-// told that it has not: a body that was held back is there before anything is sent to
-// the target.
-func TestBodyFirst(t *testing.T) {
+// TestHeldBodyReadFirst guards against a request that runs although its caller's node was
+// answered that it did not. A held-back body must be read before anything is sent to the target.
+func TestHeldBodyReadFirst(t *testing.T) {
 	c := qt.New(t)
 	tr := new(echoTransport)
 	x := newTargets(tr)
 	defer x.Close()
-	for range 2 { // the slot is free again
+	for range 2 { // the second one checks that the slot was freed
 		w := sendHeld(x, failingBody{})
 		c.Check(tr.requests, qt.Equals, 0)
 		c.Check(kind.ParseRan(w.Header().Get(kind.HeaderRan)), qt.Equals, kind.RanNo)
--- a/briarrockd/target/limiter_test.go
+++ b/briarrockd/target/limiter_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// simulateShedding plays calls at a full limit and returns the limit at the end. A call beyond
-// room is refused by the target, and so is each n-th one otherwise; 0 for none.
+// simulateShedding runs calls at a full limit and returns the limit at the end. The target
+// refuses calls beyond room, and of the others each n-th; none if n is 0.
 func simulateShedding(slots, room, n int) int {
 	l := limiter{}
 	l.reset(slots)
@@ -22,16 +22,16 @@
 	return l.value()
 }
 
-// TestShedAtAnyLoad guards against giving up slots of a target that refuses a part of its
-// calls whatever its load: fewer slots make it refuse no less.
+// TestShedAtAnyLoad guards against a lower limit for a target that refuses a share of its calls
+// at any load: fewer slots would not make it refuse fewer calls.
 func TestShedAtAnyLoad(t *testing.T) {
 	c := qt.New(t)
 	c.Check(simulateShedding(16, 16, 2) >= 14, qt.IsTrue, qt.Commentf("%d", simulateShedding(16, 16, 2)))
 	c.Check(simulateShedding(16, 16, 0), qt.Equals, 16)
 }
 
-// TestShedByLoad guards against sending a target more than it takes: one that announces
-// twice the slots that it has refuses only beyond them.
+// TestShedByLoad guards against sending a target more calls than it can run: it announces twice
+// the slots that it has, and refuses only calls beyond them.
 func TestShedByLoad(t *testing.T) {
 	c := qt.New(t)
 	got := simulateShedding(16, 8, 0)
--- a/briarrockd/target/load_test.go
+++ b/briarrockd/target/load_test.go
@@ -9,20 +9,20 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// flow is one route's calls at a gate: one each every, that take work.
+// flow describes the calls of one route: one each interval, which runs for work.
 type flow struct {
 	route          string
 	priority       snapshot.Priority
 	interval, work time.Duration
-	aim, deadline  time.Duration // aim and deadline, from the arrival on
+	aim, deadline  time.Duration // after the arrival
 }
 
-// tally is what became of a flow's calls.
+// tally counts the outcomes of a flow's calls.
 type tally struct{ started, refused, inTime int }
 
-// simulate drives a gate with flows for some time, in steps of a millisecond. Each
-// call that is started ends after its work.
-func simulate(g *Gate, flows []flow, last time.Duration) []tally {
+// simulate sends flows to a gate for a duration, in steps of a millisecond. Each call that is
+// started ends after its work.
+func simulate(g *Gate, flows []flow, duration time.Duration) []tally {
 	type run struct {
 		flow      int
 		arrivedAt time.Time
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	for at := time.Duration(0); at < last; at += step {
+	for at := time.Duration(0); at < duration; at += step {
 		now := start.Add(at)
 		for id := CallID(1); id <= next; id++ {
 			r := calls[id]
@@ -75,12 +75,11 @@
 	return out
 }
 
-// TestShortBehindLong has more reports of 180 ms than a target can run, beside
-// lookups of 12 ms with 60 ms of time, which other targets' runs wait for.
+// TestShortBehindLong sends more reports of 180 ms than a target can run, and lookups of 12 ms
+// with an aim of 60 ms, which runs at other targets wait for.
 //
-// A lookup that finds all slots taken by reports fails the run that needs it.
-// The reports are what there is too much of: they are refused, the lookups are
-// not, and the slots are at work all the same.
+// A lookup that finds all slots taken by reports fails the run that needs it. Reports cause the
+// overload, so reports must be refused and lookups not, while the slots stay in use.
 func TestShortBehindLong(t *testing.T) {
 	c := qt.New(t)
 	const slots, last = 15, 10 * time.Second
@@ -92,16 +91,16 @@
 	lookups, reports := got[0], got[1]
 	c.Check(float64(lookups.inTime) >= 0.99*float64(lookups.started+lookups.refused), qt.IsTrue, qt.Commentf("%+v", lookups))
 	busy := time.Duration(lookups.started)*flows[0].work + time.Duration(reports.started)*flows[1].work
-	c.Check(float64(busy) >= 0.85*float64(slots*last), qt.IsTrue, qt.Commentf("slots at work %.2f", float64(busy)/float64(slots*last)))
+	c.Check(float64(busy) >= 0.85*float64(slots*last), qt.IsTrue, qt.Commentf("slots in use %.2f", float64(busy)/float64(slots*last)))
 	c.Check(float64(reports.inTime) >= 0.99*float64(reports.started), qt.IsTrue, qt.Commentf("%+v", reports))
 }
 
-// TestTwiceTheCapacity has twice as many calls of one kind as a target can run,
-// and urgent ones among them.
+// TestTwiceTheCapacity sends twice as many calls of one kind as a target can run, with urgent
+// ones among them.
 //
-// What can't be run is told at once. The urgent ones all run in time, the slots
-// are never idle, and of the others nearly all that run are in time as well: a
-// long queue would make them late and run no more of them.
+// Calls that can't run must be refused at once. All urgent calls run in time, the slots are
+// never idle, and nearly all other calls that run are in time too: a long queue would make them
+// late without running more of them.
 func TestTwiceTheCapacity(t *testing.T) {
 	c := qt.New(t)
 	const slots, last = 15, 10 * time.Second
@@ -114,16 +113,14 @@
 	c.Check(orders.refused, qt.Equals, 0)
 	c.Check(orders.inTime, qt.Equals, orders.started)
 	busy := time.Duration(orders.started+reads.started) * flows[0].work
-	c.Check(float64(busy) >= 0.97*float64(slots*last), qt.IsTrue, qt.Commentf("slots at work %.2f", float64(busy)/float64(slots*last)))
+	c.Check(float64(busy) >= 0.97*float64(slots*last), qt.IsTrue, qt.Commentf("slots in use %.2f", float64(busy)/float64(slots*last)))
 	c.Check(float64(reads.inTime) >= 0.95*float64(reads.started), qt.IsTrue, qt.Commentf("%+v", reads))
 }
 
-// TestAllBackAtOnce has a whole service come back after a loss of power: every
-// target is cold, takes twice as long for a while, and its callers are all there.
-//
-// Calls get all of the slots from the first moment on, as there is no warm target
-// that could run them instead.
-func TestAllBackAtOnce(t *testing.T) {
+// TestColdTargetUsesAllSlots restarts a whole service after a loss of power: every target is
+// cold and takes twice as long for a while, and all callers are there at once. Calls must get
+// all slots from the start, as no warm target could run them instead.
+func TestColdTargetUsesAllSlots(t *testing.T) {
 	c := qt.New(t)
 	const slots = 15
 	x := &Targets{deps: Deps{}}
--- a/briarrockd/target/nested_test.go
+++ b/briarrockd/target/nested_test.go
@@ -6,9 +6,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestRuns guards against calls of runs that are not known as such, and against callers
-// who name a request like one: only the name of a call that runs here counts.
-func TestRuns(t *testing.T) {
+// TestIsRunning guards against outgoing calls of runs that are not recognized as such, and
+// against callers that forge a trace ID of such a call: only the trace ID of a running call
+// counts.
+func TestIsRunning(t *testing.T) {
 	c := qt.New(t)
 	x := &Targets{traces: make(map[string]int)}
 	first, second := x.track("a"), x.track("a")
@@ -21,7 +22,7 @@
 	c.Check(x.traces, qt.HasLen, 0)
 }
 
-func TestParent(t *testing.T) {
+func TestParentTrace(t *testing.T) {
 	c := qt.New(t)
 	for trace, want := range map[string]string{"a.b": "a", "a.b.c": "a.b", "a": "", ".b": "", "": ""} {
 		parent, ok := ParentTrace(trace)
--- a/briarrockd/target/observe_test.go
+++ b/briarrockd/target/observe_test.go
@@ -13,7 +13,7 @@
 	"briarrock.example/mesh/kind"
 )
 
-// fixedAnswer is a transport to a target whose answers all have one status and head.
+// fixedAnswer is a transport to a target whose answers all have the same status and headers.
 type fixedAnswer struct {
 	status int
 	head   atomic.Pointer[http.Header]
@@ -30,7 +30,7 @@
 	return &http.Response{StatusCode: x.status, Header: x.head.Load().Clone(), Body: http.NoBody, Request: req}, nil
 }
 
-// send sends a call that bears what its node reports, if anything.
+// send sends a call with the notices of its caller's node, if any.
 func send(x *Targets, reports ...Notice) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodGet, "/", nil)
 	r.Header.Set(HeaderService, "posting")
@@ -45,8 +45,8 @@
 	return kind.Kind(w.Header().Get(kind.HeaderKind))
 }
 
-// TestRateInAnyAnswer guards against a rate that is taken from successes alone: refusals,
-// failures and health checks name it as well.
+// TestRateInAnyAnswer guards against a rate that is read from successful answers only: refusals
+// and failures carry it too.
 func TestRateInAnyAnswer(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestRateInHealthCheck guards against a target that has just come, names a rate to its
-// health check and gets more before its first answer; and against a check without one
-// that ends it.
+// TestRateInHealthCheck guards against calls above the rate that a new target has advertised in
+// a health check, before its first answer to a request; and against a health check without a
+// rate that ends the limit.
 func TestRateInHealthCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -93,9 +93,9 @@
 	})
 }
 
-// TestReportedRate guards against a node that has replaced the target's and lets more
-// pass than other nodes were told, and against old reports that outlive the target's own
-// answers or bind another process.
+// TestReportedRate guards against a node process that replaces the target's node and lets more
+// calls pass than the rate known to other nodes. It also guards against old reports that
+// override the target's own answers or apply to another process.
 func TestReportedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -108,14 +108,14 @@
 		report := Notice{Process: x.process, Rate: NewRate(1), At: time.Now()}
 		c.Check(kindOf(send(ts, report)), qt.Equals, kind.Rate)
 		time.Sleep(time.Second)
-		c.Check(kindOf(send(ts, report)), qt.Equals, kind.None) // its answer names none
+		c.Check(kindOf(send(ts, report)), qt.Equals, kind.None) // the target's own answer has no rate
 		c.Check(kindOf(send(ts, report)), qt.Equals, kind.None)
 	})
 }
 
-// TestLeavingInAnswer guards against requests for a target that has said in an answer, or
-// to a health check, that it leaves, against announcements that take that back, and
-// against a word that is no answer to the question.
+// TestLeavingInAnswer guards against calls to a target that has reported in an answer or a
+// health check that it is about to stop, against announcements that revert that, and against a
+// header value that is not a boolean.
 func TestLeavingInAnswer(t *testing.T) {
 	up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", StartMillis: 7, Seq: 9}
 	for _, x := range []struct {
@@ -134,7 +134,7 @@
 			ts := newTargets(tr)
 			defer ts.Close()
 			ts.HandleAnnouncement(up)
-			time.Sleep(time.Second) // its health check
+			time.Sleep(time.Second) // for the health check
 			tr.head.Store(&http.Header{HeaderLeaving: {x.value}})
 			x.trigger(ts)
 			tr.head.Store(&http.Header{})
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestRateBesideOtherWriter guards against a rate that is forgotten since an announcement
-// which doesn't say when its process began is taken for another process's.
-func TestRateBesideOtherWriter(t *testing.T) {
+// TestRateKeptAfterForeignAnnouncement guards against a rate that is lost because an
+// announcement without a start time is taken for one of another process.
+func TestRateKeptAfterForeignAnnouncement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		tr := newFixedAnswer(http.StatusOK, http.Header{HeaderRate: {"1"}})
@@ -163,10 +163,10 @@
 		defer ts.Close()
 		up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", StartMillis: 7, Seq: 1}
 		ts.HandleAnnouncement(up)
-		time.Sleep(time.Second) // its health check
+		time.Sleep(time.Second) // for the health check
 		c.Check(kindOf(send(ts)), qt.Equals, kind.None)
 		c.Check(kindOf(send(ts)), qt.Equals, kind.Rate)
-		tr.head.Store(&http.Header{}) // a health check names none
+		tr.head.Store(&http.Header{}) // health checks have no rate
 		stray := up
 		stray.StartMillis = 0
 		ts.HandleAnnouncement(stray)
@@ -175,8 +175,8 @@
 	})
 }
 
-// TestNotices guards against notices that don't arrive as they were sent, and malformed
-// ones that count.
+// TestNotices guards against notices that are changed in transfer, and against malformed ones
+// that are accepted.
 func TestNotices(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -198,9 +198,9 @@
 	}
 }
 
-// TestLeavingBesideAnother guards against calls that are refused for a target which leaves
-// while another one of its service on the same host has room.
-func TestLeavingBesideAnother(t *testing.T) {
+// TestDrainingBesideAnother guards against calls that are refused for a draining target while
+// another target of its service on the same host has free slots.
+func TestDrainingBesideAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ts := newTargets(newFixedAnswer(http.StatusOK, http.Header{}))
@@ -224,12 +224,12 @@
 	return StateUp
 }
 
-// TestIdleAgain guards against a target that is passed over for good beside another one on
-// its host, since its load is still that of the moment of its last call.
-func TestIdleAgain(t *testing.T) {
+// TestLoadDecays guards against a target that never gets calls again beside another one on its
+// host, because its load is still that of the moment of its last call.
+func TestLoadDecays(t *testing.T) {
 	for name, head := range map[string]http.Header{
-		"named a rate": {HeaderRate: {"2"}},
-		"shed a call":  {kind.HeaderRan: {"no"}},
+		"advertised a rate": {HeaderRate: {"2"}},
+		"shed a call":       {kind.HeaderRan: {"no"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/briarrockd/target/rate_test.go
+++ b/briarrockd/target/rate_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestParseRate guards against a malformed rate that is taken for a bound, or for none.
+// TestParseRate guards against a malformed rate that is read as a limit, or as no limit.
 func TestParseRate(t *testing.T) {
 	c := qt.New(t)
 	for text, want := range map[string]float64{"0": 0, "24.9": 24.9, "1e3": 1000, "0.25": 0.25} {
@@ -28,9 +28,9 @@
 	c.Check(bounded, qt.IsFalse)
 }
 
-// TestNamedRateOrder guards against an answer to an older request that ends or raises a
-// rate which was named after that request was sent.
-func TestNamedRateOrder(t *testing.T) {
+// TestAdvertisedRateOrder guards against an answer to an older request that ends or raises a
+// rate which was received after that request was sent.
+func TestAdvertisedRateOrder(t *testing.T) {
 	c := qt.New(t)
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	var n advertisedRate
@@ -42,8 +42,8 @@
 		{10, 50, NewRate(40), NewRate(40)},   // the first
 		{20, 60, Rate{}, NewRate(40)},        // sent before the rate was received
 		{55, 70, NewRate(25), NewRate(25)},   // lowered
-		{60, 80, NewRate(40), NewRate(25)},   // overtaken by it
-		{61, 81, NewRate(20), NewRate(20)},   // stricter, whichever is newer
+		{60, 80, NewRate(40), NewRate(25)},   // sent before the lower rate was received
+		{61, 81, NewRate(20), NewRate(20)},   // a stricter rate always applies
 		{90, 120, NewRate(30), NewRate(30)},  // raised
 		{115, 130, Rate{}, NewRate(30)},      // sent before the raise was received
 		{125, 140, Rate{}, Rate{}},           // ended
