--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -81,7 +81,8 @@
 	return true
 }
 
-// isStale reports whether an announcement is older than what is already known of the target.
+// isStale reports whether an announcement is older than what is already known of the target. It
+// counts announcements with an earlier process start in x.earlierStarts.
 func (t *Targets) isStale(x *target, a Announcement) bool {
 	if startMillis, ok := t.departed[a.ID]; ok && a.ID != "" && a.StartMillis <= startMillis && a.State != StateDraining {
 		return true
--- a/briarrockd/target/bodies_test.go
+++ b/briarrockd/target/bodies_test.go
@@ -142,13 +142,13 @@
 			}
 			u.advance()
 		}
-		took := float64(u.inTime) * mean / (link * seconds)
-		c.Logf("use %.1f: sent %d, in aim %d, late %d, refused %d (held %v), link used well %.2f, most %.0f KB at once, short waited %v",
-			use, sent, u.inTime, u.late, u.refused, u.maxTimeToRefuse, took, u.maxInFlightBytes/1000, u.maxShortWait)
+		utilization := float64(u.inTime) * mean / (link * seconds)
+		c.Logf("load %.1f: sent %d, in time %d, late %d, refused %d (after %v at most), link utilization %.2f, at most %.0f KB in transit, short calls waited %v at most",
+			use, sent, u.inTime, u.late, u.refused, u.maxTimeToRefuse, utilization, u.maxInFlightBytes/1000, u.maxShortWait)
 		c.Check(u.maxInFlightBytes <= 400e3, qt.IsTrue)
 		c.Check(u.maxShortWait <= time.Millisecond, qt.IsTrue)
 		c.Check(u.late*50 <= sent, qt.IsTrue)
-		c.Check(took >= 0.85*min(use, 1), qt.IsTrue, qt.Commentf("%v of the link at %v", took, use))
+		c.Check(utilization >= 0.85*min(use, 1), qt.IsTrue, qt.Commentf("link utilization %v at load %v", utilization, use))
 		c.Check(u.maxTimeToRefuse <= aim, qt.IsTrue)
 	}
 }
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -136,8 +136,8 @@
 	return kind.Full
 }
 
-// rejectForCapacity refuses a call for lack of capacity.
-func (g *Gate) rejectForCapacity(a *Arrival, k kind.Kind) {
+// refuseForCapacity refuses a call for lack of capacity.
+func (g *Gate) refuseForCapacity(a *Arrival, k kind.Kind) {
 	if !a.CrossRegion {
 		g.overload.recordRefused(g.now, a.Priority)
 	}
@@ -160,7 +160,8 @@
 func (g *Gate) MeanDuration() time.Duration { return g.limit.durations.mean }
 
 // slotWait returns the expected time until a slot is free for a call behind n others. Slots that
-// more urgent calls usually hold don't count, since those that arrive later go before it too.
+// more urgent calls usually use don't count, since more urgent calls that are still to arrive go
+// before it too.
 func (g *Gate) slotWait(n int, priority snapshot.Priority) time.Duration {
 	left := max(1, float64(g.concurrencyLimit())-g.reserve.meanHigherPriority(priority))
 	return time.Duration(float64(g.limit.durations.overall()) * float64(n+1) / left)
@@ -182,7 +183,7 @@
 		g.refuseWithRetry(m.ID, g.shortageKind(), overloadWindow)
 		return
 	case m.CrossRegion && !g.admitsCrossRegion(&m):
-		g.rejectForCapacity(&m, g.shortageKind())
+		g.refuseForCapacity(&m, g.shortageKind())
 		return
 	case g.canStart(&m):
 		// A slot is free, so calls that are already queued wait for the link and not for a slot.
@@ -193,15 +194,15 @@
 	ok := g.expectedInTime(m)
 	g.overload.recordDecision(m.Priority, !ok)
 	if !ok {
-		g.rejectForCapacity(&m, g.shortageKind())
+		g.refuseForCapacity(&m, g.shortageKind())
 		return
 	}
 	if g.exceedsCallerShare(m.Caller) {
-		g.rejectForCapacity(&m, kind.Limit)
+		g.refuseForCapacity(&m, kind.Limit)
 		return
 	}
 	if len(g.queue) >= g.queueMax && !g.evict(m.Priority) {
-		g.rejectForCapacity(&m, g.shortageKind())
+		g.refuseForCapacity(&m, g.shortageKind())
 		return
 	}
 	g.queue = append(g.queue, queuedCall{m, g.now})
@@ -254,7 +255,7 @@
 		w := g.queue[i]
 		g.queue = append(g.queue[:i], g.queue[i+1:]...)
 		if !g.worthStarting(w) {
-			g.rejectForCapacity(&w.Arrival, g.shortageKind())
+			g.refuseForCapacity(&w.Arrival, g.shortageKind())
 			continue
 		}
 		g.running[w.ID] = w.Priority
--- a/briarrockd/target/limiter.go
+++ b/briarrockd/target/limiter.go
@@ -16,15 +16,16 @@
 	// minLimitShareSlow is that share where calls have only become slow: the cause may be the
 	// work itself, which fewer slots would not make faster.
 	minLimitShareSlow = 0.75
-	// maxSlowdown is the ratio of a call's mean duration to its mean duration at low load above
-	// which the limit goes down, if it is reached. If a target announces more slots than it has,
-	// its calls slow each other down.
+	// maxSlowdown is how many times its mean duration at low load a call has to take, on
+	// average, for a limit that is reached to be decreased. If a target announces more slots
+	// than it has, its calls slow each other down.
 	maxSlowdown = 4
 	// recoveryDelay is the time after a decrease from which on successful calls raise the limit
 	// even if it is not reached. Calls that are only sent where slots are free, such as those
 	// from other regions, would otherwise never find one again.
 	recoveryDelay = time.Second
-	// lowLoadShare is the share of the limit up to which load counts as low.
+	// lowLoadShare is the share of the limit, or for shed calls of the slots, up to which load
+	// counts as low.
 	lowLoadShare = 0.5
 	// shedWeight is the weight of the newest call in the shares of shed calls. Load counts as
 	// the cause of shedding if the share at high load is at least minShedRatio times the share
--- a/briarrockd/target/notice.go
+++ b/briarrockd/target/notice.go
@@ -9,8 +9,8 @@
 
 // HeaderNotice carries the rates and drain states that targets have reported in their answers,
 // one Notice for each value. The target's node sends them in its answers, and the nodes of the
-// callers send them back to it in their requests. A node process that replaces the target's node
-// thus learns them with the first request that they apply to.
+// callers send them back to it in their requests. So a process that replaces the target's node
+// receives them before it admits the first request to which they apply.
 const HeaderNotice = "Briarrock-Notice"
 
 // maxNotices bounds the notices in one header.
--- a/briarrockd/target/observe.go
+++ b/briarrockd/target/observe.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// markLeaving ends new calls to a target that is about to stop. A process never leaves that
+// markLeaving stops new calls to a target that is about to stop. A process never leaves that
 // state, even if announcements that were sent earlier arrive afterwards.
 func (t *Targets) markLeaving(x *target, source string) {
 	if x.leaving.Swap(true) {
@@ -83,20 +83,20 @@
 	x.mu.Lock()
 	old := x.advertised
 	change(&x.advertised)
-	named := x.advertised
-	if named.rate != old.rate {
-		x.stepLocked(Throttle{named.rate})
+	updated := x.advertised
+	if updated.rate != old.rate {
+		x.stepLocked(Throttle{updated.rate})
 	}
 	x.mu.Unlock()
-	if named.rate != old.rate {
-		t.logRateChange(x, old, named, source)
+	if updated.rate != old.rate {
+		t.logRateChange(x, old, updated, source)
 	}
 }
 
-func (t *Targets) logRateChange(x *target, old, named advertisedRate, source string) {
+func (t *Targets) logRateChange(x *target, old, updated advertisedRate, source string) {
 	f := event.Fields{
 		event.Subject: x.addr, "service": x.service, "id": t.lastAnnouncement(x).ID,
-		"from": old.rate.String(), "rate": named.rate.String(), "source": source,
+		"from": old.rate.String(), "rate": updated.rate.String(), "source": source,
 	}
 	if !old.answeredAt.IsZero() {
 		f["age"] = time.Since(old.answeredAt).Milliseconds()
@@ -105,7 +105,7 @@
 }
 
 // applyReports applies the notices that a caller's node sent about this host's targets. A node
-// process that was started after a target does not know what the target has reported before.
+// process that was started later than a target has not received what the target reported before.
 func (t *Targets) applyReports(reports []Notice) {
 	if len(reports) == 0 {
 		return
@@ -115,7 +115,7 @@
 			if n.Process != x.process {
 				continue
 			}
-			t.setRate(x, "report", func(known *advertisedRate) { known.updateFromReport(n.Rate) })
+			t.setRate(x, "report", func(advertised *advertisedRate) { advertised.updateFromReport(n.Rate) })
 			if n.Leaving {
 				t.markLeaving(x, "report")
 			}
--- a/briarrockd/target/overload.go
+++ b/briarrockd/target/overload.go
@@ -13,12 +13,12 @@
 	// lowerPriorityWindow is how long after the start of a lower-priority call more such calls
 	// are assumed to follow. Calls of higher priority get the next slots before them.
 	lowerPriorityWindow = 500 * time.Millisecond
-	// rejectWeight is the weight of the newest call in the share of refused calls, which then
+	// refusedWeight is the weight of the newest call in the share of refused calls, which then
 	// covers about the last twenty calls.
-	rejectWeight = 0.05
-	// maxRejectShare is the share of refused calls from which on no call queues beyond
+	refusedWeight = 0.05
+	// maxRefusedShare is the share of refused calls from which on no call queues beyond
 	// minQueueLen.
-	maxRejectShare = 0.15
+	maxRefusedShare = 0.15
 )
 
 // overload records how overloaded a gate is for calls of each priority.
@@ -50,7 +50,7 @@
 
 // recordDecision records whether a call was refused or admitted on arrival.
 func (p *overload) recordDecision(priority snapshot.Priority, refused bool) {
-	p.refusedShare[min(priority, snapshot.MostUrgent)].observe(refused, rejectWeight)
+	p.refusedShare[min(priority, snapshot.MostUrgent)].observe(refused, refusedWeight)
 }
 
 // recordStarted records the start of a call.
@@ -65,7 +65,7 @@
 // the same without a queue. So the larger the share of refused calls, the shorter a call may
 // wait; the others are refused at once.
 func (p *overload) maxWaitShare(priority snapshot.Priority) float64 {
-	return max(0, 1-float64(p.refusedShare[min(priority, snapshot.MostUrgent)])/maxRejectShare)
+	return max(0, 1-float64(p.refusedShare[min(priority, snapshot.MostUrgent)])/maxRefusedShare)
 }
 
 // lowerPriorityStarted reports whether lower-priority calls are still being started. The
--- a/briarrockd/target/pacer.go
+++ b/briarrockd/target/pacer.go
@@ -12,8 +12,9 @@
 	// minRate and maxRate bound the enforced rate, in requests a second. Only an answer can
 	// raise or end a rate limit, so some requests have to pass at any rate.
 	minRate, maxRate = 0.5, 1e6
-	// maxRetrySpread is how much later than the next queued call the retry of a refused call may
-	// be set, and maxRetryStep how much later than that of the call refused before it.
+	// maxRetrySpread is the longest time between the next queued call's turn and the retry of a
+	// refused call. maxRetryStep is the longest time between the retries of two successive
+	// refused calls.
 	maxRetrySpread = time.Second
 	maxRetryStep   = maxRetrySpread / 8
 	// oneToken is the number of tokens that count as one: the bucket's tokens are rounded.
--- a/briarrockd/target/queue.go
+++ b/briarrockd/target/queue.go
@@ -7,7 +7,7 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// queuedCall is a queued call.
+// queuedCall is a call that has been in the queue since queuedAt.
 type queuedCall struct {
 	Arrival
 	queuedAt time.Time
@@ -81,10 +81,10 @@
 
 // queuedBytes returns the length of the long bodies of the queued calls that go before a call,
 // or of all queued calls if it is nil.
-func (g *Gate) queuedBytes(before *queuedCall) int64 {
+func (g *Gate) queuedBytes(call *queuedCall) int64 {
 	n := int64(0)
 	for i := range g.queue {
-		if g.bodies.isLong(&g.queue[i].Arrival) && (before == nil || !g.before(before, &g.queue[i])) {
+		if g.bodies.isLong(&g.queue[i].Arrival) && (call == nil || !g.before(call, &g.queue[i])) {
 			n += g.bodies.size(&g.queue[i].Arrival)
 		}
 	}
@@ -122,7 +122,7 @@
 	if lowest < 0 {
 		return false
 	}
-	g.rejectForCapacity(&g.queue[lowest].Arrival, g.shortageKind())
+	g.refuseForCapacity(&g.queue[lowest].Arrival, g.shortageKind())
 	g.queue = append(g.queue[:lowest], g.queue[lowest+1:]...)
 	return true
 }
@@ -146,7 +146,7 @@
 		case !w.Deadline.After(g.now):
 			g.refuse(w.ID, kind.Deadline)
 		case w.Aim.After(w.queuedAt) && !w.Aim.After(g.now) && !g.overload.lowerPriorityStarted(g.now, w.Priority):
-			g.rejectForCapacity(&w.Arrival, g.shortageKind())
+			g.refuseForCapacity(&w.Arrival, g.shortageKind())
 		default:
 			kept = append(kept, w)
 		}
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -63,7 +63,7 @@
 	if err != nil || ms < 0 || ms > maxDeadline.Milliseconds() {
 		return call{}, false
 	}
-	mark, _ := strconv.ParseUint(r.Header.Get(HeaderFingerprint), 16, 64)
+	fingerprint, _ := strconv.ParseUint(r.Header.Get(HeaderFingerprint), 16, 64)
 	priority, _ := strconv.ParseUint(r.Header.Get(HeaderPriority), 10, 8)
 	var aim time.Time
 	if ms, err := strconv.ParseInt(r.Header.Get(HeaderAim), 10, 64); err == nil && ms <= maxDeadline.Milliseconds() {
@@ -76,7 +76,7 @@
 		priority:    min(snapshot.Priority(priority), snapshot.MostUrgent),
 		deadline:    now.Add(time.Duration(ms) * time.Millisecond),
 		route:       r.Header.Get(HeaderRoute),
-		fingerprint: mark,
+		fingerprint: fingerprint,
 		trace:       r.Header.Get(HeaderTrace),
 		atMostOnce:  r.Header.Get(HeaderAtMostOnce) != "",
 		crossRegion: r.Header.Get(HeaderCrossRegion) != "",
@@ -144,15 +144,15 @@
 // leastLoaded returns the target of a service on this host with the lowest load. A draining
 // target looks idle, and is returned only if there is no other.
 func (t *Targets) leastLoaded(service string) *target {
-	var best, leaving *target
+	var best, draining *target
 	minLoad := 0.0
 	for _, x := range t.list() {
-		admitted, drains := t.admissionState(x)
+		admitted, isDraining := t.admissionState(x)
 		if x.service != service || !admitted {
 			continue
 		}
-		if drains {
-			leaving = x
+		if isDraining {
+			draining = x
 			continue
 		}
 		x.mu.Lock()
@@ -162,11 +162,11 @@
 			best, minLoad = x, load
 		}
 	}
-	return cmp.Or(best, leaving)
+	return cmp.Or(best, draining)
 }
 
 // admissionState reports whether calls may pass to a target at all, and whether it is draining.
-func (t *Targets) admissionState(x *target) (admitted, drains bool) {
+func (t *Targets) admissionState(x *target) (admitted, draining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return x.admitted, x.isDraining()
@@ -194,12 +194,12 @@
 // reported to the headers of an answer. It returns the load.
 func (x *target) writeLoad(h http.Header) string {
 	x.mu.Lock()
-	load, usual := x.gate.Load(time.Now()), x.gate.MeanDuration()
+	load, mean := x.gate.Load(time.Now()), x.gate.MeanDuration()
 	x.mu.Unlock()
 	text := strconv.FormatFloat(load, 'f', 2, 64)
 	h.Set(HeaderLoad, text)
-	if usual > 0 {
-		h.Set(HeaderMeanDuration, strconv.FormatInt(usual.Milliseconds(), 10))
+	if mean > 0 {
+		h.Set(HeaderMeanDuration, strconv.FormatInt(mean.Milliseconds(), 10))
 	}
 	if n, ok := x.notice(); ok {
 		WriteNotices(h, time.Now(), n)
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -36,7 +36,7 @@
 // States that a target may announce.
 const (
 	StateUp       = "up"
-	StateCold     = "cold"
+	StateCold     = "cold" // just started, and slow for a while
 	StateDraining = "draining"
 )
 
@@ -78,7 +78,7 @@
 	// suspected request that ran to its end.
 	OnCrash func(peer.Crashed)
 	// CrashCount returns in how many crashes the request with this fingerprint was in flight.
-	CrashCount func(mark uint64) int
+	CrashCount func(fingerprint uint64) int
 	Log        *event.Log
 	Metrics    *metrics.Set
 	// Stall is the timeout for an exchange in which no byte moves.
@@ -139,7 +139,7 @@
 	url          *url.URL
 	announcement Announcement
 	announcedAt  time.Time
-	// announcements counts the announcements; admitted is set once calls may pass.
+	// announcements counts the announcements received; admitted is set once calls may pass.
 	announcements int
 	admitted      bool
 	// earlierStarts counts consecutive announcements with an earlier process start than that of
