--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -130,14 +130,14 @@
 	port := "127.0.0.1:0"
 	cfg := settings.Settings{
 		Host: fmt.Sprintf("%s-%d", p.Domain, i), Domain: p.Domain, Region: p.Region,
-		Caller: port, Call: port, Peer: port, Operator: port, Announce: port,
-		Contacts: append([]string(nil), m.contacts...),
-		Platform: settings.Platform{URL: m.store, Region: m.Spec.StoreRegion},
-		Security: settings.Security{Plain: true},
-		Stall:    m.Spec.Stall, Drain: time.Minute,
+		CallerAddr: port, CallAddr: port, PeerAddr: port, OperatorAddr: port, AnnounceAddr: port,
+		Contacts:     append([]string(nil), m.contacts...),
+		Platform:     settings.Platform{URL: m.store, Region: m.Spec.StoreRegion},
+		Security:     settings.Security{Plain: true},
+		StallTimeout: m.Spec.Stall, DrainTimeout: time.Minute,
 	}
-	if cfg.Stall == 0 {
-		cfg.Stall = time.Minute
+	if cfg.StallTimeout == 0 {
+		cfg.StallTimeout = time.Minute
 	}
 	if m.Spec.Authority != nil {
 		var err error
@@ -156,7 +156,7 @@
 	}
 	m.Nodes = append(m.Nodes, n)
 	if len(m.contacts) < m.Spec.Contacts {
-		m.contacts = append(m.contacts, n.Cfg.Peer)
+		m.contacts = append(m.contacts, n.Cfg.PeerAddr)
 	}
 	return nil
 }
@@ -173,14 +173,14 @@
 	here := Place{cfg.Domain, cfg.Region}
 	deps := node.Deps{Log: log, HTTP1: m.Spec.HTTP1, Dial: m.dialFrom(here)}
 	if m.Spec.Used != nil {
-		deps.Used = func(version uint64) { m.Spec.Used(cfg.Host, version) }
+		deps.OnVersion = func(version uint64) { m.Spec.Used(cfg.Host, version) }
 	}
 	n, err := node.New(cfg, deps)
 	if err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
-	for _, addr := range []string{n.Settings().Peer, n.Settings().Call} {
+	for _, addr := range []string{n.Settings().PeerAddr, n.Settings().CallAddr} {
 		m.at[addr] = here
 	}
 	m.mu.Unlock()
@@ -233,7 +233,7 @@
 	n.addr = cfg.Addr
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	go n.Target.Announce(ctx, "http://"+n.Cfg.Announce)
+	go n.Target.Announce(ctx, "http://"+n.Cfg.AnnounceAddr)
 	return nil
 }
 
@@ -253,7 +253,7 @@
 	n.server = m.serve(l, n.Target)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	go n.Target.Announce(ctx, "http://"+n.Cfg.Announce)
+	go n.Target.Announce(ctx, "http://"+n.Cfg.AnnounceAddr)
 	return nil
 }
 
@@ -300,7 +300,7 @@
 	if a := m.Spec.Authority; a != nil {
 		return m.secureOperator(i, a)
 	}
-	return api.New(http.DefaultClient, "http://"+m.Nodes[i].Cfg.Operator, "")
+	return api.New(http.DefaultClient, "http://"+m.Nodes[i].Cfg.OperatorAddr, "")
 }
 
 // operatorName is who edits a mesh with certificates.
@@ -312,10 +312,10 @@
 	if err == nil {
 		var k *keys.Keys
 		if k, err = keys.Load(keys.Files{Cert: files.Cert, Key: files.Key, CA: files.CA}); err == nil {
-			c.Transport = &http.Transport{TLSClientConfig: k.Client()}
+			c.Transport = &http.Transport{TLSClientConfig: k.ClientConfig()}
 		}
 	}
-	return api.New(c, "https://"+m.Nodes[i].Cfg.Operator, "")
+	return api.New(c, "https://"+m.Nodes[i].Cfg.OperatorAddr, "")
 }
 
 // ErrTimeout says that something did not happen in time.
@@ -338,7 +338,7 @@
 func (m *Mesh) Joined(timeout time.Duration) error {
 	return Until(timeout, func() bool {
 		for _, n := range m.Nodes {
-			if n.Known() < len(m.Nodes) {
+			if n.LiveMembers() < len(m.Nodes) {
 				return false
 			}
 		}
--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -50,10 +50,10 @@
 	body, length := c.payload()
 	held := c.holdsBody(u)
 	res, out := relay.Send(ctx, relay.Call{
-		In: c.r, URL: relay.Toward(&url.URL{Scheme: p.deps.Scheme, Host: u.addr}, c.r), Host: c.r.Host,
-		Add: c.towardsNode(u, held), Body: body, Length: length, Transport: p.deps.Transport, Stall: p.deps.Stall,
+		In: c.r, URL: relay.RebaseURL(&url.URL{Scheme: p.deps.Scheme, Host: u.addr}, c.r), Host: c.r.Host,
+		ExtraHeader: c.towardsNode(u, held), Body: body, ContentLength: length, Transport: p.deps.Transport, StallTimeout: p.deps.StallTimeout,
 		Deadline: c.deadline.Add(deadlineSlack), Streamed: c.streamed,
-		Once: c.route.Mode == snapshot.Once, Withheld: held && !c.streamed,
+		Once: c.route.Mode == snapshot.Once, ForwardAfterBody: held && !c.streamed,
 	})
 	a := attempt{res: res, host: u.host, kind: out.Kind, err: out.Err}
 	if res != nil {
@@ -72,7 +72,7 @@
 		}
 		p.counts.crossed(c.routeName(), bytes)
 	}
-	p.deps.Chooser.done(time.Now(), c.service.Name, u.host, a.feedback(c, out))
+	p.deps.Balancer.done(time.Now(), c.service.Name, u.host, a.feedback(c, out))
 	return a
 }
 
@@ -81,12 +81,12 @@
 func (a *attempt) read(res *http.Response, streamed bool) {
 	a.ran = kind.ParseRan(res.Header.Get(kind.HeaderRan))
 	a.kind = kind.Kind(res.Header.Get(kind.HeaderKind))
-	a.after = relay.After(res.Header)
+	a.after = relay.RetryAfter(res.Header)
 	a.reached = a.kind == kind.None || a.kind == kind.Shed || a.ran != kind.RanNo
 	if a.kind != kind.None || (streamed && res.ContentLength < 0) {
 		return
 	}
-	if relay.Whole(res, relay.KeepAnswer) != nil {
+	if relay.BufferResponse(res, relay.MaxBufferedResponse) != nil {
 		a.res, a.kind, a.ran = nil, kind.Broken, kind.RanUnknown
 	}
 }
@@ -144,7 +144,7 @@
 		h.Set(target.HeaderAim, strconv.FormatInt(time.Until(c.aim).Milliseconds(), 10))
 	}
 	if held {
-		h.Set("Expect", http1.Continue)
+		h.Set("Expect", http1.ExpectContinue)
 		h.Set(http1.HeaderHeld, "yes")
 	}
 	if c.caller != "" {
--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -3,7 +3,7 @@
 // sends each to a target's node by the route's policy.
 //
 //	p := caller.New(caller.Deps{Claims: claims, Transport: tr, …})
-//	p.Use(table)           // swap in a new table
+//	p.SetTable(table)      // replaces the routing table atomically
 //	http.Serve(listener, p)
 //
 // A request names its service in the Host header. The answer is the target's,
@@ -45,24 +45,24 @@
 
 // Deps are what a Proxy needs from outside.
 type Deps struct {
-	Chooser   *Chooser
+	Balancer  *Balancer
 	Budget    *Budget
 	Claims    *claim.Claims
 	Transport http.RoundTripper
 	// Scheme is that of the nodes' call addresses: http, or https with keys.
 	Scheme string
-	// Suspicion tells how often a request has been in flight at a crash.
-	Suspicion func(mark uint64) int
-	// Runs tells whether a target of this host runs a call of a name now; nil for
+	// CrashCount tells how often a request has been in flight at a crash.
+	CrashCount func(fingerprint uint64) int
+	// IsRunning tells whether a target of this host runs a call of a name now; nil for
 	// a node that has no targets.
-	Runs func(trace string) bool
-	// Caller finds out who calls, by the request's headers; false if it is
+	IsRunning func(trace string) bool
+	// Authenticate finds out who calls, by the request's headers; false if it is
 	// nobody who may.
-	Caller  func(h http.Header) (string, bool)
-	Log     *event.Log
-	Metrics *metrics.Set
-	// Stall bounds the time without a byte moving.
-	Stall time.Duration
+	Authenticate func(h http.Header) (string, bool)
+	Log          *event.Log
+	Metrics      *metrics.Set
+	// StallTimeout bounds the time without a byte moving.
+	StallTimeout time.Duration
 	// Hedge sends a request that may be repeated to a second target when the
 	// first one takes unusually long.
 	Hedge bool
@@ -102,13 +102,13 @@
 		took:     d.Metrics.GetOrCreateHistogram("briarrock_call_seconds"),
 	}
 	d.Metrics.GetOrCreateGauge("briarrock_ejected", func() float64 {
-		return float64(d.Chooser.Ejected(time.Now()))
+		return float64(d.Balancer.Ejected(time.Now()))
 	})
 	return p
 }
 
-// Use swaps in a table. Calls that are under way keep theirs.
-func (p *Proxy) Use(t *Table) {
+// SetTable swaps in a table. Calls that are under way keep theirs.
+func (p *Proxy) SetTable(t *Table) {
 	p.table.Store(t)
 	if !p.starting.over() {
 		p.starting.tell()
@@ -118,13 +118,13 @@
 // Table returns the table in use; nil before the first.
 func (p *Proxy) Table() *Table { return p.table.Load() }
 
-// Leave makes the proxy refuse new calls: the node is about to stop.
-func (p *Proxy) Leave() { p.leaving.Store(true) }
+// Drain makes the proxy refuse all new calls, because the node is about to stop.
+func (p *Proxy) Drain() { p.leaving.Store(true) }
 
-// LeaveBy makes the proxy refuse calls that may take longer than until t: the node
-// ends then, and what is under way would be broken off. Calls that its own targets
-// still make for what they run are short and pass.
-func (p *Proxy) LeaveBy(t time.Time) { p.until.Store(t.UnixNano()) }
+// SetShutdownTime makes the proxy refuse calls whose deadline is later than t, when the
+// node ends and cuts off the calls in flight. Calls that local targets make for requests
+// in progress have short deadlines and are still accepted.
+func (p *Proxy) SetShutdownTime(t time.Time) { p.until.Store(t.UnixNano()) }
 
 // call is one request on its way, with what was decided about it.
 type call struct {
@@ -172,7 +172,7 @@
 		return
 	}
 	defer p.inflight.Add(-1)
-	relay.Duplex(w, r)
+	relay.EnableFullDuplex(w, r)
 	began := time.Now()
 	defer p.took.UpdateDuration(began)
 	p.holdAtStart(r)
@@ -219,7 +219,7 @@
 	c.set = c.table.sets[c.service.Name]
 	p.promote(c)
 	var ok bool
-	c.caller, ok = p.deps.Caller(r.Header)
+	c.caller, ok = p.deps.Authenticate(r.Header)
 	if !ok || !c.route.Allows(c.caller) {
 		return c, refusal{kind: kind.Caller}
 	}
@@ -237,8 +237,8 @@
 	if k := p.readBody(c); k != kind.None {
 		return c, refusal{kind: k}
 	}
-	c.print = claim.Print(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
-	if p.deps.Suspicion(c.print) >= peer.HoldAt {
+	c.print = claim.Fingerprint(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
+	if p.deps.CrashCount(c.print) >= peer.HoldAt {
 		return c, refusal{kind: kind.Held}
 	}
 	return c, refusal{}
@@ -249,7 +249,7 @@
 // right to it: the call that it names as its parent must run here now.
 func (p *Proxy) promote(c *call) {
 	parent, ok := target.ParentTrace(c.trace)
-	if !ok || p.deps.Runs == nil || !p.deps.Runs(parent) {
+	if !ok || p.deps.IsRunning == nil || !p.deps.IsRunning(parent) {
 		return
 	}
 	c.nested = true
@@ -326,7 +326,7 @@
 		return kind.None
 	}
 	var err error
-	if c.body, err = relay.ReadBody(c.r, p.deps.Stall); err != nil {
+	if c.body, err = relay.ReadBody(c.r, p.deps.StallTimeout); err != nil {
 		return kind.Request
 	}
 	return kind.None
@@ -381,5 +381,5 @@
 	}
 	p.tell(c, k, ran, k.Answer().Status, after)
 	w.Header().Set(target.HeaderTrace, c.trace)
-	relay.FailAfter(w, k, ran, after)
+	relay.WriteFailureWithRetryAfter(w, k, ran, after)
 }
--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -12,18 +12,18 @@
 // once runs a call that may run at most once and carries a key.
 func (p *Proxy) once(w http.ResponseWriter, c *call) {
 	key := c.r.Header.Get(HeaderKey)
-	if len(key) > claim.MaxKey || len(c.r.Header[HeaderKey]) != 1 {
+	if len(key) > claim.MaxKeyBytes || len(c.r.Header[HeaderKey]) != 1 {
 		p.fail(w, c, kind.Key, kind.RanNo, 0)
 		return
 	}
-	d := p.deps.Claims.Begin(c.r.Context(), claim.Request{Service: c.service.Name, Key: key, Print: c.print})
+	d := p.deps.Claims.Begin(c.r.Context(), claim.Request{Service: c.service.Name, Key: key, Fingerprint: c.print})
 	switch d.Verdict {
 	case claim.Run:
 		c.claim = d.Claim
 		p.runOnce(w, c)
 	case claim.Replay:
 		p.replay(w, c, d.Outcome)
-	case claim.Repeat:
+	case claim.OutcomeUnknown:
 		p.fail(w, c, kind.Repeat, kind.RanUnknown, 0)
 	case claim.Conflict:
 		p.fail(w, c, kind.Conflict, kind.RanNo, 0)
@@ -52,8 +52,8 @@
 	h.Set(target.HeaderTrace, c.trace)
 	h.Set(kind.HeaderRan, kind.RanYes.String())
 	h.Set(HeaderReplay, "yes")
-	if o.Type != "" {
-		h.Set("Content-Type", o.Type)
+	if o.ContentType != "" {
+		h.Set("Content-Type", o.ContentType)
 	}
 	w.WriteHeader(o.Status)
 	_, _ = w.Write(o.Body)
@@ -78,7 +78,7 @@
 // Read implements io.Reader.
 func (b *kept) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	if len(b.k.body)+n > claim.MaxBody {
+	if len(b.k.body)+n > claim.MaxBodyBytes {
 		b.k.cut = true
 		b.k.body = nil
 	}
@@ -89,5 +89,5 @@
 }
 
 func (k *keeper) outcome() claim.Outcome {
-	return claim.Outcome{Status: k.status, Type: k.mime, Body: k.body, Cut: k.cut}
+	return claim.Outcome{Status: k.status, ContentType: k.mime, Body: k.body, BodyOmitted: k.cut}
 }
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -106,9 +106,9 @@
 			member.Targets = []peer.Target{{Service: toldService, Slots: toldSlots}}
 		}
 		h.proxy = New(Deps{
-			Chooser: NewChooser(member.Domain, member.Region, uint64(i)), Budget: NewBudget(), Transport: toldNet{h}, Scheme: "http",
-			Suspicion: func(uint64) int { return 0 }, Caller: func(http.Header) (string, bool) { return "front", true },
-			Log: quietLog(), Stall: time.Minute, Hedge: true,
+			Balancer: NewBalancer(member.Domain, member.Region, uint64(i)), Budget: NewBudget(), Transport: toldNet{h}, Scheme: "http",
+			CrashCount: func(uint64) int { return 0 }, Authenticate: func(http.Header) (string, bool) { return "front", true },
+			Log: quietLog(), StallTimeout: time.Minute, Hedge: true,
 		})
 		m.hosts, m.members = append(m.hosts, h), append(m.members, member)
 	}
@@ -120,7 +120,7 @@
 
 func (m *toldMesh) use() {
 	for _, h := range m.hosts {
-		h.proxy.Use(NewTable(1, m.snap, m.members))
+		h.proxy.SetTable(NewTable(1, m.snap, m.members))
 	}
 }
 
--- a/briarrockd/claim/claim_test.go
+++ b/briarrockd/claim/claim_test.go
@@ -102,16 +102,16 @@
 	})
 }
 
-var order = Request{Service: "orderdesk", Key: "k1", Print: 7}
+var order = Request{Service: "orderdesk", Key: "k1", Fingerprint: 7}
 
 // TestDuplicates sends one order through two nodes, before and after it ran.
 func TestDuplicates(t *testing.T) {
 	bubble(t, func(c *qt.C, _ *memory, a, b *Claims) {
 		first := a.Begin(context.Background(), order)
 		c.Assert(first.Verdict, qt.Equals, Run)
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, Repeat)
+		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 		other := order
-		other.Print = 8
+		other.Fingerprint = 8
 		c.Check(b.Begin(context.Background(), other).Verdict, qt.Equals, Conflict)
 		a.Finish(first.Claim, Outcome{Status: 201, Body: []byte("done")})
 		time.Sleep(time.Second)
@@ -129,9 +129,9 @@
 		time.Sleep(time.Until(now.Truncate(24 * time.Hour).Add(24*time.Hour - time.Second)))
 		c.Assert(a.Begin(context.Background(), order).Verdict, qt.Equals, Run)
 		time.Sleep(2 * time.Second)
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, Repeat)
+		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 		time.Sleep(23 * time.Hour)
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, Repeat)
+		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 	})
 }
 
@@ -145,11 +145,11 @@
 		m.set(func() { m.fail, m.done = platform.ErrUnknown, true })
 		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Run)
 		m.set(func() { m.fail = nil })
-		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, Repeat)
+		c.Check(b.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 	})
 	bubble(t, func(c *qt.C, m *memory, a, b *Claims) {
 		m.set(func() { m.fail, m.done, m.deaf = platform.ErrUnknown, true, true })
-		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Unsure)
+		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Undecided)
 		c.Check(m.count(), qt.Equals, 1)
 		m.set(func() { m.fail, m.deaf = nil, false })
 		time.Sleep(time.Minute)
@@ -158,7 +158,7 @@
 	})
 	bubble(t, func(c *qt.C, m *memory, a, _ *Claims) {
 		m.set(func() { m.fail, m.done = platform.ErrUnavailable, false })
-		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Unsure)
+		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Undecided)
 	})
 }
 
@@ -176,7 +176,7 @@
 		c.Assert(b.Begin(context.Background(), order).Verdict, qt.Equals, Run)
 		time.Sleep(time.Minute)
 		c.Check(m.count(), qt.Equals, 1)
-		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, Repeat)
+		c.Check(a.Begin(context.Background(), order).Verdict, qt.Equals, OutcomeUnknown)
 	})
 }
 
@@ -211,7 +211,7 @@
 		for i, v := range verdicts {
 			want := Run
 			if i == 7 {
-				want = Repeat
+				want = OutcomeUnknown
 			}
 			c.Check(v, qt.Equals, want, qt.Commentf("%d", i))
 		}
@@ -235,35 +235,35 @@
 			if fail != nil {
 				return nil, fail
 			}
-			out, err := root.Serve(ctx, b)
+			out, err := root.CommitForwarded(ctx, b)
 			if lose {
 				return nil, context.DeadlineExceeded
 			}
 			return out, err
 		}})
 		begin := func(key string) Verdict {
-			return a.Begin(context.Background(), Request{Service: "orderdesk", Key: key, Print: 7}).Verdict
+			return a.Begin(context.Background(), Request{Service: "orderdesk", Key: key, Fingerprint: 7}).Verdict
 		}
 		c.Check(begin("k1"), qt.Equals, Run)
-		c.Check(begin("k1"), qt.Equals, Repeat)
-		fail = ErrHere
+		c.Check(begin("k1"), qt.Equals, OutcomeUnknown)
+		fail = ErrCommitLocally
 		c.Check(begin("k2"), qt.Equals, Run)
 		fail = nil
 		lose = true
-		c.Check(begin("k3"), qt.Equals, Unsure)
+		c.Check(begin("k3"), qt.Equals, Undecided)
 		lose = false
 		time.Sleep(time.Minute)
 		c.Check(begin("k3"), qt.Equals, Run)
 		// A peer writes claims by this way and nothing else.
-		for _, o := range []Order{
+		for _, o := range []ForwardedWrite{
 			{ID: "x", Key: "head", Value: []byte("{}")},
 			{ID: "x", Key: Prefix + "20260101/a", Value: []byte("{}"), Absent: []string{"head"}},
 			{ID: "x", Key: Prefix + "20260101/a"},
 		} {
-			b, err := codec.Encode([]Order{o})
+			b, err := codec.Encode([]ForwardedWrite{o})
 			c.Assert(err, qt.IsNil)
-			_, err = root.Serve(context.Background(), b)
-			c.Check(err, qt.Equals, ErrOrders)
+			_, err = root.CommitForwarded(context.Background(), b)
+			c.Check(err, qt.Equals, ErrMalformed)
 		}
 		a.Close()
 		root.Close()
--- a/briarrockd/keys/keys.go
+++ b/briarrockd/keys/keys.go
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// Server returns settings for a listener: the other side must have a
+// ServerConfig returns settings for a listener: the other side must have a
 // certificate of the same authority.
-func (k *Keys) Server() *tls.Config {
+func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -89,10 +89,10 @@
 	}
 }
 
-// Client returns settings for connecting to a node. Nodes are known by
+// ClientConfig returns settings for connecting to a node. Nodes are known by
 // address, not by a name in DNS, so instead of a host name it is checked that
 // the certificate is of the authority and of a node.
-func (k *Keys) Client() *tls.Config {
+func (k *Keys) ClientConfig() *tls.Config {
 	l := k.now.Load()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -103,7 +103,7 @@
 			if err := verify(cs, l.pool); err != nil {
 				return err
 			}
-			_, err := Name(cs, Node)
+			_, err := PeerName(cs, Node)
 			return err
 		},
 	}
@@ -125,8 +125,8 @@
 	return errors.Wrap(err, "keys")
 }
 
-// Name returns the common name of the other side's certificate, or ErrRole.
-func Name(cs tls.ConnectionState, role Role) (string, error) {
+// PeerName returns the common name of the other side's certificate, or ErrRole.
+func PeerName(cs tls.ConnectionState, role Role) (string, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return "", ErrRole
 	}
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -53,8 +53,8 @@
 	Metrics *metrics.Set
 	// Dial, if set, opens the connections to peers and to the platform.
 	Dial relay.DialFunc
-	// Used, if set, is told of each version that callers are served by.
-	Used func(version uint64)
+	// OnVersion, if set, is told of each version that callers are served by.
+	OnVersion func(version uint64)
 }
 
 // Node is one running node. New makes one.
@@ -68,13 +68,13 @@
 	targets   *target.Targets
 	proxy     *caller.Proxy
 	claims    *claim.Claims
-	operators *operator.Interface
+	operators *operator.API
 	listeners map[string]net.Listener
 	servers   []server
 	transport transport
 	budget    *caller.Budget
 	platform  Platform
-	follow    *Follow
+	follow    *WatchHandle
 	wg        sync.WaitGroup
 
 	// mu guards what the next table is made of.
@@ -111,12 +111,12 @@
 	if st == nil {
 		st = platform.NewHTTP(storeClient(d.Dial), cfg.Platform.URL, cfg.Platform.Token)
 	}
-	n.used = d.Used
+	n.used = d.OnVersion
 	if d.Platform != nil {
 		n.platform = *d.Platform
 	}
 	n.start(st, d)
-	n.log.Emit(event.Started, event.Fields{"domain": cfg.Domain, "region": cfg.Region, "caller": cfg.Caller, "plain": cfg.Security.Plain})
+	n.log.Emit(event.Started, event.Fields{"domain": cfg.Domain, "region": cfg.Region, "caller": cfg.CallerAddr, "plain": cfg.Security.Plain})
 	return n, nil
 }
 
@@ -152,8 +152,8 @@
 
 func (n *Node) listen() error {
 	for name, addr := range map[string]*string{
-		callers: &n.cfg.Caller, calls: &n.cfg.Call, peers: &n.cfg.Peer,
-		operators: &n.cfg.Operator, announce: &n.cfg.Announce,
+		callers: &n.cfg.CallerAddr, calls: &n.cfg.CallAddr, peers: &n.cfg.PeerAddr,
+		operators: &n.cfg.OperatorAddr, announce: &n.cfg.AnnounceAddr,
 	} {
 		l, err := http1.ListenConfig().Listen(context.Background(), "tcp", *addr)
 		if err != nil {
@@ -176,23 +176,23 @@
 		OnChange:   func(t []peer.Target) { n.tell(peer.TargetsChanged{Targets: t}) },
 		OnCrash:    func(c peer.Crashed) { n.tell(c) },
 		CrashCount: n.suspicion,
-		Log:        n.log, Metrics: n.metrics, Stall: n.cfg.Stall,
-		WrapTransport: n.platform.Targets, ResponseMatches: n.platform.Belongs, AnnouncementTimeout: n.platform.Silent, LinkBandwidth: n.platform.Link, NoFairQueueing: n.platform.Caller != "",
+		Log:        n.log, Metrics: n.metrics, Stall: n.cfg.StallTimeout,
+		WrapTransport: n.platform.WrapTargets, ResponseMatches: n.platform.AnswersRequest, AnnouncementTimeout: n.platform.SilenceTimeout, LinkBandwidth: n.platform.LinkBytesPerSecond, NoFairQueueing: n.platform.CallerName != "",
 	})
 	n.claims = claim.New(claim.Deps{Store: st, Log: n.log, Host: n.cfg.Host, Metrics: n.metrics, Forward: n.handClaims})
 	n.transport = n.newTransport(d.HTTP1, d.Dial)
 	n.budget = caller.NewBudget()
 	n.proxy = caller.New(caller.Deps{
-		Chooser: caller.NewChooser(n.cfg.Domain, n.cfg.Region, rand.Uint64()),
-		Budget:  n.budget, Claims: n.claims,
-		Transport: n.transport, Scheme: n.scheme(), Suspicion: n.suspicion, Runs: n.targets.IsRunning,
-		Caller: n.callerName(), Log: n.log, Metrics: n.metrics, Stall: n.cfg.Stall,
+		Balancer: caller.NewBalancer(n.cfg.Domain, n.cfg.Region, rand.Uint64()),
+		Budget:   n.budget, Claims: n.claims,
+		Transport: n.transport, Scheme: n.scheme(), CrashCount: n.suspicion, IsRunning: n.targets.IsRunning,
+		Authenticate: n.callerName(), Log: n.log, Metrics: n.metrics, StallTimeout: n.cfg.StallTimeout,
 		Hedge: d.Platform != nil,
 	})
 	n.follow = newFollow(n.tell, n.log)
 	n.peers = peer.NewLinks(n.peerConfig(), peer.Deps{
 		Store: st, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
-		Dial: d.Dial, Claims: n.claims.Serve,
+		Dial: d.Dial, Claims: n.claims.CommitForwarded,
 		Hooks: peer.Hooks{Use: n.use, Publish: n.publish, Held: n.held, Watch: n.follow.set},
 	})
 	n.operators = operator.New(operator.Deps{
@@ -202,7 +202,7 @@
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.wg.Go(n.keepClaims)
 	n.metrics.GetOrCreateGauge("briarrock_version", func() float64 { return float64(n.Version()) })
-	n.metrics.GetOrCreateGauge("briarrock_members", func() float64 { return float64(n.Known()) })
+	n.metrics.GetOrCreateGauge("briarrock_members", func() float64 { return float64(n.LiveMembers()) })
 	n.serveAll(d)
 	if watch := n.platform.Watch; watch != nil {
 		n.wg.Go(func() { watch(n.ctx, n.follow) })
@@ -213,8 +213,8 @@
 func (n *Node) serveAll(d Deps) {
 	plain := d.HTTP1 && n.keys == nil
 	var fromCallers http.Handler = n.proxy
-	if n.platform.Callers != nil {
-		fromCallers = n.platform.Callers(n.proxy)
+	if n.platform.WrapCallers != nil {
+		fromCallers = n.platform.WrapCallers(n.proxy)
 	}
 	announcements := n.targets.Announcements()
 	if n.platform.Announcements != nil {
@@ -236,7 +236,7 @@
 func (n *Node) handClaims(ctx context.Context, orders []byte) ([]byte, error) {
 	b, err := n.peers.HandClaims(ctx, orders)
 	if errors.Is(err, peer.ErrNoRoot) {
-		return nil, claim.ErrHere
+		return nil, claim.ErrCommitLocally
 	}
 	return b, errors.WithStack(err)
 }
@@ -245,7 +245,7 @@
 func (n *Node) shareClaims() {
 	committers := 1
 	n.peers.Ask(func(h *peer.Core) { _, committers = h.Committers() })
-	n.claims.Share(committers)
+	n.claims.SetCommitters(committers)
 }
 
 // tell passes a message to the Core; before there is one, nothing can happen.
@@ -256,7 +256,7 @@
 }
 
 func (n *Node) peerConfig() peer.Config {
-	addr, call := cmp.Or(n.cfg.Announced, n.cfg.Peer), cmp.Or(n.cfg.AnnouncedCall, n.cfg.Call)
+	addr, call := cmp.Or(n.cfg.AdvertisedPeerAddr, n.cfg.PeerAddr), cmp.Or(n.cfg.AdvertisedCallAddr, n.cfg.CallAddr)
 	return peer.Config{
 		Self: peer.Member{
 			Host: n.cfg.Host, Domain: n.cfg.Domain, Region: n.cfg.Region,
@@ -264,7 +264,7 @@
 		},
 		Contacts:    n.cfg.Contacts,
 		StoreRegion: n.cfg.Platform.Region,
-		Hosts:       n.cfg.Hosts,
+		Hosts:       n.cfg.ExpectedHosts,
 		HeadFed:     n.platform.Watch != nil,
 		Bootstrap:   n.platform.Bootstrap,
 	}
@@ -287,8 +287,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.members = p.Members
-	if n.platform.Retries > 0 {
-		n.budget.Share(n.platform.Retries, len(p.Members))
+	if n.platform.RetryBudget > 0 {
+		n.budget.SetNodeShare(n.platform.RetryBudget, len(p.Members))
 	}
 	n.retable()
 }
@@ -299,10 +299,10 @@
 		return
 	}
 	if t := n.proxy.Table(); t != nil && t.Version() == n.version {
-		n.proxy.Use(t.With(n.members))
+		n.proxy.SetTable(t.WithMembers(n.members))
 		return
 	}
-	n.proxy.Use(caller.NewTable(n.version, n.snap, n.members))
+	n.proxy.SetTable(caller.NewTable(n.version, n.snap, n.members))
 }
 
 func (n *Node) held(h peer.Held) {
@@ -332,7 +332,7 @@
 	if n.proxy.Table() == nil || n.leaving.Load() {
 		return false
 	}
-	return n.platform.Watch == nil || n.Known() > 1 || time.Since(n.startedAt) > alone
+	return n.platform.Watch == nil || n.LiveMembers() > 1 || time.Since(n.startedAt) > alone
 }
 
 // Version is the version that callers are served by; 0 before the first.
@@ -396,7 +396,7 @@
 		return name, nil
 	}
 	if cs != nil {
-		name, err := keys.Name(*cs, keys.Operator)
+		name, err := keys.PeerName(*cs, keys.Operator)
 		return name, errors.WithStack(err)
 	}
 	if n.cfg.Security.Plain && len(n.cfg.Operators) == 0 {
@@ -405,15 +405,15 @@
 	return "", errors.New("node: no token or certificate of an operator")
 }
 
-// Known returns how many live members the node knows, itself included.
-func (n *Node) Known() int {
+// LiveMembers returns how many live members the node knows, itself included.
+func (n *Node) LiveMembers() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.members)
 }
 
-// Upstreams returns how many targets the node knows of a service.
-func (n *Node) Upstreams(service string) int {
+// LiveTargets returns how many targets the node knows of a service.
+func (n *Node) LiveTargets(service string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
--- a/briarrockd/node/stop.go
+++ b/briarrockd/node/stop.go
@@ -32,15 +32,15 @@
 	for _, s := range n.servers {
 		s.Drain()
 	}
-	platform.Pause(ctx, max(lame, n.platform.Lame)-handOver)
+	platform.Pause(ctx, max(lame, n.platform.LameDuck)-handOver)
 	n.targets.Drain()
 	n.peers.Tell(peer.Leave{})
 	platform.Pause(ctx, handOver)
 	if end, ok := ctx.Deadline(); ok {
-		n.proxy.LeaveBy(end)
+		n.proxy.SetShutdownTime(end)
 	}
 	n.awaitRuns(ctx)
-	n.proxy.Leave()
+	n.proxy.Drain()
 	n.shutdown(ctx)
 	n.log.Emit(event.Stopped, nil)
 }
--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -40,13 +40,13 @@
 	ErrDeadline = errors.New("relay: deadline")
 )
 
-// Prefix begins each header that nodes use among themselves or towards
+// HeaderPrefix begins each header that nodes use among themselves or towards
 // callers. Nothing with this prefix passes through from outside.
-const Prefix = "Briarrock-"
+const HeaderPrefix = "Briarrock-"
 
 // HeaderSeal is the one exception: a target's proof that an answer is its own,
 // which passes to the caller as it is.
-const HeaderSeal = Prefix + "Seal"
+const HeaderSeal = HeaderPrefix + "Seal"
 
 // Call is one exchange to be sent.
 type Call struct {
@@ -56,40 +56,42 @@
 	URL *url.URL
 	// Host is the Host header to send.
 	Host string
-	// Add are headers to set, after the hop's own were removed.
-	Add http.Header
+	// ExtraHeader are headers to set, after the hop's own were removed.
+	ExtraHeader http.Header
 	// Body is what to send; nil for none.
 	Body io.Reader
-	// Length is the number of bytes in Body, -1 if not known.
-	Length int64
+	// ContentLength is the number of bytes in Body, -1 if not known.
+	ContentLength int64
 	// Transport sends. Its connections must come from Dialer.
 	Transport http.RoundTripper
-	// Stall bounds the time without a byte moving while Body is sent.
-	Stall time.Duration
+	// StallTimeout bounds the time without a byte moving while Body is sent.
+	StallTimeout time.Duration
 	// Once is set for a request that must not be sent twice by anybody.
 	Once bool
 	// Deadline is when the answer's head must be there.
 	Deadline time.Time
-	// Withheld is set for a request of which the other side passes nothing on before
+	// ForwardAfterBody is set for a request of which the other side passes nothing on before
 	// it has asked for the body and got it. It has not been sent as long as nothing of
 	// the body has.
-	Withheld bool
+	ForwardAfterBody bool
 	// Streamed is set for a body whose sending may take any time as long as
 	// it moves: the time until Deadline then counts from the body's end.
 	Streamed bool
 }
 
-// KeepBody bounds the bodies that are sent as one piece; larger ones, and
+// MaxBufferedBody bounds the bodies that are sent as one piece; larger ones, and
 // those of unknown length, are streamed.
-const KeepBody = 64 << 10
+const MaxBufferedBody = 64 << 10
 
-// KeepAnswer bounds the answers that are read whole before any of them is passed
+// MaxBufferedResponse bounds the answers that are read whole before any of them is passed
 // on. One that breaks off then costs no connection, the request can still be
 // sent again, and its caller gets a clear failure.
-const KeepAnswer = 64 << 10
+const MaxBufferedResponse = 64 << 10
 
 // IsStreamed tells whether a request's body is streamed.
-func IsStreamed(r *http.Request) bool { return r.ContentLength < 0 || r.ContentLength > KeepBody }
+func IsStreamed(r *http.Request) bool {
+	return r.ContentLength < 0 || r.ContentLength > MaxBufferedBody
+}
 
 // ReadBody reads a request's body of known length into memory. A body that has not come
 // within the given time is closed, and the read fails.
@@ -128,7 +130,7 @@
 	timer := time.AfterFunc(left, func() { cancel(ErrDeadline) })
 	var g *guard
 	if c.Body != nil {
-		g = newGuard(req.Body, c.Stall, func() { cancel(ErrStall) })
+		g = newGuard(req.Body, c.StallTimeout, func() { cancel(ErrStall) })
 		req.Body = g
 	}
 	if c.Streamed && g != nil {
@@ -150,7 +152,7 @@
 }
 
 // isWithheld tells whether the other side still waits for the body, whose guard is g.
-func (c *Call) isWithheld(g *guard) bool { return c.Withheld && g != nil && !g.begun.Load() }
+func (c *Call) isWithheld(g *guard) bool { return c.ForwardAfterBody && g != nil && !g.begun.Load() }
 
 func request(ctx context.Context, c Call) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, c.In.Method, c.URL.String(), nil)
@@ -159,7 +161,7 @@
 	}
 	req.Host = c.Host
 	req.Header = endToEnd(c.In.Header)
-	for k, v := range c.Add {
+	for k, v := range c.ExtraHeader {
 		req.Header[k] = v
 	}
 	if _, ok := req.Header["User-Agent"]; !ok {
@@ -173,7 +175,7 @@
 	switch {
 	case c.Body != nil:
 		req.Body = io.NopCloser(c.Body)
-		req.ContentLength = c.Length
+		req.ContentLength = c.ContentLength
 	case c.Once:
 		req.Body = io.NopCloser(strings.NewReader(""))
 	default:
@@ -183,18 +185,18 @@
 	return req, nil
 }
 
-// Duplex lets an answer begin while its request's body is still coming in.
+// EnableFullDuplex lets an answer begin while its request's body is still coming in.
 // HTTP/1.1 servers otherwise read the body to its end first, and a target that
 // answers as it reads would wait for a caller that waits for it.
-func Duplex(w http.ResponseWriter, r *http.Request) {
+func EnableFullDuplex(w http.ResponseWriter, r *http.Request) {
 	if IsStreamed(r) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
 }
 
-// Toward is the URL of the request in at another address. The path goes on in
+// RebaseURL is the URL of the request in at another address. The path goes on in
 // the form in which it came, so that no escape changes its meaning on the way.
-func Toward(base *url.URL, in *http.Request) *url.URL {
+func RebaseURL(base *url.URL, in *http.Request) *url.URL {
 	u := *in.URL
 	u.Scheme = base.Scheme
 	u.Host = base.Host
@@ -203,7 +205,7 @@
 
 // watch finds out whether a request can have left the process.
 type watch struct {
-	conn   atomic.Pointer[Conn]
+	conn   atomic.Pointer[CountingConn]
 	before atomic.Int64
 	// got is set when a connection was had that does not count its bytes.
 	got atomic.Bool
@@ -248,10 +250,10 @@
 	return out
 }
 
-// Whole reads the body of an answer into memory if it has at most limit bytes,
+// BufferResponse reads the body of an answer into memory if it has at most limit bytes,
 // so that an answer which breaks off is noticed before any of it is passed on.
 // A larger one is left to be streamed. The error is that of the body.
-func Whole(res *http.Response, limit int64) error {
+func BufferResponse(res *http.Response, limit int64) error {
 	if res.ContentLength > limit {
 		return nil
 	}
@@ -280,11 +282,11 @@
 	io.Closer
 }
 
-// Answer copies an answer to the caller. When it fails half-way the only
+// CopyResponse copies an answer to the caller. When it fails half-way the only
 // honest thing left is to break the connection to the caller, so that a short
 // answer can't pass as a whole one: the Outcome's Kind is then not None and
 // the handler must panic with http.ErrAbortHandler.
-func Answer(w http.ResponseWriter, res *http.Response, stall time.Duration) Outcome {
+func CopyResponse(w http.ResponseWriter, res *http.Response, stall time.Duration) Outcome {
 	defer func() { _ = res.Body.Close() }()
 	announceTrailers(w.Header(), res.Trailer)
 	copyHeader(w.Header(), endToEnd(res.Header))
@@ -412,15 +414,15 @@
 	g.timer.Stop()
 }
 
-// Conn is a connection that counts the bytes that were written to it.
-type Conn struct {
+// CountingConn is a connection that counts the bytes that were written to it.
+type CountingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
 // Write implements net.Conn. The count goes up before the bytes go out, so
 // that a write that is cut off counts as sent.
-func (c *Conn) Write(b []byte) (int, error) {
+func (c *CountingConn) Write(b []byte) (int, error) {
 	c.written.Add(int64(len(b)))
 	n, err := c.Conn.Write(b)
 	return n, err //nolint:wrapcheck // net/http looks at the error's type
@@ -441,15 +443,15 @@
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
-		return &Conn{Conn: c}, nil
+		return &CountingConn{Conn: c}, nil
 	}
 }
 
-func counted(c net.Conn) *Conn {
+func counted(c net.Conn) *CountingConn {
 	if x, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = x.NetConn()
 	}
-	cc, _ := c.(*Conn)
+	cc, _ := c.(*CountingConn)
 	return cc
 }
 
@@ -463,7 +465,7 @@
 func endToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for k, v := range h {
-		if !strings.HasPrefix(k, Prefix) || k == HeaderSeal {
+		if !strings.HasPrefix(k, HeaderPrefix) || k == HeaderSeal {
 			out[k] = v
 		}
 	}
--- a/briarrockd/target/broken_test.go
+++ b/briarrockd/target/broken_test.go
@@ -29,7 +29,7 @@
 // complete, when it is too long to be buffered.
 func TestLongAnswerBreaksOff(t *testing.T) {
 	c := qt.New(t)
-	ts := newTargets(truncatedAnswer{4 * relay.KeepAnswer})
+	ts := newTargets(truncatedAnswer{4 * relay.MaxBufferedResponse})
 	defer ts.Close()
 	defer func() { c.Check(recover(), qt.Equals, http.ErrAbortHandler) }()
 	send(ts)
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -88,7 +88,7 @@
 	now := time.Now()
 	c, ok := parseCall(r, now)
 	if !ok {
-		relay.Fail(w, kind.Request, kind.RanNo, 0)
+		relay.WriteFailure(w, kind.Request, kind.RanNo, 0)
 		return
 	}
 	t.applyReports(ReadNotices(r.Header, now))
@@ -101,7 +101,7 @@
 		t.refuse(w, c, x, Refuse{Kind: kind.Held})
 		return
 	}
-	relay.Duplex(w, r)
+	relay.EnableFullDuplex(w, r)
 	arrival := Arrival{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, CrossRegion: c.crossRegion, BodyBytes: r.ContentLength}
 	if t.deps.NoFairQueueing {
 		arrival.Caller = ""
@@ -184,10 +184,10 @@
 	}
 	t.deps.Log.Call(event.RunRefused, f, false)
 	if r.RetryAfter > 0 {
-		relay.FailAfter(w, r.Kind, kind.RanNo, r.RetryAfter)
+		relay.WriteFailureWithRetryAfter(w, r.Kind, kind.RanNo, r.RetryAfter)
 		return
 	}
-	relay.Fail(w, r.Kind, kind.RanNo, r.RetryAfterSeconds)
+	relay.WriteFailure(w, r.Kind, kind.RanNo, r.RetryAfterSeconds)
 }
 
 // writeLoad adds the target's load, the mean duration of its calls and the state that it has
@@ -221,15 +221,15 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	res, out := relay.Send(ctx, relay.Call{
-		In: r, URL: relay.Toward(x.url, r), Host: r.Host, Add: t.targetHeaders(r, x, c),
-		Body: requestBody(r, func() { x.step(BodyReceived{id}) }), Length: r.ContentLength, Transport: x.transport, Stall: t.deps.Stall,
+		In: r, URL: relay.RebaseURL(x.url, r), Host: r.Host, ExtraHeader: t.targetHeaders(r, x, c),
+		Body: requestBody(r, func() { x.step(BodyReceived{id}) }), ContentLength: r.ContentLength, Transport: x.transport, StallTimeout: t.deps.Stall,
 		Deadline: c.deadline, Streamed: relay.IsStreamed(r), Once: c.atMostOnce,
 	})
 	if res != nil {
 		t.observeAnswer(x, res.Header, sent)
 	}
 	if res != nil && (res.ContentLength >= 0 || !relay.IsStreamed(r)) {
-		if err := relay.Whole(res, relay.KeepAnswer); err != nil {
+		if err := relay.BufferResponse(res, relay.MaxBufferedResponse); err != nil {
 			res, out = nil, relay.Outcome{Kind: kind.Broken, Sent: true, Err: err}
 		}
 	}
@@ -251,7 +251,7 @@
 	t.logCall(c, x, completed.Duration, strconv.Itoa(res.StatusCode), nil)
 	_ = x.writeLoad(w.Header())
 	w.Header().Set(kind.HeaderRan, kind.RanYes.String())
-	out = relay.Answer(w, res, t.deps.Stall)
+	out = relay.CopyResponse(w, res, t.deps.Stall)
 	if out.Kind != kind.None {
 		panic(http.ErrAbortHandler)
 	}
@@ -361,7 +361,7 @@
 		t.detectCrash(x, c)
 	}
 	_ = x.writeLoad(w.Header())
-	relay.Fail(w, out.Kind, ran, 0)
+	relay.WriteFailure(w, out.Kind, ran, 0)
 }
 
 // detectCrash checks after a broken connection whether the target still listens. If it does not,
