--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -14,45 +14,46 @@
 )
 
 const (
-	// admitAfter is how many announcements make a target believed that does not
-	// answer its health check: such answers can be wrong either way, but a
-	// late announcement from before it left is never followed by two more.
-	admitAfter = 3
-	// turnAround is how many announcements in a row with an earlier start are
-	// believed after all: the host's clock has gone back between two processes
-	// of the target, and the later one would otherwise never be heard.
-	turnAround = 2
-	// leaveMargin is how much later than a target's word that it leaves a process
-	// of the same ID must have begun to be another one: it is up for about so long
-	// after it, and the host's clock may have been set back since it began.
-	leaveMargin = 2 * time.Second
-	// maxLeft bounds the memory for targets that have left.
-	maxLeft = 256
-	// checkWithin bounds a health check, checkAgain is the pause after one that
-	// failed.
-	// checkAgainPaced is the pause if the target names a rate.
-	checkWithin     = time.Second
-	checkAgain      = 250 * time.Millisecond
-	checkAgainPaced = 2 * time.Second
+	// admitAfterAnnouncements is the number of announcements after which a target gets calls
+	// although its health check fails. A failing health check can be wrong, and an announcement
+	// that was delayed since before the target deregistered is never followed by two more.
+	admitAfterAnnouncements = 3
+	// acceptEarlierStartAfter is the number of consecutive announcements with an earlier process
+	// start after which they are accepted. The host's clock was then set back between two
+	// processes of the target; without this rule the later process would be ignored for as long
+	// as it runs.
+	acceptEarlierStartAfter = 2
+	// deregisterMargin is how much later than a deregistration a process with the same ID must
+	// have started to count as another process. The deregistering process still runs for about
+	// this long, and the host's clock may have been set back since that process started.
+	deregisterMargin = 2 * time.Second
+	// maxDeparted bounds the memory for targets that drain or have deregistered.
+	maxDeparted = 256
+	// healthCheckTimeout bounds one health check. healthCheckInterval is the pause after one
+	// that failed, healthCheckIntervalRateLimited the pause if the target advertises a rate
+	// limit.
+	healthCheckTimeout             = time.Second
+	healthCheckInterval            = 250 * time.Millisecond
+	healthCheckIntervalRateLimited = 2 * time.Second
 )
 
-// HandleAnnouncement takes what a target says of itself. It returns false if the host has
-// too many targets for one more.
+// HandleAnnouncement processes an announcement of a target. It returns false if the host already
+// has maxTargets targets.
 //
-// Announcements can be late: one from before the target said that it leaves
-// must not bring work back to it, and one of an earlier process at the same
-// address must not replace a later one's.
+// Announcements can arrive late. One that was sent before the target started to drain must not
+// bring calls back to it, and one of an earlier process at the same address must not replace
+// that of a later process.
 func (t *Targets) HandleAnnouncement(a Announcement) bool {
 	now := time.Now()
 	t.mu.Lock()
 	x := t.all[a.Addr]
-	if t.isLate(x, a) {
+	if t.isStale(x, a) {
 		t.mu.Unlock()
 		t.deps.Log.Emit(event.AnnounceBad, event.Fields{event.Subject: a.ID, "reason": "late", "born": a.StartMillis, "seq": a.Seq, "state": a.State})
 		return true
 	}
-	if x != nil && (x.service != a.Service || x.said.ID != a.ID || x.said.StartMillis != a.StartMillis) {
-		// Another service, name or process at the same address is another target.
+	if x != nil && (x.service != a.Service || x.announcement.ID != a.ID || x.announcement.StartMillis != a.StartMillis) {
+		// A different service, ID or process at the same address is a different target.
 		t.mu.Unlock()
 		t.drop(x, "replaced by "+a.ID)
 		return t.HandleAnnouncement(a)
@@ -66,55 +67,57 @@
 		x = t.newTarget(a)
 		t.all[a.Addr] = x
 	}
-	old := x.said
-	x.said, x.heardAt = a, now
-	x.heard++
-	x.behind = 0
-	t.noteLeaving(a)
-	drain := t.gone || x.drains()
+	old := x.announcement
+	x.announcement, x.announcedAt = a, now
+	x.announcements++
+	x.earlierStarts = 0
+	t.recordIfDraining(a)
+	drain := t.draining || x.isDraining()
 	t.mu.Unlock()
 	if isNew {
 		t.deps.Log.Emit(event.TargetUp, event.Fields{event.Subject: a.Addr, "service": a.Service, "id": a.ID, "born": a.StartMillis, "seq": a.Seq, "state": a.State, "slots": a.Slots})
 	}
-	t.believe(x, old, a, isNew, drain)
+	t.apply(x, old, a, isNew, drain)
 	return true
 }
 
-// isLate tells whether an announcement is from before what is known already.
-func (t *Targets) isLate(x *target, a Announcement) bool {
-	if born, ok := t.left[a.ID]; ok && a.ID != "" && a.StartMillis <= born && a.State != StateDraining {
+// isStale reports whether an announcement is older than what is already known of the target. It
+// counts announcements with an earlier process start in x.earlierStarts.
+func (t *Targets) isStale(x *target, a Announcement) bool {
+	if startMillis, ok := t.departed[a.ID]; ok && a.ID != "" && a.StartMillis <= startMillis && a.State != StateDraining {
 		return true
 	}
 	if x == nil {
 		return false
 	}
 	if a.StartMillis == 0 {
-		// Another writer's: a process that has said when it began always does.
-		return a.ID != "" && a.ID == x.said.ID && x.said.StartMillis != 0
+		// A process that has announced its start time once does so in every announcement, so
+		// this one has a different sender.
+		return a.ID != "" && a.ID == x.announcement.ID && x.announcement.StartMillis != 0
 	}
-	if a.StartMillis < x.said.StartMillis {
-		x.behind++
-		return x.behind < turnAround || time.Since(x.heardAt) < t.deps.AnnouncementTimeout/2
+	if a.StartMillis < x.announcement.StartMillis {
+		x.earlierStarts++
+		return x.earlierStarts < acceptEarlierStartAfter || time.Since(x.announcedAt) < t.deps.AnnouncementTimeout/2
 	}
-	return a.StartMillis == x.said.StartMillis && a.ID == x.said.ID && a.Seq < x.said.Seq
+	return a.StartMillis == x.announcement.StartMillis && a.ID == x.announcement.ID && a.Seq < x.announcement.Seq
 }
 
-// noteLeaving remembers that a target leaves: within one process that is final.
-func (t *Targets) noteLeaving(a Announcement) {
+// recordIfDraining records that a target drains. A process never leaves that state.
+func (t *Targets) recordIfDraining(a Announcement) {
 	if a.State == StateDraining && a.ID != "" {
-		t.noteLeft(a.ID, a.StartMillis)
+		t.recordDeparted(a.ID, a.StartMillis)
 	}
 }
 
-func (t *Targets) noteLeft(id string, born int64) {
-	if len(t.left) >= maxLeft {
-		clear(t.left)
+func (t *Targets) recordDeparted(id string, startMillis int64) {
+	if len(t.departed) >= maxDeparted {
+		clear(t.departed)
 	}
-	t.left[id] = max(t.left[id], born)
+	t.departed[id] = max(t.departed[id], startMillis)
 }
 
-// believe acts on an announcement that is not late. drain is set if nothing new may run.
-func (t *Targets) believe(x *target, old, a Announcement, isNew, drain bool) {
+// apply applies an announcement that is not stale. drain is set if no new call may start.
+func (t *Targets) apply(x *target, old, a Announcement, isNew, drain bool) {
 	if isNew || old.Slots != a.Slots || old.State != a.State {
 		x.step(t.limits(a))
 		x.step(Drain{On: drain})
@@ -122,19 +125,20 @@
 	}
 	admitted := t.admit(x)
 	if isNew && !admitted {
-		t.wg.Go(func() { t.check(x) })
+		t.wg.Go(func() { t.awaitHealthy(x) })
 	}
 	if isNew || admitted || old.Slots != a.Slots || old.State != a.State {
-		t.changed()
+		t.notifyChange()
 	}
 }
 
-// admit lets calls pass to a target that needs no health check, or that has
-// announced itself often enough. It tells whether that is new.
+// admit lets calls pass to a target that needs no health check or has sent
+// admitAfterAnnouncements announcements. It reports whether the target was admitted by this
+// call.
 func (t *Targets) admit(x *target) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if x.admitted || t.snap == nil || (x.heard < admitAfter && x.said.ID != "" && t.healthPath(x.service) != "") {
+	if x.admitted || t.snap == nil || (x.announcements < admitAfterAnnouncements && x.announcement.ID != "" && t.healthPath(x.service) != "") {
 		return false
 	}
 	x.admitted = true
@@ -149,39 +153,39 @@
 	return svc.Health
 }
 
-// check asks a target that this process has not known before whether it is
-// well, until it is or has left.
+// awaitHealthy repeats the health check of a target that is new to this process until the check
+// succeeds or the target drains or is gone.
 //
-// A process that was restarted beside a target which is leaving knows nothing
-// of that. A late announcement could tell it that the target is up, and it
-// would send new work to it. The target's own answer is of the moment.
+// A node process that was restarted while a target drains does not know that it drains, and a
+// late announcement could present the target as up. The health check shows the target's present
+// state.
 //
-// Before the node has a configuration no call passes: the calls that a run makes
-// come to this very node, and would all be refused.
-func (t *Targets) check(x *target) {
+// Before the node has a configuration no call passes: a target's own outgoing calls go through
+// this node, which would refuse all of them.
+func (t *Targets) awaitHealthy(x *target) {
 	select {
 	case <-t.done:
 		return
 	case <-t.configured:
 	}
 	for {
-		ok := t.healthy(x)
+		ok := t.checkHealth(x)
 		t.mu.Lock()
 		same := t.all[x.addr] == x
-		done := x.admitted || !same || x.drains()
+		done := x.admitted || !same || x.isDraining()
 		if ok && same {
 			x.admitted = true
 		}
 		t.mu.Unlock()
 		if ok && same && !done {
-			t.changed()
+			t.notifyChange()
 		}
 		if ok || done {
 			return
 		}
-		pause := checkAgain
-		if told, _ := x.notice(); told.Rate.bounded {
-			pause = checkAgainPaced
+		pause := healthCheckInterval
+		if notice, _ := x.notice(); notice.Rate.bounded {
+			pause = healthCheckIntervalRateLimited
 		}
 		select {
 		case <-t.done:
@@ -191,16 +195,16 @@
 	}
 }
 
-// healthy asks a target once.
-func (t *Targets) healthy(x *target) bool {
+// checkHealth sends one health check and reports whether it succeeded.
+func (t *Targets) checkHealth(x *target) bool {
 	t.mu.Lock()
 	path := t.healthPath(x.service)
-	id := x.said.ID
+	id := x.announcement.ID
 	t.mu.Unlock()
 	if path == "" {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), checkWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), healthCheckTimeout)
 	defer cancel()
 	u := url.URL{Scheme: x.url.Scheme, Host: x.url.Host, Path: path}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
@@ -214,37 +218,36 @@
 		return false
 	}
 	t.observeHealth(x, res.Header, sent)
-	_ = relay.BufferResponse(res, maxAnnouncement)
+	_ = relay.BufferResponse(res, maxAnnouncementBytes)
 	t.deps.Log.Emit(event.TargetState, event.Fields{event.Subject: x.addr, "id": id, "health": res.StatusCode})
 	return res.StatusCode == http.StatusOK
 }
 
-// Deregister takes a target's word that it leaves for good.
+// Deregister removes the target with an ID after it has announced that it stops.
 //
-// This process may have been started so lately that it hasn't heard of the target
-// before. An announcement that was held up would then seem to be a new target's,
-// and bring work to one that has left. When the target began is not known here,
-// but it was before now.
+// A node process that has just started may not know the target yet. A delayed announcement would
+// then look like one of a new target and bring calls to a process that has stopped. The start
+// time of that process is not known here, but it is before now.
 func (t *Targets) Deregister(id string) {
 	if id == "" {
 		return
 	}
 	known := false
 	for _, x := range t.list() {
-		said := t.lastAnnouncement(x)
-		if said.ID != id {
+		last := t.lastAnnouncement(x)
+		if last.ID != id {
 			continue
 		}
 		known = true
-		said.State = StateDraining
+		last.State = StateDraining
 		t.mu.Lock()
-		t.noteLeaving(said)
+		t.recordIfDraining(last)
 		t.mu.Unlock()
 		t.drop(x, "left")
 	}
 	if !known {
 		t.mu.Lock()
-		t.noteLeft(id, time.Now().Add(leaveMargin).UnixMilli())
+		t.recordDeparted(id, time.Now().Add(deregisterMargin).UnixMilli())
 		t.mu.Unlock()
 	}
 }
--- a/briarrockd/target/driver.go
+++ b/briarrockd/target/driver.go
@@ -7,7 +7,7 @@
 	"briarrock.example/mesh/kind"
 )
 
-// step gives the gate a message and hands out what it decides.
+// step passes a message to the gate and delivers the gate's decisions to the waiting calls.
 func (x *target) step(m Msg) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -18,22 +18,23 @@
 	for _, c := range x.gate.Step(time.Now(), m) {
 		switch c := c.(type) {
 		case Start:
-			x.hand(c.ID, c)
+			x.deliver(c.ID, c)
 		case Refuse:
-			x.hand(c.ID, c)
+			x.deliver(c.ID, c)
 		}
 	}
 	x.setTimer()
 }
 
-func (x *target) hand(id CallID, c Cmd) {
+func (x *target) deliver(id CallID, c Cmd) {
 	if ch, ok := x.waiters[id]; ok {
 		delete(x.waiters, id)
 		ch <- c
 	}
 }
 
-// setTimer wakes the gate when a queued call's deadline passes or its turn comes.
+// setTimer schedules the gate's next Tick: when a queued call's deadline or aim passes, or when
+// the rate limit lets the next call start.
 func (x *target) setTimer() {
 	at := x.gate.NextTick()
 	if at.IsZero() {
@@ -50,8 +51,9 @@
 	x.timer.Reset(d)
 }
 
-// enter waits until the gate lets a call run or refuses it.
-func (x *target) enter(ctx context.Context, a Arrival) (CallID, Refuse) {
+// acquire waits until the gate starts a call or refuses it. The returned Refuse has kind.None if
+// the call was started.
+func (x *target) acquire(ctx context.Context, a Arrival) (CallID, Refuse) {
 	ch := make(chan Cmd, 1)
 	x.mu.Lock()
 	x.lastID++
--- a/briarrockd/target/observe.go
+++ b/briarrockd/target/observe.go
@@ -8,24 +8,25 @@
 	"briarrock.example/mesh/event"
 )
 
-// Headers by which a target tells of itself in its answers.
+// Headers in which a target reports its state in its answers.
 const (
-	// HeaderRate names the requests a second that it takes from all callers together;
-	// without it there is no bound.
+	// HeaderRate is the rate limit that the target advertises, in requests a second from all
+	// callers together. Without it there is no limit.
 	HeaderRate = "Briarrock-Rate"
-	// HeaderLeaving is set once it is about to stop.
+	// HeaderLeaving is set once the target is about to stop.
 	HeaderLeaving = "Briarrock-Leaving"
 )
 
-// observe takes what a target tells of itself in the head of an answer to a request
-// that was sent at sent.
-func (t *Targets) observe(x *target, h http.Header, sent time.Time) {
+// observeAnswer applies the state that a target reports in the headers of its answer to a
+// request sent at sent.
+func (t *Targets) observeAnswer(x *target, h http.Header, sent time.Time) {
 	t.observeRate(x, h, sent)
 	t.observeLeaving(x, h, "answer")
 }
 
-// observeHealth takes what a target tells in the answer to a health check. One that names
-// no rate ends none: only answers to requests are known to name it.
+// observeHealth applies the state that a target reports in its answer to a health check. An
+// answer without a rate does not end the rate limit: only answers to requests are known to carry
+// one.
 func (t *Targets) observeHealth(x *target, h http.Header, sent time.Time) {
 	if h.Get(HeaderRate) != "" {
 		t.observeRate(x, h, sent)
@@ -40,28 +41,28 @@
 	}
 	leaving, err := strconv.ParseBool(text)
 	if err != nil {
-		t.deps.Log.Emit(event.AnswerBad, event.Fields{event.Subject: x.addr, "service": x.service, "leaving": text, "reason": "neither true nor false"})
+		t.deps.Log.Emit(event.AnswerBad, event.Fields{event.Subject: x.addr, "service": x.service, "leaving": text, "reason": "not a boolean"})
 		return
 	}
 	if leaving {
-		t.leave(x, source)
+		t.markLeaving(x, source)
 	}
 }
 
-// leave ends new calls to a target that is about to stop. Within one process that is final,
-// whatever announcements were under way.
-func (t *Targets) leave(x *target, source string) {
+// markLeaving stops new calls to a target that is about to stop. A process never leaves that
+// state, even if announcements that were sent earlier arrive afterwards.
+func (t *Targets) markLeaving(x *target, source string) {
 	if x.leaving.Swap(true) {
 		return
 	}
 	t.mu.Lock()
-	said := x.said
-	said.State = StateDraining
-	t.noteLeaving(said)
+	last := x.announcement
+	last.State = StateDraining
+	t.recordIfDraining(last)
 	t.mu.Unlock()
-	t.deps.Log.Emit(event.TargetState, event.Fields{event.Subject: x.addr, "id": said.ID, "state": StateDraining, "source": source})
+	t.deps.Log.Emit(event.TargetState, event.Fields{event.Subject: x.addr, "id": last.ID, "state": StateDraining, "source": source})
 	x.step(Drain{On: true})
-	t.changed()
+	t.notifyChange()
 }
 
 func (t *Targets) observeRate(x *target, h http.Header, sent time.Time) {
@@ -73,38 +74,39 @@
 			return
 		}
 	}
-	t.setRate(x, "answer", func(n *namedRate) { n.answered(sent, time.Now(), r) })
+	t.setRate(x, "answer", func(n *advertisedRate) { n.updateFromAnswer(sent, time.Now(), r) })
 }
 
-// setRate changes what is known of a target's rate, and bounds its calls by that.
-func (t *Targets) setRate(x *target, source string, change func(*namedRate)) {
+// setRate applies a change to the rate that a target advertises, and to its gate if the rate
+// differs.
+func (t *Targets) setRate(x *target, source string, change func(*advertisedRate)) {
 	x.mu.Lock()
-	old := x.named
-	change(&x.named)
-	named := x.named
-	if named.rate != old.rate {
-		x.stepLocked(Throttle{named.rate})
+	old := x.advertised
+	change(&x.advertised)
+	updated := x.advertised
+	if updated.rate != old.rate {
+		x.stepLocked(Throttle{updated.rate})
 	}
 	x.mu.Unlock()
-	if named.rate != old.rate {
-		t.logRateChange(x, old, named, source)
+	if updated.rate != old.rate {
+		t.logRateChange(x, old, updated, source)
 	}
 }
 
-func (t *Targets) logRateChange(x *target, old, named namedRate, source string) {
+func (t *Targets) logRateChange(x *target, old, updated advertisedRate, source string) {
 	f := event.Fields{
 		event.Subject: x.addr, "service": x.service, "id": t.lastAnnouncement(x).ID,
-		"from": old.rate.String(), "rate": named.rate.String(), "source": source,
+		"from": old.rate.String(), "rate": updated.rate.String(), "source": source,
 	}
-	if !old.at.IsZero() {
-		f["age"] = time.Since(old.at).Milliseconds()
+	if !old.answeredAt.IsZero() {
+		f["age"] = time.Since(old.answeredAt).Milliseconds()
 	}
 	t.deps.Log.Emit(event.TargetRate, f)
 }
 
-// learn takes what a caller's node reports of this host's targets. A process that was
-// started beside a target knows nothing of what that has said before.
-func (t *Targets) learn(reports []Notice) {
+// applyReports applies the notices that a caller's node sent about this host's targets. A node
+// process that was started later than a target has not received what the target reported before.
+func (t *Targets) applyReports(reports []Notice) {
 	if len(reports) == 0 {
 		return
 	}
@@ -113,44 +115,45 @@
 			if n.Process != x.process {
 				continue
 			}
-			t.setRate(x, "report", func(known *namedRate) { known.reported(n.Rate) })
+			t.setRate(x, "report", func(advertised *advertisedRate) { advertised.updateFromReport(n.Rate) })
 			if n.Leaving {
-				t.leave(x, "report")
+				t.markLeaving(x, "report")
 			}
 		}
 	}
 }
 
-// notice is what this node reports of a target; false if that has told nothing.
+// notice returns the state that this node reports of a target, and false if the target has
+// reported nothing.
 func (x *target) notice() (Notice, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	n := Notice{Process: x.process, Rate: x.named.rate, Leaving: x.leaving.Load(), At: x.named.at}
-	return n, x.named.ever || n.Leaving
+	n := Notice{Process: x.process, Rate: x.advertised.rate, Leaving: x.leaving.Load(), At: x.advertised.answeredAt}
+	return n, x.advertised.known || n.Leaving
 }
 
-// limited is how many targets of this host name a rate now.
-func (t *Targets) limited() int {
+// countRateLimited returns the number of targets of this host that advertise a rate.
+func (t *Targets) countRateLimited() int {
 	n := 0
 	for _, x := range t.list() {
-		if told, _ := x.notice(); told.Rate.bounded {
+		if notice, _ := x.notice(); notice.Rate.bounded {
 			n++
 		}
 	}
 	return n
 }
 
-// describeRate adds the rate in force to the fields of a call's line, with how many calls it
-// lets start now and how long ago an answer named it.
-func (x *target) describeRate(f event.Fields) {
+// addRateFields adds the rate in force to the fields of a call's log line, with the number of
+// calls that it lets start now (tokens) and the age of the rate in milliseconds (rateage).
+func (x *target) addRateFields(f event.Fields) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.named.rate.bounded {
+	if !x.advertised.rate.bounded {
 		return
 	}
 	now := time.Now()
-	f["rate"], f["tokens"] = x.named.rate.String(), strconv.FormatFloat(x.gate.pacer.tokens(now), 'f', 2, 64)
-	if !x.named.at.IsZero() {
-		f["rateage"] = now.Sub(x.named.at).Milliseconds()
+	f["rate"], f["tokens"] = x.advertised.rate.String(), strconv.FormatFloat(x.gate.pacer.tokens(now), 'f', 2, 64)
+	if !x.advertised.answeredAt.IsZero() {
+		f["rateage"] = now.Sub(x.advertised.answeredAt).Milliseconds()
 	}
 }
--- a/briarrockd/target/pacer.go
+++ b/briarrockd/target/pacer.go
@@ -7,36 +7,38 @@
 )
 
 const (
-	// burstOver is the time whose requests may be started at once after a pause.
-	burstOver = 500 * time.Millisecond
-	// minRate and maxRate bound the rate, in requests a second, that is kept to. Only an
-	// answer can raise or end a rate, so some requests have to pass at any rate.
+	// burstWindow is the time whose requests may be started at once after a pause.
+	burstWindow = 500 * time.Millisecond
+	// minRate and maxRate bound the enforced rate, in requests a second. Only an answer can
+	// raise or end a rate limit, so some requests have to pass at any rate.
 	minRate, maxRate = 0.5, 1e6
-	// maxReturn is how much later than the next call in line a refused one may be told to
-	// come back, and maxReturnStep how much later than the one refused before it.
-	maxReturn     = time.Second
-	maxReturnStep = maxReturn / 8
-	// wholeToken is what counts as one: the bucket's tokens are rounded.
-	wholeToken = 1 - 1e-6
+	// maxRetrySpread is the longest time between the next queued call's turn and the retry of a
+	// refused call. maxRetryStep is the longest time between the retries of two successive
+	// refused calls.
+	maxRetrySpread = time.Second
+	maxRetryStep   = maxRetrySpread / 8
+	// oneToken is the number of tokens that count as one: the bucket's tokens are rounded.
+	oneToken = 1 - 1e-6
 )
 
-// pacer is the token bucket of a target that names a rate. The zero pacer lets all pass.
+// pacer is the token bucket of a target that advertises a rate. The zero pacer does not limit
+// calls.
 type pacer struct {
 	bucket *rate.Limiter
-	// returnAt is when the call that was refused last was told to come back.
-	returnAt time.Time
+	// lastRetryAt is the retry time of the call that was refused last.
+	lastRetryAt time.Time
 }
 
-// set takes another rate. A bucket begins empty: the requests of the moments before have
-// used what it would hold.
-func (p *pacer) set(now time.Time, r Rate) {
+// setRate changes the rate. A new bucket is empty, since the requests of the moments before have
+// used its tokens.
+func (p *pacer) setRate(now time.Time, r Rate) {
 	n, bounded := r.PerSecond()
 	if !bounded {
 		*p = pacer{}
 		return
 	}
 	n = min(max(n, minRate), maxRate)
-	burst := max(1, int(n*burstOver.Seconds()))
+	burst := max(1, int(n*burstWindow.Seconds()))
 	if p.bucket == nil {
 		p.bucket = rate.NewLimiter(rate.Limit(n), burst)
 		p.bucket.ReserveN(now, burst)
@@ -46,50 +48,50 @@
 	p.bucket.SetBurstAt(now, burst)
 }
 
-// ready tells whether a call may start now.
+// ready reports whether a call may start now.
 func (p *pacer) ready(now time.Time) bool {
-	return p.bucket == nil || p.bucket.TokensAt(now) >= wholeToken
+	return p.bucket == nil || p.bucket.TokensAt(now) >= oneToken
 }
 
-// take counts a call that starts.
+// take takes a token for a call that starts.
 func (p *pacer) take(now time.Time) {
 	if p.bucket != nil {
 		p.bucket.ReserveN(now, 1)
 	}
 }
 
-// wait is how long a call behind n others waits for its turn.
+// wait returns the time until the bucket has a token for a call behind n others.
 func (p *pacer) wait(now time.Time, n int) time.Duration {
 	if p.bucket == nil {
 		return 0
 	}
-	missing := float64(n) + wholeToken - p.bucket.TokensAt(now)
+	missing := float64(n) + oneToken - p.bucket.TokensAt(now)
 	if missing <= 0 {
 		return 0
 	}
-	return p.cycle(missing) + time.Microsecond
+	return p.refillTime(missing) + time.Microsecond
 }
 
-// cycle is the time in which n tokens come.
-func (p *pacer) cycle(n float64) time.Duration {
+// refillTime returns the time in which n tokens are added.
+func (p *pacer) refillTime(n float64) time.Duration {
 	return time.Duration(n / float64(p.bucket.Limit()) * float64(time.Second))
 }
 
-// again is when a refused call is worth asking for again behind n that wait. Refused
-// calls get their times one after the other, so that they don't return together.
-func (p *pacer) again(now time.Time, n int) time.Duration {
+// retryAfter returns how long a refused call should wait before a retry, with n calls queued.
+// The retries of successive refused calls are spread so that they don't arrive together.
+func (p *pacer) retryAfter(now time.Time, n int) time.Duration {
 	if p.bucket == nil {
 		return 0
 	}
 	next := now.Add(p.wait(now, n))
-	p.returnAt = p.returnAt.Add(min(p.cycle(1), maxReturnStep))
-	if p.returnAt.Before(next) || p.returnAt.After(next.Add(maxReturn)) {
-		p.returnAt = next
+	p.lastRetryAt = p.lastRetryAt.Add(min(p.refillTime(1), maxRetryStep))
+	if p.lastRetryAt.Before(next) || p.lastRetryAt.After(next.Add(maxRetrySpread)) {
+		p.lastRetryAt = next
 	}
-	return p.returnAt.Sub(now)
+	return p.lastRetryAt.Sub(now)
 }
 
-// tokens is how many calls may start now; meaningless without a rate.
+// tokens returns how many calls may start now; 0 without a rate.
 func (p *pacer) tokens(now time.Time) float64 {
 	if p.bucket == nil {
 		return 0
@@ -97,7 +99,7 @@
 	return p.bucket.TokensAt(now)
 }
 
-// load is the part of the burst that is used.
+// load returns the share of the burst that is used.
 func (p *pacer) load(now time.Time) float64 {
 	if p.bucket == nil {
 		return 0
--- a/briarrockd/target/queue.go
+++ b/briarrockd/target/queue.go
@@ -7,99 +7,99 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// waiting is a queued call.
-type waiting struct {
+// queuedCall is a call that has been in the queue since queuedAt.
+type queuedCall struct {
 	Arrival
-	at time.Time
+	queuedAt time.Time
 }
 
-// shareOf is the part of a full queue that one caller may take while others
-// wait too, as 1/shareOf.
-const shareOf = 2
+// callerShareDivisor sets the share of a full queue that one caller may take while others are
+// queued, as 1/callerShareDivisor.
+const callerShareDivisor = 2
 
-// How much of a queue a call may find before it.
+// Parameters that decide whether a call may queue.
 const (
-	// workSpread is how many times the usual time is allowed for a call's own
-	// work when it is asked whether it will be in time: work varies, and most
-	// calls end within this.
-	workSpread = 2.0
-	// minSpare is the least part of the time beyond the usual work that a call may wait.
-	minSpare = 0.5
-	// minQueue is how many may wait in any case: with none, a slot that comes
-	// free stays so until the next call happens to arrive.
-	minQueue = 1
-	// minWork is the part of the usual time below which a queued call is not
-	// worth starting: it would take a slot and be broken off.
-	minWork = 0.5
+	// workFactor is how many times its route's mean duration a call is assumed to run when the
+	// gate decides whether it ends in time. Durations vary, and most calls end within this.
+	workFactor = 2.0
+	// minSlackShare is the least share of the time beyond the mean duration that a call may
+	// wait.
+	minSlackShare = 0.5
+	// minQueueLen is the number of calls that may always queue. With none, a slot that becomes
+	// free stays unused until the next call happens to arrive.
+	minQueueLen = 1
+	// minWorkShare is the share of its route's mean duration that a queued call must have left
+	// until its deadline to be started. With less it would take a slot and be cut off.
+	minWorkShare = 0.5
 )
 
-// inTime tells whether a call is expected to end in time: within its aim, if it
-// has one that is not past already.
-func (g *Gate) inTime(m Arrival) bool {
-	ahead, wait := g.expected(m)
+// expectedInTime reports whether a call is expected to end in time: within its aim, if it has
+// one that has not passed.
+func (g *Gate) expectedInTime(m Arrival) bool {
+	ahead, wait := g.expectedWait(m)
 	switch {
 	case m.Aim.IsZero():
 		return !g.now.Add(wait).After(m.Deadline)
 	case !m.Aim.After(g.now):
-		// It can only be late, and would make another late too. It gets a slot
-		// that nobody else wants.
+		// The answer can only be late, and queueing the call would make another one late too. It
+		// gets a slot only if one is free.
 		return false
 	}
-	work := g.limit.work.of(m.Route)
-	if ahead < minQueue || g.overload.first(g.now, m.Priority) {
+	work := g.limit.durations.ofRoute(m.Route)
+	if ahead < minQueueLen || g.overload.lowerPriorityStarted(g.now, m.Priority) {
 		return !g.now.Add(wait + work).After(m.Deadline)
 	}
-	return wait <= time.Duration(g.overload.patience(m.Priority)*float64(spare(m.Aim.Sub(g.now), work)))
+	return wait <= time.Duration(g.overload.maxWaitShare(m.Priority)*float64(slack(m.Aim.Sub(g.now), work)))
 }
 
-// spare is how much of the time until its aim a call has for waiting. Most work ends
-// within workSpread times the usual time; where the aim is not that far off, half of what
-// lies beyond the usual time is left.
-func spare(left, work time.Duration) time.Duration {
-	return max(left-time.Duration(workSpread*float64(work)), time.Duration(minSpare*float64(left-work)))
+// slack returns how long a call may wait, given the time left until its aim and the mean
+// duration of its work. Most calls end within workFactor times the mean duration. If the aim is
+// nearer than that, minSlackShare of the time beyond the mean duration remains.
+func slack(left, work time.Duration) time.Duration {
+	return max(left-time.Duration(workFactor*float64(work)), time.Duration(minSlackShare*float64(left-work)))
 }
 
-// expected is how many calls go before one that arrives, and how long it is
-// expected to be queued: for a slot if none is free, for its turn at the target's
-// rate, and for the link if its body has to wait for others.
-func (g *Gate) expected(m Arrival) (ahead int, wait time.Duration) {
-	own := waiting{m, g.now}
+// expectedWait returns how many queued calls go before an arriving call, and how long it is
+// expected to queue: for a slot if none is free, for a token at the target's rate, and for the
+// link if its body has to wait for others.
+func (g *Gate) expectedWait(m Arrival) (ahead int, wait time.Duration) {
+	call := queuedCall{m, g.now}
 	for i := range g.queue {
-		if !g.sooner(&own, &g.queue[i]) {
+		if !g.before(&call, &g.queue[i]) {
 			ahead++
 		}
 	}
-	if g.free(&m) <= 0 {
-		wait = g.wait(ahead, m.Priority)
+	if g.freeSlots(&m) <= 0 {
+		wait = g.slotWait(ahead, m.Priority)
 	}
 	wait = max(wait, g.pacer.wait(g.now, ahead))
-	if g.bodies.long(&m) {
-		wait += g.bodies.wait(g.queuedBytes(&own))
+	if g.bodies.isLong(&m) {
+		wait += g.bodies.wait(g.queuedBytes(&call))
 	}
 	return ahead, wait
 }
 
-// queuedBytes are the long bodies of the queued calls that go before one, or of
-// all of them.
-func (g *Gate) queuedBytes(before *waiting) int64 {
+// queuedBytes returns the length of the long bodies of the queued calls that go before a call,
+// or of all queued calls if it is nil.
+func (g *Gate) queuedBytes(call *queuedCall) int64 {
 	n := int64(0)
 	for i := range g.queue {
-		if g.bodies.long(&g.queue[i].Arrival) && (before == nil || !g.sooner(before, &g.queue[i])) {
+		if g.bodies.isLong(&g.queue[i].Arrival) && (call == nil || !g.before(call, &g.queue[i])) {
 			n += g.bodies.size(&g.queue[i].Arrival)
 		}
 	}
 	return n
 }
 
-// startable tells whether a queued call still has the time to be worth a slot.
-func (g *Gate) startable(w waiting) bool {
-	least := time.Duration(minWork * float64(g.limit.work.of(w.Route)))
-	return w.Aim.IsZero() || !g.now.Add(least).After(w.Deadline)
+// worthStarting reports whether a queued call has enough time left to be started.
+func (g *Gate) worthStarting(w queuedCall) bool {
+	minWork := time.Duration(minWorkShare * float64(g.limit.durations.ofRoute(w.Route)))
+	return w.Aim.IsZero() || !g.now.Add(minWork).After(w.Deadline)
 }
 
-// overShare tells whether a caller would crowd out the others: the queue is
-// half full at least, others wait in it, and this caller has its share.
-func (g *Gate) overShare(caller string) bool {
+// exceedsCallerShare reports whether a caller would crowd out others: the queue is at least half
+// full, other callers are queued, and this caller has its share of the queue.
+func (g *Gate) exceedsCallerShare(caller string) bool {
 	own := 0
 	for _, w := range g.queue {
 		if w.Caller == caller {
@@ -107,22 +107,23 @@
 		}
 	}
 	others := len(g.queue) - own
-	return others > 0 && len(g.queue)*2 >= g.queueMax && own >= max(1, g.queueMax/shareOf)
+	return others > 0 && len(g.queue)*2 >= g.queueMax && own >= max(1, g.queueMax/callerShareDivisor)
 }
 
-// evict turns away the last call of a lesser priority to make room.
+// evict refuses the last queued call of the lowest priority below p to make room. It returns
+// false if there is none.
 func (g *Gate) evict(p snapshot.Priority) bool {
-	worst := -1
+	lowest := -1
 	for i, w := range g.queue {
-		if w.Priority < p && (worst < 0 || w.Priority <= g.queue[worst].Priority) {
-			worst = i
+		if w.Priority < p && (lowest < 0 || w.Priority <= g.queue[lowest].Priority) {
+			lowest = i
 		}
 	}
-	if worst < 0 {
+	if lowest < 0 {
 		return false
 	}
-	g.reject(&g.queue[worst].Arrival, g.shortage())
-	g.queue = append(g.queue[:worst], g.queue[worst+1:]...)
+	g.refuseForCapacity(&g.queue[lowest].Arrival, g.shortageKind())
+	g.queue = append(g.queue[:lowest], g.queue[lowest+1:]...)
 	return true
 }
 
@@ -135,17 +136,17 @@
 	}
 }
 
-// expire refuses queued calls whose deadline has passed, and those that were
-// queued for an aim which is past now, unless the next slot is theirs: they did not
-// run, and their callers have the time to ask elsewhere.
+// expire refuses queued calls whose deadline has passed. It also refuses calls whose aim has
+// passed since they were queued, unless they get the next slots before lower-priority calls.
+// They did not run, and their callers still have time to try another target.
 func (g *Gate) expire() {
 	kept := g.queue[:0]
 	for _, w := range g.queue {
 		switch {
 		case !w.Deadline.After(g.now):
 			g.refuse(w.ID, kind.Deadline)
-		case w.Aim.After(w.at) && !w.Aim.After(g.now) && !g.overload.first(g.now, w.Priority):
-			g.reject(&w.Arrival, g.shortage())
+		case w.Aim.After(w.queuedAt) && !w.Aim.After(g.now) && !g.overload.lowerPriorityStarted(g.now, w.Priority):
+			g.refuseForCapacity(&w.Arrival, g.shortageKind())
 		default:
 			kept = append(kept, w)
 		}
@@ -153,60 +154,60 @@
 	g.queue = kept
 }
 
-// next is the queued call to run, -1 if there is none: the first of those that have
-// a slot and whose body the link has room for. Short calls don't wait for a link
-// that they hardly use, nor urgent ones for the room that is kept for them.
-func (g *Gate) next() int {
+// nextStartable returns the index of the queued call to start, -1 if there is none: the first in
+// order among those that have a slot, a token and room on the link for their body. So short
+// calls don't wait for a link that they hardly use, nor urgent calls for the slots that are
+// reserved for them.
+func (g *Gate) nextStartable() int {
 	best := -1
 	for i := range g.queue {
-		if g.fits(&g.queue[i].Arrival) && (best < 0 || g.sooner(&g.queue[i], &g.queue[best])) {
+		if g.canStart(&g.queue[i].Arrival) && (best < 0 || g.before(&g.queue[i], &g.queue[best])) {
 			best = i
 		}
 	}
 	return best
 }
 
-// sooner tells whether call a goes before call b, which came first: the more
-// urgent one, then that of the caller who had fewer turns, then the one whose
-// aim is sooner, while it can be kept. Calls that targets make while they run others have the
-// shortest aims, and whole requests wait for them.
-func (g *Gate) sooner(a, b *waiting) bool {
+// before reports whether call a goes before call b, which arrived earlier. The higher priority
+// goes first, then the caller with fewer started calls, then the earlier aim if it can still be
+// met. Outgoing calls of targets' runs have the shortest aims, and whole requests wait for them.
+func (g *Gate) before(a, b *queuedCall) bool {
 	switch {
 	case a.Priority != b.Priority:
 		return a.Priority > b.Priority
-	case g.turn[a.Caller] != g.turn[b.Caller]:
-		return g.turn[a.Caller] < g.turn[b.Caller]
+	case g.startedByCaller[a.Caller] != g.startedByCaller[b.Caller]:
+		return g.startedByCaller[a.Caller] < g.startedByCaller[b.Caller]
 	default:
-		return a.due(g).Before(b.due(g))
+		return a.dueTime(g).Before(b.dueTime(g))
 	}
 }
 
-// due is by when a queued call should be done: its aim, or if that is past or
-// unknown, as soon as a call that comes now can be.
-func (w *waiting) due(g *Gate) time.Time {
-	soonest := w.at.Add(g.limit.work.usual())
+// dueTime returns by when a queued call should have ended: its aim, or if that is unknown or
+// can't be met, the time at which it would have ended had it started on arrival.
+func (w *queuedCall) dueTime(g *Gate) time.Time {
+	soonest := w.queuedAt.Add(g.limit.durations.overall())
 	if w.Aim.After(soonest) {
 		return w.Aim
 	}
 	return soonest
 }
 
-// NextTick is when the gate wants its next Tick; zero for not at all.
+// NextTick returns when the gate needs its next Tick; zero if it needs none.
 func (g *Gate) NextTick() time.Time {
 	if len(g.queue) == 0 {
 		return time.Time{}
 	}
 	var at time.Time
-	if len(g.running) < g.allowed() && !g.pacer.ready(g.now) {
+	if len(g.running) < g.concurrencyLimit() && !g.pacer.ready(g.now) {
 		at = g.now.Add(g.pacer.wait(g.now, 0))
 	}
 	for _, w := range g.queue {
-		ends := w.Deadline
-		if w.Aim.After(g.now) && w.Aim.Before(ends) {
-			ends = w.Aim
+		expires := w.Deadline
+		if w.Aim.After(g.now) && w.Aim.Before(expires) {
+			expires = w.Aim
 		}
-		if at.IsZero() || ends.Before(at) {
-			at = ends
+		if at.IsZero() || expires.Before(at) {
+			at = expires
 		}
 	}
 	return at
--- a/briarrockd/target/rate_test.go
+++ b/briarrockd/target/rate_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestParseRate guards against a malformed rate that is taken for a bound, or for none.
+// TestParseRate guards against a malformed rate that is read as a limit, or as no limit.
 func TestParseRate(t *testing.T) {
 	c := qt.New(t)
 	for text, want := range map[string]float64{"0": 0, "24.9": 24.9, "1e3": 1000, "0.25": 0.25} {
@@ -16,9 +16,9 @@
 		n, bounded := r.PerSecond()
 		c.Check(n, qt.Equals, want)
 		c.Check(bounded, qt.IsTrue)
-		again, err := ParseRate(r.String())
+		reparsed, err := ParseRate(r.String())
 		c.Check(err, qt.IsNil)
-		c.Check(again, qt.Equals, r)
+		c.Check(reparsed, qt.Equals, r)
 	}
 	for _, text := range []string{"", "many", "-1", "NaN", "+Inf", "1e999", "24.9 ", "24,9"} {
 		_, err := ParseRate(text)
@@ -28,12 +28,12 @@
 	c.Check(bounded, qt.IsFalse)
 }
 
-// TestNamedRateOrder guards against an answer to an older request that ends or raises a
-// rate which was named after that request was sent.
-func TestNamedRateOrder(t *testing.T) {
+// TestAdvertisedRateOrder guards against an answer to an older request that ends or raises a
+// rate which was received after that request was sent.
+func TestAdvertisedRateOrder(t *testing.T) {
 	c := qt.New(t)
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
-	var n namedRate
+	var n advertisedRate
 	for _, x := range []struct {
 		sent, received int
 		named          Rate
@@ -42,15 +42,15 @@
 		{10, 50, NewRate(40), NewRate(40)},   // the first
 		{20, 60, Rate{}, NewRate(40)},        // sent before the rate was received
 		{55, 70, NewRate(25), NewRate(25)},   // lowered
-		{60, 80, NewRate(40), NewRate(25)},   // overtaken by it
-		{61, 81, NewRate(20), NewRate(20)},   // stricter, whichever is newer
+		{60, 80, NewRate(40), NewRate(25)},   // sent before the lower rate was received
+		{61, 81, NewRate(20), NewRate(20)},   // a stricter rate always applies
 		{90, 120, NewRate(30), NewRate(30)},  // raised
 		{115, 130, Rate{}, NewRate(30)},      // sent before the raise was received
 		{125, 140, Rate{}, Rate{}},           // ended
 		{100, 150, NewRate(30), NewRate(30)}, // possibly newer than the end
 		{151, 160, Rate{}, Rate{}},
 	} {
-		n.answered(at(x.sent), at(x.received), x.named)
+		n.updateFromAnswer(at(x.sent), at(x.received), x.named)
 		c.Check(n.rate, qt.Equals, x.want, qt.Commentf("received at %d ms", x.received))
 	}
 }
--- a/briarrockd/target/reserve.go
+++ b/briarrockd/target/reserve.go
@@ -7,57 +7,54 @@
 )
 
 const (
-	// runningWeight is the weight of the newest moment in the mean number of
-	// calls that run, looked at as each call arrives.
+	// runningWeight is the weight of the newest sample in the mean number of running calls,
+	// which is sampled as each call arrives.
 	runningWeight = 0.02
-	// spareWeight is that of the newest call in the spare time of a priority.
-	spareWeight = 0.1
-	// priorities is the number of priorities.
-	priorities = int(snapshot.MostUrgent) + 1
+	// slackWeight is the weight of the newest call in the mean slack of a priority.
+	slackWeight = 0.1
+	priorities  = int(snapshot.MostUrgent) + 1
 )
 
-// reserve keeps slots for urgent calls that can't wait for the end of long work.
+// reserve keeps slots free for urgent calls that can't wait until a long call ends.
 //
-// Slots are not taken back. Where long calls of little urgency may fill them
-// all, an urgent short one comes too late whatever its place in the queue, and
-// the run at another target that waits for it fails with it. So long calls leave
-// as many slots as the more urgent ones were seen to need, unless these have the
-// time to wait for a slot.
+// Running calls are not preempted. If long calls of low priority could take all slots, a short
+// urgent call would be late whatever its place in the queue, and the run at another target that
+// waits for it would fail. So long calls leave free as many slots as more urgent calls usually
+// use, unless those have enough slack to wait for a slot.
 type reserve struct {
-	// running is how many calls of each priority run now, mean how many do as a
-	// rule.
-	running [priorities]int
-	mean    [priorities]float64
-	// spare is the time that calls of each priority have beside their work.
-	spare [priorities]time.Duration
+	// running is the number of running calls of each priority, meanRunning its moving average.
+	running     [priorities]int
+	meanRunning [priorities]float64
+	// slack is the mean time that calls of each priority can wait.
+	slack [priorities]time.Duration
 }
 
-// arrived looks at what runs as a call arrives, and notes its spare time.
-func (r *reserve) arrived(priority snapshot.Priority, spare time.Duration) {
+// recordArrival samples the running calls as a call arrives, and records the call's slack.
+func (r *reserve) recordArrival(priority snapshot.Priority, slack time.Duration) {
 	for i, n := range r.running {
-		r.mean[i] += runningWeight * (float64(n) - r.mean[i])
+		r.meanRunning[i] += runningWeight * (float64(n) - r.meanRunning[i])
 	}
-	r.spare[priority] = average(r.spare[priority], max(spare, 1), spareWeight)
+	r.slack[priority] = movingAverage(r.slack[priority], max(slack, 1), slackWeight)
 }
 
-// kept is how many slots a call that takes so long has to leave free for more
-// urgent ones.
-func (r *reserve) kept(priority snapshot.Priority, work time.Duration) int {
-	need, have := 0.0, 0
+// reservedSlots returns how many slots a call of this priority, with work as its expected
+// duration, has to leave free for more urgent calls.
+func (r *reserve) reservedSlots(priority snapshot.Priority, work time.Duration) int {
+	needed, taken := 0.0, 0
 	for i := int(priority) + 1; i < priorities; i++ {
-		if r.spare[i] > 0 && r.spare[i] < work {
-			need += r.mean[i]
-			have += r.running[i]
+		if r.slack[i] > 0 && r.slack[i] < work {
+			needed += r.meanRunning[i]
+			taken += r.running[i]
 		}
 	}
-	return max(0, int(need)-have)
+	return max(0, int(needed)-taken)
 }
 
-// taken is how many slots more urgent calls have as a rule.
-func (r *reserve) taken(priority snapshot.Priority) float64 {
+// meanHigherPriority returns the mean number of slots that more urgent calls use.
+func (r *reserve) meanHigherPriority(priority snapshot.Priority) float64 {
 	n := 0.0
 	for i := int(priority) + 1; i < priorities; i++ {
-		n += r.mean[i]
+		n += r.meanRunning[i]
 	}
 	return n
 }
