--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -19,47 +19,47 @@
 // deadline has passed, since it knows whether the request was sent.
 const deadlineSlack = 50 * time.Millisecond
 
-// expectAbove is the length in bytes of a body that is held back until the
+// expectContinueBytes is the length in bytes of a body that is held back until the
 // target's node asks for it. A shorter one is on its way in less time than the
 // question takes.
-const expectAbove = 16 << 10
+const expectContinueBytes = 16 << 10
 
 // attempt is what one try at a target told.
 type attempt struct {
 	res   *http.Response
 	kind  kind.Kind
 	ran   kind.Ran
-	after time.Duration
+	retryAfter time.Duration
 	host  string
-	// reached is set when the request got to the target, whatever came of it.
-	reached bool
+	// reachedTarget is set when the request got to the target, whatever came of it.
+	reachedTarget bool
 	cancel  context.CancelFunc
 	// err is why there is no answer, for the log.
 	err error
 }
 
-// failure tells whether the target answered that it failed.
-func (a *attempt) failure() bool {
+// targetFailed tells whether the target answered that it failed.
+func (a *attempt) targetFailed() bool {
 	return a.kind == kind.None && a.res != nil && a.res.StatusCode >= http.StatusInternalServerError
 }
 
-// try sends a call to one upstream. A nil res comes with a kind; an answer of
+// sendAttempt sends a call to one upstream. A nil res comes with a kind; an answer of
 // a target's node that it is a failure comes with both, its body unread.
-func (p *Proxy) try(ctx context.Context, c *call, u upstream) attempt {
+func (p *Proxy) sendAttempt(ctx context.Context, c *call, u upstream) attempt {
 	p.attempts.Inc()
 	body, length := c.payload()
-	held := c.holdsBody(u)
+	withheld := c.withholdsBody(u)
 	res, out := relay.Send(ctx, relay.Call{
 		In: c.r, URL: relay.Toward(&url.URL{Scheme: p.deps.Scheme, Host: u.addr}, c.r), Host: c.r.Host,
-		Add: c.towardsNode(u, held), Body: body, Length: length, Transport: p.deps.Transport, Stall: p.deps.StallTimeout,
+		Add: c.nodeHeaders(u, withheld), Body: body, Length: length, Transport: p.deps.Transport, Stall: p.deps.StallTimeout,
 		Deadline: c.deadline.Add(deadlineSlack), Streamed: c.streamed,
-		Once: c.route.Mode == snapshot.Once, Withheld: held && !c.streamed,
+		Once: c.route.Mode == snapshot.Once, Withheld: withheld && !c.streamed,
 	})
 	a := attempt{res: res, host: u.host, kind: out.Kind, err: out.Err}
 	if res != nil {
-		a.read(res, c.streamed)
+		a.readResponse(res, c.streamed)
 	} else {
-		a.reached = out.Sent
+		a.reachedTarget = out.Sent
 		a.ran = out.Kind.Answer().Ran
 		if !out.Sent {
 			a.ran = kind.RanNo
@@ -76,13 +76,13 @@
 	return a
 }
 
-// read takes an answer's head, and its body if that is short. The answer to a
+// readResponse takes an answer's head, and its body if that is short. The answer to a
 // streamed request may begin before that has ended, and so is streamed as well.
-func (a *attempt) read(res *http.Response, streamed bool) {
+func (a *attempt) readResponse(res *http.Response, streamed bool) {
 	a.ran = kind.ParseRan(res.Header.Get(kind.HeaderRan))
 	a.kind = kind.Kind(res.Header.Get(kind.HeaderKind))
-	a.after = relay.After(res.Header)
-	a.reached = a.kind == kind.None || a.kind == kind.Shed || a.ran != kind.RanNo
+	a.retryAfter = relay.After(res.Header)
+	a.reachedTarget = a.kind == kind.None || a.kind == kind.Shed || a.ran != kind.RanNo
 	if a.kind != kind.None || (streamed && res.ContentLength < 0) {
 		return
 	}
@@ -107,32 +107,32 @@
 		f.Usual = time.Duration(ms) * time.Millisecond
 	}
 	f.Failed = a.kind == kind.Refused || a.kind == kind.Broken || a.kind == kind.Late
-	f.TargetFailed = a.kind == kind.Shed || a.failure()
+	f.TargetFailed = a.kind == kind.Shed || a.targetFailed()
 	f.Leaving = a.kind == kind.Drain
-	f.Full, f.Paced, f.Again = a.kind == kind.Full || a.kind == kind.Rate, a.kind == kind.Rate, a.after
+	f.Full, f.Paced, f.Again = a.kind == kind.Full || a.kind == kind.Rate, a.kind == kind.Rate, a.retryAfter
 	f.Notices = target.ReadNotices(h, time.Now())
 	return f
 }
 
 // routeName names the route among those of its service: calls of one route take
 // about the same time.
-func (c *call) routeName() string { return cmp.Or(c.entry, c.route.Name()) }
+func (c *call) routeName() string { return cmp.Or(c.entryName, c.route.Name()) }
 
-// holdsBody tells whether a call's body is held back until the target's node asks for
+// withholdsBody tells whether a call's body is held back until the target's node asks for
 // it. In an overload a body of any length is: most calls are refused, and their bodies
 // would take up the links.
-func (c *call) holdsBody(u upstream) bool {
+func (c *call) withholdsBody(u upstream) bool {
 	n := c.r.ContentLength
-	return n < 0 || n > expectAbove || n > 0 && u.overloaded
+	return n < 0 || n > expectContinueBytes || n > 0 && u.overloaded
 }
 
-func (c *call) towardsNode(u upstream, held bool) http.Header {
+func (c *call) nodeHeaders(u upstream, withheld bool) http.Header {
 	h := make(http.Header, 6)
 	h.Set(target.HeaderService, c.service.Name)
 	h.Set(target.HeaderDeadline, strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 0), 10))
 	h.Set(target.HeaderPriority, strconv.Itoa(int(c.route.Priority)))
 	h.Set(target.HeaderRoute, c.routeName())
-	h.Set(target.HeaderPrint, strconv.FormatUint(c.print, 16))
+	h.Set(target.HeaderPrint, strconv.FormatUint(c.fingerprint, 16))
 	h.Set(target.HeaderTrace, c.trace)
 	if c.route.Mode == snapshot.Once {
 		h.Set(target.HeaderOnce, "yes")
@@ -143,7 +143,7 @@
 	if !c.aim.IsZero() {
 		h.Set(target.HeaderAim, strconv.FormatInt(time.Until(c.aim).Milliseconds(), 10))
 	}
-	if held {
+	if withheld {
 		h.Set("Expect", http1.Continue)
 		h.Set(http1.HeaderHeld, "yes")
 	}
--- a/briarrockd/caller/attempts.go
+++ b/briarrockd/caller/attempts.go
@@ -16,13 +16,13 @@
 // send tries a call until it is answered or may not be tried again. It gives
 // the final answer as soon as that is known, however much time is left.
 func (p *Proxy) send(w http.ResponseWriter, c *call) {
-	a := p.attemptAll(c)
-	defer a.done()
+	a := p.runAttempts(c)
+	defer a.release()
 	if a.res == nil {
-		p.fail(w, c, a.kind, a.ran, a.after)
+		p.fail(w, c, a.kind, a.ran, a.retryAfter)
 		return
 	}
-	p.answer(w, c, a, nil)
+	p.writeAnswer(w, c, a, nil)
 }
 
 // attempts are the attempts of one call.
@@ -32,21 +32,21 @@
 	results  chan attempt
 	inFlight int // attempts that have not ended
 	tried    []string
-	reached  int // attempts that got to a target
+	reachedTarget  int // attempts that got to a target
 	reroutes int // attempts that a target's node refused
 	hedged   bool
-	// sent is set when an earlier attempt may have run.
-	sent bool
-	// after is the soonest time to come back that any refusal named.
-	after time.Duration
+	// mayHaveRun is set when an earlier attempt may have run.
+	mayHaveRun bool
+	// minRetryAfter is the soonest time to come back that any refusal named.
+	minRetryAfter time.Duration
 }
 
-// attemptAll makes attempts until one is final, and returns that one.
-func (p *Proxy) attemptAll(c *call) attempt {
-	p.deps.Budget.call(c.service.Name)
+// runAttempts makes attempts until one is final, and returns that one.
+func (p *Proxy) runAttempts(c *call) attempt {
+	p.deps.Budget.addCall(c.service.Name)
 	x := &attempts{p: p, c: c, results: make(chan attempt, maxReroutes+c.route.Retries+2)}
-	if none, ok := x.start("to"); !ok {
-		return noUpstream(none)
+	if r, ok := x.startAttempt("to"); !ok {
+		return noUpstreamResult(r)
 	}
 	hedge := x.hedgeTimer()
 	defer hedge.Stop()
@@ -54,7 +54,7 @@
 		select {
 		case a := <-x.results:
 			x.inFlight--
-			if x.resolve(&a) {
+			if x.handleResult(&a) {
 				return a
 			}
 		case <-hedge.C:
@@ -63,115 +63,115 @@
 	}
 }
 
-// spread draws a time around one, so that callers who are refused together don't
+// jitter draws a time around one, so that callers who are refused together don't
 // return together.
-func spread(d time.Duration) time.Duration { return d/2 + rand.N(d) }
+func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// fullAgain is when to ask again for a service that is known to have no room.
+// fullRetryAfter is when to ask again for a service that is known to have no room.
 // In this time as many requests end as fill the queues anew; twice the range
 // spreads the return of those who were refused together.
-const fullAgain = 40 * time.Millisecond
+const fullRetryAfter = 40 * time.Millisecond
 
-// noUpstream is the end of a call that has no upstream to go to.
-func noUpstream(none refusal) attempt {
-	switch none.kind {
+// noUpstreamResult is the end of a call that has no upstream to go to.
+func noUpstreamResult(r refusal) attempt {
+	switch r.kind {
 	case kind.Rate:
-		none.after += rand.N(fullAgain + none.after)
+		r.retryAfter += rand.N(fullRetryAfter + r.retryAfter)
 	case kind.Full:
-		none.after = fullAgain + rand.N(fullAgain)
+		r.retryAfter = fullRetryAfter + rand.N(fullRetryAfter)
 	default:
-		none.after = emptyAfter
+		r.retryAfter = emptyRetryAfter
 	}
-	return attempt{kind: none.kind, ran: kind.RanNo, after: none.after}
+	return attempt{kind: r.kind, ran: kind.RanNo, retryAfter: r.retryAfter}
 }
 
-// start begins an attempt at another upstream; false if there is none left, and why.
-func (x *attempts) start(what string) (refusal, bool) {
-	u, none, ok := x.p.deps.Balancer.pick(time.Now(), x.c.service.Name, x.c.set, x.tried, x.c.route.Priority)
+// startAttempt begins an attempt at another upstream; false if there is none left, and why.
+func (x *attempts) startAttempt(what string) (refusal, bool) {
+	u, none, ok := x.p.deps.Balancer.pick(time.Now(), x.c.service.Name, x.c.upstreams, x.tried, x.c.route.Priority)
 	if !ok {
 		return none, false
 	}
 	x.tried = append(x.tried, u.host)
-	x.c.callTrace.step(what, u.host, kind.None)
+	x.c.steps.step(what, u.host, kind.None)
 	x.inFlight++
 	// The attempt ends with the caller, but not with the answer of another attempt: it
 	// may be at work, and breaking that off would only waste it.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(x.c.r.Context()))
 	stop := context.AfterFunc(x.c.r.Context(), cancel)
 	go func() {
-		a := x.p.try(ctx, x.c, u)
+		a := x.p.sendAttempt(ctx, x.c, u)
 		a.cancel = func() { stop(); cancel() }
 		x.results <- a
 	}()
 	return refusal{}, true
 }
 
-// resolve takes the end of an attempt and decides whether it is the call's:
+// handleResult takes the end of an attempt and decides whether it is the call's:
 // if not, another one is under way.
-func (x *attempts) resolve(a *attempt) bool {
+func (x *attempts) handleResult(a *attempt) bool {
 	c := x.c
-	if a.reached {
-		x.reached++
+	if a.reachedTarget {
+		x.reachedTarget++
 	} else {
 		x.reroutes++
 	}
-	if a.kind != kind.None || a.failure() {
-		c.callTrace.step("got", a.host, a.kind)
-		c.callTrace.cause = a.err
+	if a.kind != kind.None || a.targetFailed() {
+		c.steps.step("got", a.host, a.kind)
+		c.steps.cause = a.err
 	}
-	if a.kind == kind.None && a.res != nil && !a.failure() {
-		x.leave()
+	if a.kind == kind.None && a.res != nil && !a.targetFailed() {
+		x.drainRemaining()
 		return true
 	}
-	if a.after > 0 && (x.after == 0 || a.after < x.after) {
-		x.after = a.after
+	if a.retryAfter > 0 && (x.minRetryAfter == 0 || a.retryAfter < x.minRetryAfter) {
+		x.minRetryAfter = a.retryAfter
 	}
 	if x.shouldRetry(a) {
-		if _, ok := x.start("again"); ok {
-			x.drop(a)
+		if _, ok := x.startAttempt("again"); ok {
+			x.discardAttempt(a)
 			return false
 		}
 	}
 	if x.inFlight > 0 {
-		x.drop(a)
+		x.discardAttempt(a)
 		return false
 	}
 	if a.kind != kind.None {
-		x.drop(a)
-		a.ran = x.worse(a.ran)
-		if a.ran == kind.RanNo && x.after > 0 {
-			a.after = spread(x.after)
+		x.discardAttempt(a)
+		a.ran = x.combinedRan(a.ran)
+		if a.ran == kind.RanNo && x.minRetryAfter > 0 {
+			a.retryAfter = jitter(x.minRetryAfter)
 		}
 	}
 	return true
 }
 
-// leave lets the attempts that lost run to their end, and reads their answers.
-func (x *attempts) leave() {
+// drainRemaining lets the attempts that lost run to their end, and reads their answers.
+func (x *attempts) drainRemaining() {
 	if x.inFlight == 0 {
 		return
 	}
-	left := x.inFlight
+	remaining := x.inFlight
 	go func() {
-		for range left {
+		for range remaining {
 			a := <-x.results
-			discard(a.res)
-			a.done()
+			discardBody(a.res)
+			a.release()
 		}
 	}()
 }
 
-// drop ends an attempt that is not the call's, and remembers whether it may
+// discardAttempt ends an attempt that is not the call's, and remembers whether it may
 // have run.
-func (x *attempts) drop(a *attempt) {
-	x.sent = x.sent || a.ran != kind.RanNo
-	discard(a.res)
+func (x *attempts) discardAttempt(a *attempt) {
+	x.mayHaveRun = x.mayHaveRun || a.ran != kind.RanNo
+	discardBody(a.res)
 	a.res = nil
-	a.done()
+	a.release()
 }
 
-// done frees what the attempt holds.
-func (a *attempt) done() {
+// release frees what the attempt holds.
+func (a *attempt) release() {
 	if a.cancel != nil {
 		a.cancel()
 	}
@@ -180,61 +180,61 @@
 // shouldRetry decides whether another attempt follows one that failed.
 func (x *attempts) shouldRetry(a *attempt) bool {
 	c := x.c
-	if time.Until(c.deadline) < minTimeLeft || c.route.Retries == 0 || c.r.Context().Err() != nil || !x.mayRun() {
+	if time.Until(c.deadline) < minTimeLeft || c.route.Retries == 0 || c.r.Context().Err() != nil || !x.belowRunLimit() {
 		return false
 	}
-	if a.failure() {
-		return mayRepeat(&c.route, c.replayable()) && x.affordsRun()
+	if a.targetFailed() {
+		return mayRepeat(&c.route, c.replayable()) && x.takeRetryToken()
 	}
 	if !mayRetry(a.kind, a.ran, c.route.Mode, c.replayable()) {
 		return false
 	}
-	if a.reached && a.ran == kind.RanNo && !c.nested {
+	if a.reachedTarget && a.ran == kind.RanNo && !c.nested {
 		// Its caller can come back by itself; runs and their calls can't.
-		return x.p.deps.Budget.spare(x.c.service.Name)
+		return x.p.deps.Budget.takeOptional(x.c.service.Name)
 	}
-	if a.reached {
-		return x.affordsRun()
+	if a.reachedTarget {
+		return x.takeRetryToken()
 	}
 	// Nothing reached a target, so no target's work is at stake: another
 	// choice is free, and what bounds it is the time that it takes.
 	return x.reroutes <= maxReroutes
 }
 
-// mayRun tells whether one more target may get the request. Attempts that are
+// belowRunLimit tells whether one more target may get the request. Attempts that are
 // still under way count as if they had reached theirs: nobody knows yet that
 // they have not, and the request would run at more targets than its route
 // allows.
-func (x *attempts) mayRun() bool { return x.reached+x.inFlight <= x.c.route.Retries }
+func (x *attempts) belowRunLimit() bool { return x.reachedTarget+x.inFlight <= x.c.route.Retries }
 
-// affordsRun takes another run at a target out of the service's budget.
-func (x *attempts) affordsRun() bool { return x.p.deps.Budget.retry(x.c.service.Name) }
+// takeRetryToken takes another run at a target out of the service's budget.
+func (x *attempts) takeRetryToken() bool { return x.p.deps.Budget.takeRetry(x.c.service.Name) }
 
-// worse is what is to be said of a call after several attempts: it did not
+// combinedRan is what is to be said of a call after several attempts: it did not
 // run only if none of them did.
-func (x *attempts) worse(now kind.Ran) kind.Ran {
-	if x.sent && now == kind.RanNo {
+func (x *attempts) combinedRan(last kind.Ran) kind.Ran {
+	if x.mayHaveRun && last == kind.RanNo {
 		return kind.RanUnknown
 	}
-	return now
+	return last
 }
 
-// hedgeAim is the part of the time that the route aims at, and hedgeDeadline that
+// hedgeAimFraction is the part of the time that the route aims at, and hedgeDeadlineFraction that
 // of its deadline where it has no aim, after which a second target is asked as well.
 // Most work ends well before; an answer that was lost, or a target that has stopped,
 // costs the caller this long and not its whole deadline.
 const (
-	hedgeAim      = 0.6
-	hedgeDeadline = 0.4
+	hedgeAimFraction      = 0.6
+	hedgeDeadlineFraction = 0.4
 )
 
 // hedgeTimer fires when the first attempt has taken unusually long. Where the
 // request must not run twice it never does.
 func (x *attempts) hedgeTimer() *time.Timer {
 	c := x.c
-	d := time.Duration(hedgeAim * float64(c.route.Aim))
+	d := time.Duration(hedgeAimFraction * float64(c.route.Aim))
 	if d == 0 {
-		d = time.Duration(hedgeDeadline * float64(c.route.Deadline))
+		d = time.Duration(hedgeDeadlineFraction * float64(c.route.Deadline))
 	}
 	t := time.NewTimer(d)
 	if !x.p.deps.Hedge || c.route.Mode != snapshot.Repeatable || c.streamed || c.route.Retries == 0 {
@@ -243,45 +243,45 @@
 	return t
 }
 
-// overloadedFor is how long after an upstream had no room its service counts as
+// overloadWindow is how long after an upstream had no room its service counts as
 // overloaded.
-const overloadedFor = 500 * time.Millisecond
+const overloadWindow = 500 * time.Millisecond
 
 // hedge asks a second target, unless the service is overloaded: the attempt would
 // take a slot from a call that has none.
 func (x *attempts) hedge() {
-	if x.p.deps.Balancer.overloaded(time.Now(), x.c.service.Name, x.c.set) {
+	if x.p.deps.Balancer.overloaded(time.Now(), x.c.service.Name, x.c.upstreams) {
 		return
 	}
-	if x.hedged || x.inFlight == 0 || !x.mayRun() || !x.p.deps.Budget.spare(x.c.service.Name) {
+	if x.hedged || x.inFlight == 0 || !x.belowRunLimit() || !x.p.deps.Budget.takeOptional(x.c.service.Name) {
 		return
 	}
 	x.hedged = true
-	x.start("hedge")
+	x.startAttempt("hedge")
 }
 
-// maxDiscard bounds what is read of a failure's body to keep its connection.
-const maxDiscard = 64 << 10
+// maxDiscardBytes bounds what is read of a failure's body to keep its connection.
+const maxDiscardBytes = 64 << 10
 
-func discard(res *http.Response) {
+func discardBody(res *http.Response) {
 	if res == nil {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, res.Body, maxDiscard)
+	_, _ = io.CopyN(io.Discard, res.Body, maxDiscardBytes)
 	_ = res.Body.Close()
 }
 
-// answer passes a target's answer on. keep, if any, gets a copy of it.
-func (p *Proxy) answer(w http.ResponseWriter, c *call, a attempt, keep *keeper) {
-	p.tell(c, kind.None, a.ran, a.res.StatusCode, 0)
-	if c.returns {
+// writeAnswer passes a target's writeAnswer on. keep, if any, gets a copy of it.
+func (p *Proxy) writeAnswer(w http.ResponseWriter, c *call, a attempt, rec *answerRecorder) {
+	p.logCall(c, kind.None, a.ran, a.res.StatusCode, 0)
+	if c.callerRetry {
 		p.counts.returned(kind.None, a.ran)
 	}
 	h := w.Header()
 	h.Set(target.HeaderTrace, c.trace)
 	h.Set(kind.HeaderRan, a.ran.String())
-	if keep != nil {
-		a.res.Body = keep.wrap(a.res.Body)
+	if rec != nil {
+		a.res.Body = rec.wrap(a.res.Body)
 	}
 	out := relay.Answer(w, a.res, p.deps.StallTimeout)
 	if out.Kind != kind.None {
--- a/briarrockd/caller/budget.go
+++ b/briarrockd/caller/budget.go
@@ -4,11 +4,11 @@
 
 // The retry budget.
 const (
-	// perCall is what each first attempt pays in: one retry for ten calls.
-	perCall = 0.1
-	// most bounds what is saved up, so that a long quiet time does not pay for
+	// tokensPerCall is what each first attempt pays in: one retry for ten calls.
+	tokensPerCall = 0.1
+	// maxTokens bounds what is saved up, so that a long quiet time does not pay for
 	// a burst of retries.
-	most = 10.0
+	maxTokens = 10.0
 	// maxServices bounds the table.
 	maxServices = 8192
 )
@@ -19,54 +19,54 @@
 type Budget struct {
 	mu     sync.Mutex
 	tokens map[string]float64
-	most   float64
+	maxTokens   float64
 }
 
 // NewBudget returns a budget that starts with a few retries in hand.
-func NewBudget() *Budget { return &Budget{tokens: make(map[string]float64), most: most} }
+func NewBudget() *Budget { return &Budget{tokens: make(map[string]float64), maxTokens: maxTokens} }
 
 // SetNodeShare bounds what is saved up to this node's part of what all nodes of the
 // mesh may save together, so that all of them spending at once stay within it.
-func (b *Budget) SetNodeShare(all float64, nodes int) {
+func (b *Budget) SetNodeShare(meshTokens float64, nodes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.most = min(most, max(1, all/float64(max(nodes, 1))))
+	b.maxTokens = min(maxTokens, max(1, meshTokens/float64(max(nodes, 1))))
 }
 
-// call counts a first attempt.
-func (b *Budget) call(service string) {
+// addCall counts a first attempt.
+func (b *Budget) addCall(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	have, ok := b.tokens[service]
+	tokens, ok := b.tokens[service]
 	if !ok {
 		if len(b.tokens) >= maxServices {
 			clear(b.tokens)
 		}
-		have = 1
+		tokens = 1
 	}
-	b.tokens[service] = min(b.most, have+perCall)
+	b.tokens[service] = min(b.maxTokens, tokens+tokensPerCall)
 }
 
-// retry takes one retry out of the budget; false if there is none.
-func (b *Budget) retry(service string) bool { return b.take(service, 1) }
+// takeRetry takes one takeRetry out of the budget; false if there is none.
+func (b *Budget) takeRetry(service string) bool { return b.take(service, 1) }
 
-// maxSpent is how much of the budget may be missing for a retry that can be done without:
+// maxUsedForOptional is how much of the budget may be missing for a retry that can be done without:
 // those of calls which are lost otherwise go first.
-const maxSpent = 0.25
+const maxUsedForOptional = 0.25
 
-// spare takes one retry that can be done without out of the budget, if that is nearly
+// takeOptional takes one retry that can be done without out of the budget, if that is nearly
 // full.
-func (b *Budget) spare(service string) bool {
+func (b *Budget) takeOptional(service string) bool {
 	b.mu.Lock()
-	least := b.most - maxSpent
+	minTokens := b.maxTokens - maxUsedForOptional
 	b.mu.Unlock()
-	return b.take(service, max(1, least))
+	return b.take(service, max(1, minTokens))
 }
 
-func (b *Budget) take(service string, least float64) bool {
+func (b *Budget) take(service string, minTokens float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.tokens[service] < least {
+	if b.tokens[service] < minTokens {
 		return false
 	}
 	b.tokens[service]--
--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -72,21 +72,21 @@
 type Proxy struct {
 	deps    Deps
 	table   atomic.Pointer[Table]
-	leaving atomic.Bool
-	// until is when the node ends, in Unix nanoseconds; 0 while it stays.
-	until    atomic.Int64
-	inflight atomic.Int64
-	patience patience
-	starting *starting
+	draining atomic.Bool
+	// shutdownAt is when the node ends, in Unix nanoseconds; 0 while it stays.
+	shutdownAt    atomic.Int64
+	inFlight atomic.Int64
+	timeouts callerTimeouts
+	startup *startup
 	counts   counts
 	calls    *metrics.Counter
 	attempts *metrics.Counter
-	took     *metrics.Histogram
+	duration     *metrics.Histogram
 }
 
-// maxInflight bounds the calls that one node has under way, and so the memory
+// maxInFlightCalls bounds the calls that one node has under way, and so the memory
 // that callers can make it take: some tens of kilobytes each.
-const maxInflight = 2048
+const maxInFlightCalls = 2048
 
 // New returns a Proxy that has no table yet and says so to callers.
 func New(d Deps) *Proxy {
@@ -95,11 +95,11 @@
 	}
 	p := &Proxy{
 		deps:     d,
-		starting: newStarting(),
+		startup: newStartup(),
 		counts:   counts{set: d.Metrics},
 		calls:    d.Metrics.GetOrCreateCounter("briarrock_calls_total"),
 		attempts: d.Metrics.GetOrCreateCounter("briarrock_attempts_total"),
-		took:     d.Metrics.GetOrCreateHistogram("briarrock_call_seconds"),
+		duration:     d.Metrics.GetOrCreateHistogram("briarrock_call_seconds"),
 	}
 	d.Metrics.GetOrCreateGauge("briarrock_ejected", func() float64 {
 		return float64(d.Balancer.Ejected(time.Now()))
@@ -110,8 +110,8 @@
 // SetTable swaps in a table. Calls that are under way keep theirs.
 func (p *Proxy) SetTable(t *Table) {
 	p.table.Store(t)
-	if !p.starting.over() {
-		p.starting.tell()
+	if !p.startup.finished() {
+		p.startup.notify()
 	}
 }
 
@@ -119,85 +119,85 @@
 func (p *Proxy) Table() *Table { return p.table.Load() }
 
 // Drain makes the proxy refuse all new calls, because the node is about to stop.
-func (p *Proxy) Drain() { p.leaving.Store(true) }
+func (p *Proxy) Drain() { p.draining.Store(true) }
 
 // SetShutdownTime makes the proxy refuse calls whose deadline is later than t, when the
 // node ends and cuts off the calls in flight. Calls that local targets make for requests
 // in progress have short deadlines and are still accepted.
-func (p *Proxy) SetShutdownTime(t time.Time) { p.until.Store(t.UnixNano()) }
+func (p *Proxy) SetShutdownTime(t time.Time) { p.shutdownAt.Store(t.UnixNano()) }
 
 // call is one request on its way, with what was decided about it.
 type call struct {
 	r        *http.Request
 	table    *Table
-	entry    string // name of the entry that it came by, if any
+	entryName    string // name of the entry that it came by, if any
 	service  *service
-	set      []upstream // the service's targets by the table
+	upstreams      []upstream // the service's targets by the table
 	route    snapshot.Route
 	caller   string
-	began    time.Time
+	startedAt    time.Time
 	deadline time.Time
 	// aim is when the answer loses most of its worth; zero if the route says
 	// nothing.
 	aim time.Time
 	// nested is set for a call that a target of this host makes for one that it runs.
 	nested bool
-	// returns is set for a caller that seems to have been refused before.
-	returns   bool
+	// callerRetry is set for a caller that seems to have been refused before.
+	callerRetry   bool
 	body      []byte // kept to be sent again; nil for none or a streamed one
 	streamed  bool
-	begun     *begun
-	print     uint64
+	stream     *streamedBody
+	fingerprint     uint64
 	claim     *claim.Claim
 	trace     string
-	callTrace callTrace
+	steps callSteps
 }
 
 // refusal is a decision against a call.
 type refusal struct {
 	kind  kind.Kind
-	after time.Duration
+	retryAfter time.Duration
 }
 
-// emptyAfter is when to ask again for a service that has no live target: one
+// emptyRetryAfter is when to ask again for a service that has no live target: one
 // that was restarted is back in about this time.
-const emptyAfter = 300 * time.Millisecond
+const emptyRetryAfter = 300 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.calls.Inc()
-	if p.inflight.Add(1) > maxInflight {
-		p.inflight.Add(-1)
-		p.fail(w, &call{r: r, trace: traceOf(r), began: time.Now()}, kind.Full, kind.RanNo, 0)
+	if p.inFlight.Add(1) > maxInFlightCalls {
+		p.inFlight.Add(-1)
+		p.fail(w, &call{r: r, trace: traceID(r), startedAt: time.Now()}, kind.Full, kind.RanNo, 0)
 		return
 	}
-	defer p.inflight.Add(-1)
+	defer p.inFlight.Add(-1)
 	relay.Duplex(w, r)
 	began := time.Now()
-	defer p.took.UpdateDuration(began)
-	p.holdAtStart(r)
-	c, no := p.admit(r, began)
-	if no.kind != kind.None {
-		p.fail(w, c, no.kind, kind.RanNo, no.after)
+	defer p.duration.UpdateDuration(began)
+	p.waitAtStartup(r)
+	c, ref := p.admit(r, began)
+	if ref.kind != kind.None {
+		p.fail(w, c, ref.kind, kind.RanNo, ref.retryAfter)
 		return
 	}
 	if r.Header.Get(HeaderKey) != "" && c.route.Mode == snapshot.Once {
-		p.once(w, c)
+		p.serveOnce(w, c)
 		return
 	}
 	p.send(w, c)
 }
 
-// holdAtStart holds a call at a node that has just been started until it can be served.
-func (p *Proxy) holdAtStart(r *http.Request) {
-	if p.starting.over() || p.leaving.Load() {
+// waitAtStartup holds a call at a node that has just been started until it can be served.
+func (p *Proxy) waitAtStartup(r *http.Request) {
+	if p.startup.finished() || p.draining.Load() {
 		return
 	}
-	left := holdShare * holdFor
+	timeLeft := startupWaitDivisor * maxStartupWait
 	if ms, err := strconv.ParseInt(r.Header.Get(target.HeaderDeadline), 10, 64); err == nil {
-		left = time.Duration(ms) * time.Millisecond
+		timeLeft = time.Duration(ms) * time.Millisecond
 	}
-	p.starting.hold(r.Context(), left, func() bool {
+	p.startup.wait(r.Context(), timeLeft, func() bool {
 		t := p.table.Load()
 		return t != nil && t.canServe(r)
 	})
@@ -206,18 +206,18 @@
 // admit finds the route of a request and checks all that can be checked
 // before anything is sent.
 func (p *Proxy) admit(r *http.Request, now time.Time) (*call, refusal) {
-	c := &call{r: r, trace: traceOf(r), began: now, table: p.table.Load()}
-	if p.leaving.Load() {
+	c := &call{r: r, trace: traceID(r), startedAt: now, table: p.table.Load()}
+	if p.draining.Load() {
 		return c, refusal{kind: kind.Drain}
 	}
 	if c.table == nil {
-		return c, refusal{kind: kind.Config, after: startAgain}
+		return c, refusal{kind: kind.Config, retryAfter: startupRetryAfter}
 	}
-	if k := c.find(); k != kind.None {
+	if k := c.findRoute(); k != kind.None {
 		return c, refusal{kind: k}
 	}
-	c.set = c.table.sets[c.service.Name]
-	p.promote(c)
+	c.upstreams = c.table.sets[c.service.Name]
+	p.promoteNested(c)
 	var ok bool
 	c.caller, ok = p.deps.Authenticate(r.Header)
 	if !ok || !c.route.Allows(c.caller) {
@@ -227,27 +227,27 @@
 	if !ok {
 		return c, refusal{kind: kind.Request}
 	}
-	if until := p.until.Load(); until != 0 && c.deadline.UnixNano() > until {
+	if shutdownAt := p.shutdownAt.Load(); shutdownAt != 0 && c.deadline.UnixNano() > shutdownAt {
 		return c, refusal{kind: kind.Drain}
 	}
 	p.setAim(c)
-	if len(c.set) == 0 {
-		return c, refusal{kind: kind.Empty, after: emptyAfter}
+	if len(c.upstreams) == 0 {
+		return c, refusal{kind: kind.Empty, retryAfter: emptyRetryAfter}
 	}
 	if k := p.readBody(c); k != kind.None {
 		return c, refusal{kind: k}
 	}
-	c.print = claim.Print(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
-	if p.deps.CrashCount(c.print) >= peer.HoldAt {
+	c.fingerprint = claim.Print(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
+	if p.deps.CrashCount(c.fingerprint) >= peer.HoldAt {
 		return c, refusal{kind: kind.Held}
 	}
 	return c, refusal{}
 }
 
-// promote gives the highest priority to a call that a run of this host's target waits
+// promoteNested gives the highest priority to a call that a run of this host's target waits
 // for: if it is refused, all that was done for the run is lost. A name alone gives no
 // right to it: the call that it names as its parent must run here now.
-func (p *Proxy) promote(c *call) {
+func (p *Proxy) promoteNested(c *call) {
 	parent, ok := target.Parent(c.trace)
 	if !ok || p.deps.IsRunning == nil || !p.deps.IsRunning(parent) {
 		return
@@ -262,18 +262,18 @@
 	if c.route.Aim == 0 {
 		return
 	}
-	c.aim = c.began.Add(c.route.Aim)
-	if ms, err := strconv.ParseInt(c.r.Header.Get(target.HeaderDeadline), 10, 64); err == nil && c.entry != "" {
-		c.returns = p.patience.returns(c.entry, time.Duration(ms)*time.Millisecond)
+	c.aim = c.startedAt.Add(c.route.Aim)
+	if ms, err := strconv.ParseInt(c.r.Header.Get(target.HeaderDeadline), 10, 64); err == nil && c.entryName != "" {
+		c.callerRetry = p.timeouts.observe(c.entryName, time.Duration(ms)*time.Millisecond)
 	}
 }
 
-// find finds the call's route and the service that it goes to: by the entries
+// findRoute finds the call's route and the service that it goes to: by the entries
 // of its host name, or else by the service that the host name names.
-func (c *call) find() kind.Kind {
+func (c *call) findRoute() kind.Kind {
 	e, known := c.table.entry(hostName(c.r.Host), c.r.URL.Path)
 	if e != nil {
-		c.entry, c.route, c.service = e.Name, e.Route, e.pick()
+		c.entryName, c.route, c.service = e.Name, e.Route, e.pick()
 		return kind.None
 	}
 	if known {
@@ -322,7 +322,7 @@
 	}
 	if relay.IsStreamed(c.r) {
 		c.streamed = true
-		c.begun = &begun{ReadCloser: c.r.Body}
+		c.stream = &streamedBody{ReadCloser: c.r.Body}
 		return kind.None
 	}
 	var err error
@@ -332,15 +332,15 @@
 	return kind.None
 }
 
-// begun is a streamed body. Once a byte of it was read it can't be sent again.
-type begun struct {
+// streamedBody is a streamed body. Once a byte of it was read it can't be sent again.
+type streamedBody struct {
 	io.ReadCloser
-	read atomic.Bool
+	started atomic.Bool
 }
 
 // Read implements io.Reader.
-func (b *begun) Read(p []byte) (int, error) {
-	b.read.Store(true)
+func (b *streamedBody) Read(p []byte) (int, error) {
+	b.started.Store(true)
 	return b.ReadCloser.Read(p) //nolint:wrapcheck // io.EOF must pass as it is
 }
 
@@ -348,7 +348,7 @@
 func (c *call) payload() (io.Reader, int64) {
 	switch {
 	case c.streamed:
-		return c.begun, c.r.ContentLength
+		return c.stream, c.r.ContentLength
 	case len(c.body) > 0:
 		return bytes.NewReader(c.body), int64(len(c.body))
 	default:
@@ -356,10 +356,10 @@
 	}
 }
 
-// traceOf is the name of a call: the caller's if it is a plausible one.
-func traceOf(r *http.Request) string {
-	const most = 64
-	if t := r.Header.Get(target.HeaderTrace); t != "" && len(t) <= most {
+// traceID is the name of a call: the caller's if it is a plausible one.
+func traceID(r *http.Request) string {
+	const maxLen = 64
+	if t := r.Header.Get(target.HeaderTrace); t != "" && len(t) <= maxLen {
 		return t
 	}
 	var b [8]byte
@@ -371,15 +371,15 @@
 }
 
 // fail answers a call that the node itself gives up.
-func (p *Proxy) fail(w http.ResponseWriter, c *call, k kind.Kind, ran kind.Ran, after time.Duration) {
+func (p *Proxy) fail(w http.ResponseWriter, c *call, k kind.Kind, ran kind.Ran, retryAfter time.Duration) {
 	p.deps.Metrics.GetOrCreateCounter(`briarrock_failures_total{kind="` + string(k) + `",ran="` + ran.String() + `"}`).Inc()
 	if ran == kind.RanNo && c.service != nil {
 		p.counts.refused(c.routeName(), k)
 	}
-	if c.returns {
+	if c.callerRetry {
 		p.counts.returned(k, ran)
 	}
-	p.tell(c, k, ran, k.Answer().Status, after)
+	p.logCall(c, k, ran, k.Answer().Status, retryAfter)
 	w.Header().Set(target.HeaderTrace, c.trace)
-	relay.FailAfter(w, k, ran, after)
+	relay.FailAfter(w, k, ran, retryAfter)
 }
--- a/briarrockd/caller/choose.go
+++ b/briarrockd/caller/choose.go
@@ -245,7 +245,7 @@
 		switch {
 		case !s.paced:
 			return refusal{kind: kind.Full}
-		case none.kind == kind.Empty || left < none.after:
+		case none.kind == kind.Empty || left < none.retryAfter:
 			none = refusal{kind.Rate, left}
 		}
 	}
@@ -354,7 +354,7 @@
 }
 
 func (v *view) anyOverloaded() bool {
-	return v.any(func(s *state) bool { return !s.paced && v.now.Sub(s.fullAt) < overloadedFor })
+	return v.any(func(s *state) bool { return !s.paced && v.now.Sub(s.fullAt) < overloadWindow })
 }
 
 func (v *view) any(is func(*state) bool) bool {
--- a/briarrockd/caller/choose_test.go
+++ b/briarrockd/caller/choose_test.go
@@ -146,15 +146,15 @@
 	const calls = 1000
 	retries := 0
 	for range calls {
-		b.call("orderdesk")
+		b.addCall("orderdesk")
 		for range 3 {
-			if b.retry("orderdesk") {
+			if b.takeRetry("orderdesk") {
 				retries++
 			}
 		}
 	}
 	c.Check(retries <= calls/10+1, qt.IsTrue, qt.Commentf("%d", retries))
-	c.Check(b.retry("another"), qt.IsFalse)
+	c.Check(b.takeRetry("another"), qt.IsFalse)
 }
 
 // TestMayRetry goes through every kind: a request that may have run is sent
--- a/briarrockd/caller/header_test.go
+++ b/briarrockd/caller/header_test.go
@@ -53,7 +53,7 @@
 			t.Fatalf("deadline %v", d)
 		}
 		_ = serviceName(host)
-		if len(traceOf(r)) > 64 {
+		if len(traceID(r)) > 64 {
 			t.Fatal("trace is too long")
 		}
 		if claim.Print("s", "POST", path, 1, []byte(key)) == 0 {
--- a/briarrockd/caller/nested_test.go
+++ b/briarrockd/caller/nested_test.go
@@ -15,7 +15,7 @@
 	p := New(Deps{IsRunning: func(trace string) bool { return trace == "running" }})
 	priority := func(trace string) snapshot.Priority {
 		x := &call{trace: trace, route: snapshot.Route{Priority: snapshot.Normal}}
-		p.promote(x)
+		p.promoteNested(x)
 		return x.route.Priority
 	}
 	c.Check(priority("running.1"), qt.Equals, snapshot.MostUrgent)
--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -9,14 +9,14 @@
 	"briarrock.example/mesh/kind"
 )
 
-// once runs a call that may run at most once and carries a key.
-func (p *Proxy) once(w http.ResponseWriter, c *call) {
+// serveOnce runs a call that may run at most serveOnce and carries a key.
+func (p *Proxy) serveOnce(w http.ResponseWriter, c *call) {
 	key := c.r.Header.Get(HeaderKey)
 	if len(key) > claim.MaxKey || len(c.r.Header[HeaderKey]) != 1 {
 		p.fail(w, c, kind.Key, kind.RanNo, 0)
 		return
 	}
-	d := p.deps.Claims.Begin(c.r.Context(), claim.Request{Service: c.service.Name, Key: key, Print: c.print})
+	d := p.deps.Claims.Begin(c.r.Context(), claim.Request{Service: c.service.Name, Key: key, Print: c.fingerprint})
 	switch d.Verdict {
 	case claim.Run:
 		c.claim = d.Claim
@@ -33,18 +33,18 @@
 }
 
 func (p *Proxy) runOnce(w http.ResponseWriter, c *call) {
-	a := p.attemptAll(c)
-	defer a.done()
+	a := p.runAttempts(c)
+	defer a.release()
 	if a.res == nil {
 		if a.ran == kind.RanNo {
 			p.deps.Claims.Release(c.claim)
 		}
-		p.fail(w, c, a.kind, a.ran, a.after)
+		p.fail(w, c, a.kind, a.ran, a.retryAfter)
 		return
 	}
-	keep := &keeper{status: a.res.StatusCode, mime: a.res.Header.Get("Content-Type")}
-	p.answer(w, c, a, keep)
-	p.deps.Claims.Finish(c.claim, keep.outcome())
+	rec := &answerRecorder{status: a.res.StatusCode, contentType: a.res.Header.Get("Content-Type")}
+	p.writeAnswer(w, c, a, rec)
+	p.deps.Claims.Finish(c.claim, rec.outcome())
 }
 
 func (p *Proxy) replay(w http.ResponseWriter, c *call, o claim.Outcome) {
@@ -59,35 +59,35 @@
 	_, _ = w.Write(o.Body)
 }
 
-// keeper copies an answer as it passes, up to the bound of a replay.
-type keeper struct {
+// answerRecorder copies an answer as it passes, up to the bound of a replay.
+type answerRecorder struct {
 	status int
-	mime   string
+	contentType   string
 	body   []byte
-	cut    bool
+	truncated    bool
 }
 
-// kept is a body that a keeper copies.
-type kept struct {
+// recordedBody is a body that a keeper copies.
+type recordedBody struct {
 	io.ReadCloser
-	k *keeper
+	rec *answerRecorder
 }
 
-func (k *keeper) wrap(b io.ReadCloser) io.ReadCloser { return &kept{b, k} }
+func (k *answerRecorder) wrap(b io.ReadCloser) io.ReadCloser { return &recordedBody{b, k} }
 
 // Read implements io.Reader.
-func (b *kept) Read(p []byte) (int, error) {
+func (b *recordedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	if len(b.k.body)+n > claim.MaxBody {
-		b.k.cut = true
-		b.k.body = nil
+	if len(b.rec.body)+n > claim.MaxBody {
+		b.rec.truncated = true
+		b.rec.body = nil
 	}
-	if !b.k.cut {
-		b.k.body = append(b.k.body, p[:n]...)
+	if !b.rec.truncated {
+		b.rec.body = append(b.rec.body, p[:n]...)
 	}
 	return n, err //nolint:wrapcheck // io.EOF must pass as it is
 }
 
-func (k *keeper) outcome() claim.Outcome {
-	return claim.Outcome{Status: k.status, Type: k.mime, Body: k.body, Cut: k.cut}
+func (k *answerRecorder) outcome() claim.Outcome {
+	return claim.Outcome{Status: k.status, Type: k.contentType, Body: k.body, Cut: k.truncated}
 }
--- a/briarrockd/caller/paced_test.go
+++ b/briarrockd/caller/paced_test.go
@@ -32,7 +32,7 @@
 	c.Check(ok, qt.IsTrue, qt.Commentf("more urgent calls may have a turn"))
 	c.Check(ch.overloaded(now, service, set), qt.IsFalse)
 	c.Check(ch.Ejected(now), qt.Equals, 0)
-	now = now.Add(none.after)
+	now = now.Add(none.retryAfter)
 	_, _, ok = ch.pick(now, service, set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsTrue)
 }
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -104,7 +104,7 @@
 		StallTimeout: time.Minute, Hedge: true,
 	})
 	for range 200 {
-		p.deps.Budget.call("orderdesk") // it has something saved up
+		p.deps.Budget.addCall("orderdesk") // it has something saved up
 	}
 	ms := members()
 	for i := range ms {
--- a/briarrockd/caller/retry.go
+++ b/briarrockd/caller/retry.go
@@ -41,4 +41,4 @@
 }
 
 // replayable tells whether the body can still be sent from its start.
-func (c *call) replayable() bool { return !c.streamed || !c.begun.read.Load() }
+func (c *call) replayable() bool { return !c.streamed || !c.stream.started.Load() }
--- a/briarrockd/caller/start_test.go
+++ b/briarrockd/caller/start_test.go
@@ -42,11 +42,11 @@
 
 		p = New(Deps{Balancer: NewBalancer("a", "b", 1), Budget: NewBudget()})
 		took, k = ask(p)
-		c.Check(took, qt.Equals, holdFor)
+		c.Check(took, qt.Equals, maxStartupWait)
 		c.Check(k, qt.Equals, kind.Config)
 
 		// A node that has been up for a while refuses at once.
-		time.Sleep(startFor)
+		time.Sleep(startupPeriod)
 		took, k = ask(p)
 		c.Check(took, qt.Equals, time.Duration(0))
 		c.Check(k, qt.Equals, kind.Config)
--- a/briarrockd/caller/trace.go
+++ b/briarrockd/caller/trace.go
@@ -8,15 +8,15 @@
 	"briarrock.example/mesh/kind"
 )
 
-// callTrace is what is told of a call in the log: the decisions along its way.
-type callTrace struct {
+// callSteps is what is told of a call in the log: the decisions along its way.
+type callSteps struct {
 	steps []string
 	// cause is the error of the attempt that failed last without an answer.
 	cause error
 }
 
 // step notes a decision. Most calls have one; the slice stays small.
-func (s *callTrace) step(what, host string, k kind.Kind) {
+func (s *callSteps) step(what, host string, k kind.Kind) {
 	line := what + " " + host
 	if k != kind.None {
 		line += " " + string(k)
@@ -24,41 +24,41 @@
 	s.steps = append(s.steps, line)
 }
 
-// tell writes the one line of a call: its name, what was known when it was
+// logCall writes the one line of a call: its name, what was known when it was
 // decided on and how old that was, and what came of it. Calls that went as
 // planned are the first to be left out when there are too many lines.
-func (p *Proxy) tell(c *call, k kind.Kind, ran kind.Ran, status int, after time.Duration) {
-	f := event.Fields{"trace": c.trace, "status": status, "ms": time.Since(c.began).Milliseconds()}
+func (p *Proxy) logCall(c *call, k kind.Kind, ran kind.Ran, status int, retryAfter time.Duration) {
+	f := event.Fields{"trace": c.trace, "status": status, "ms": time.Since(c.startedAt).Milliseconds()}
 	if c.table != nil {
 		f["version"] = c.table.version
 		f["tableage"] = time.Since(c.table.madeAt).Milliseconds()
 	}
 	if c.service != nil {
 		f["service"] = c.service.Name
-		f["upstreams"] = len(c.set)
+		f["upstreams"] = len(c.upstreams)
 	}
-	if c.entry != "" {
-		f["entry"] = c.entry
+	if c.entryName != "" {
+		f["entry"] = c.entryName
 	}
-	if len(c.callTrace.steps) > 0 {
-		f["way"] = strings.Join(c.callTrace.steps, ", ")
+	if len(c.steps.steps) > 0 {
+		f["way"] = strings.Join(c.steps.steps, ", ")
 	}
-	if c.callTrace.cause != nil {
-		f["cause"] = c.callTrace.cause.Error()
+	if c.steps.cause != nil {
+		f["cause"] = c.steps.cause.Error()
 	}
 	if !c.deadline.IsZero() {
 		f["left"] = time.Until(c.deadline).Milliseconds()
 	}
-	plain := k == kind.None && len(c.callTrace.steps) <= 1
+	routine := k == kind.None && len(c.steps.steps) <= 1
 	if k != kind.None {
 		f["kind"], f["ran"] = string(k), ran.String()
 	}
-	if after > 0 {
-		f["after"] = after.Milliseconds()
+	if retryAfter > 0 {
+		f["after"] = retryAfter.Milliseconds()
 	}
 	e := event.CallAnswered
 	if k != kind.None {
 		e = event.CallGivenUp
 	}
-	p.deps.Log.Call(e, f, plain)
+	p.deps.Log.Call(e, f, routine)
 }
