--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -15,36 +15,38 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// deadlineSlack leaves the target's node the time to say itself that the
-// deadline has passed, since it knows whether the request was sent.
+// deadlineSlack is how much longer than a call's deadline a node waits for the target's
+// node. The target's node reports an expired deadline itself, because it knows whether
+// the request was sent to the target.
 const deadlineSlack = 50 * time.Millisecond
 
-// expectContinueBytes is the length in bytes of a body that is held back until the
-// target's node asks for it. A shorter one is on its way in less time than the
-// question takes.
+// expectContinueBytes is the body length above which a request is sent with "Expect:
+// 100-continue" and its body is withheld until the target's node asks for it. A shorter
+// body is sent in less time than that round trip takes.
 const expectContinueBytes = 16 << 10
 
-// attempt is what one try at a target told.
+// attempt is the result of one attempt to send a call to a target.
 type attempt struct {
-	res   *http.Response
-	kind  kind.Kind
-	ran   kind.Ran
+	res        *http.Response
+	kind       kind.Kind
+	ran        kind.Ran
 	retryAfter time.Duration
-	host  string
-	// reachedTarget is set when the request got to the target, whatever came of it.
+	host       string
+	// reachedTarget is set when the request reached the target, whatever the outcome.
 	reachedTarget bool
-	cancel  context.CancelFunc
-	// err is why there is no answer, for the log.
+	cancel        context.CancelFunc
+	// err is why there is no answer. It is only logged.
 	err error
 }
 
-// targetFailed tells whether the target answered that it failed.
+// targetFailed returns whether the target itself answered with a 5xx status.
 func (a *attempt) targetFailed() bool {
 	return a.kind == kind.None && a.res != nil && a.res.StatusCode >= http.StatusInternalServerError
 }
 
-// sendAttempt sends a call to one upstream. A nil res comes with a kind; an answer of
-// a target's node that it is a failure comes with both, its body unread.
+// sendAttempt sends a call to one upstream. If no answer arrives, res is nil and kind is
+// set. If the target's node answers with a failure, both are set and the body of res is
+// unread.
 func (p *Proxy) sendAttempt(ctx context.Context, c *call, u upstream) attempt {
 	p.attempts.Inc()
 	body, length := c.payload()
@@ -65,19 +67,20 @@
 			a.ran = kind.RanNo
 		}
 	}
-	if u.far {
+	if u.otherRegion {
 		bytes := int64(0)
 		if a.res != nil {
 			bytes = a.res.ContentLength
 		}
-		p.counts.crossed(c.routeName(), bytes)
+		p.counters.crossedRegions(c.routeName(), bytes)
 	}
 	p.deps.Balancer.done(time.Now(), c.service.Name, u.host, a.feedback(c, out))
 	return a
 }
 
-// readResponse takes an answer's head, and its body if that is short. The answer to a
-// streamed request may begin before that has ended, and so is streamed as well.
+// readResponse reads the head of an answer, and its body if that is short. The answer to
+// a streamed request may begin before the request has ended, so its body is streamed as
+// well.
 func (a *attempt) readResponse(res *http.Response, streamed bool) {
 	a.ran = kind.ParseRan(res.Header.Get(kind.HeaderRan))
 	a.kind = kind.Kind(res.Header.Get(kind.HeaderKind))
@@ -91,12 +94,12 @@
 	}
 }
 
-// feedback is what the attempt tells about the upstream.
+// feedback returns what the attempt showed about the upstream.
 func (a *attempt) feedback(c *call, out relay.Outcome) Feedback {
 	f := Feedback{Load: -1, Priority: c.route.Priority}
 	if a.res == nil {
 		f.Failed = out.Kind != kind.Cancel
-		f.Unreached = out.Kind == kind.Refused
+		f.Unreachable = out.Kind == kind.Refused
 		return f
 	}
 	h := a.res.Header
@@ -104,23 +107,23 @@
 		f.Load = load
 	}
 	if ms, err := strconv.ParseInt(h.Get(target.HeaderUsual), 10, 64); err == nil {
-		f.Usual = time.Duration(ms) * time.Millisecond
+		f.TypicalLatency = time.Duration(ms) * time.Millisecond
 	}
 	f.Failed = a.kind == kind.Refused || a.kind == kind.Broken || a.kind == kind.Late
 	f.TargetFailed = a.kind == kind.Shed || a.targetFailed()
 	f.Leaving = a.kind == kind.Drain
-	f.Full, f.Paced, f.Again = a.kind == kind.Full || a.kind == kind.Rate, a.kind == kind.Rate, a.retryAfter
+	f.Full, f.RateLimited, f.RetryAfter = a.kind == kind.Full || a.kind == kind.Rate, a.kind == kind.Rate, a.retryAfter
 	f.Notices = target.ReadNotices(h, time.Now())
 	return f
 }
 
-// routeName names the route among those of its service: calls of one route take
-// about the same time.
+// routeName identifies the call's route among those of its service. The target's node
+// estimates how long a call takes from earlier calls with the same name.
 func (c *call) routeName() string { return cmp.Or(c.entryName, c.route.Name()) }
 
-// withholdsBody tells whether a call's body is held back until the target's node asks for
-// it. In an overload a body of any length is: most calls are refused, and their bodies
-// would take up the links.
+// withholdsBody returns whether a call's body is withheld until the target's node asks
+// for it. In an overload a body of any length is withheld: most calls are refused, and
+// their bodies would use up the bandwidth between the nodes.
 func (c *call) withholdsBody(u upstream) bool {
 	n := c.r.ContentLength
 	return n < 0 || n > expectContinueBytes || n > 0 && u.overloaded
@@ -137,7 +140,7 @@
 	if c.route.Mode == snapshot.Once {
 		h.Set(target.HeaderOnce, "yes")
 	}
-	if u.far {
+	if u.otherRegion {
 		h.Set(target.HeaderFar, "yes")
 	}
 	if !c.aim.IsZero() {
--- a/briarrockd/caller/attempts.go
+++ b/briarrockd/caller/attempts.go
@@ -13,8 +13,8 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// send tries a call until it is answered or may not be tried again. It gives
-// the final answer as soon as that is known, however much time is left.
+// send makes attempts at a call until one succeeds or no further one is allowed. It
+// answers the caller as soon as the result is final, however much time is left.
 func (p *Proxy) send(w http.ResponseWriter, c *call) {
 	a := p.runAttempts(c)
 	defer a.release()
@@ -25,19 +25,20 @@
 	p.writeAnswer(w, c, a, nil)
 }
 
-// attempts are the attempts of one call.
+// attempts holds the state of all attempts of one call.
 type attempts struct {
-	p        *Proxy
-	c        *call
-	results  chan attempt
-	inFlight int // attempts that have not ended
-	tried    []string
-	reachedTarget  int // attempts that got to a target
-	reroutes int // attempts that a target's node refused
-	hedged   bool
-	// mayHaveRun is set when an earlier attempt may have run.
+	p             *Proxy
+	c             *call
+	results       chan attempt
+	inFlight      int // attempts that have not ended
+	tried         []string
+	reachedTarget int // attempts that reached a target
+	reroutes      int // attempts that did not reach a target
+	hedged        bool
+	// mayHaveRun is set when the request may have run in an earlier attempt.
 	mayHaveRun bool
-	// minRetryAfter is the soonest time to come back that any refusal named.
+	// minRetryAfter is the shortest delay before a retry that a refusal named; 0 if none
+	// did.
 	minRetryAfter time.Duration
 }
 
@@ -45,8 +46,8 @@
 func (p *Proxy) runAttempts(c *call) attempt {
 	p.deps.Budget.addCall(c.service.Name)
 	x := &attempts{p: p, c: c, results: make(chan attempt, maxReroutes+c.route.Retries+2)}
-	if r, ok := x.startAttempt("to"); !ok {
-		return noUpstreamResult(r)
+	if ref, ok := x.startAttempt("to"); !ok {
+		return noUpstreamResult(ref)
 	}
 	hedge := x.hedgeTimer()
 	defer hedge.Stop()
@@ -63,39 +64,41 @@
 	}
 }
 
-// jitter draws a time around one, so that callers who are refused together don't
-// return together.
+// jitter returns a random duration between d/2 and 3d/2, so that callers who were refused
+// together don't retry together.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// fullRetryAfter is when to ask again for a service that is known to have no room.
-// In this time as many requests end as fill the queues anew; twice the range
-// spreads the return of those who were refused together.
+// fullRetryAfter is the minimum retry delay for callers of a full service. In this time
+// enough requests end for the queues to be filled anew. A random addition of up to the
+// same length spreads the retries of callers who were refused together.
 const fullRetryAfter = 40 * time.Millisecond
 
-// noUpstreamResult is the end of a call that has no upstream to go to.
-func noUpstreamResult(r refusal) attempt {
-	switch r.kind {
+// noUpstreamResult returns the result of a call for which no upstream can be picked.
+func noUpstreamResult(ref refusal) attempt {
+	switch ref.kind {
 	case kind.Rate:
-		r.retryAfter += rand.N(fullRetryAfter + r.retryAfter)
+		ref.retryAfter += rand.N(fullRetryAfter + ref.retryAfter)
 	case kind.Full:
-		r.retryAfter = fullRetryAfter + rand.N(fullRetryAfter)
+		ref.retryAfter = fullRetryAfter + rand.N(fullRetryAfter)
 	default:
-		r.retryAfter = emptyRetryAfter
+		ref.retryAfter = emptyRetryAfter
 	}
-	return attempt{kind: r.kind, ran: kind.RanNo, retryAfter: r.retryAfter}
+	return attempt{kind: ref.kind, ran: kind.RanNo, retryAfter: ref.retryAfter}
 }
 
-// startAttempt begins an attempt at another upstream; false if there is none left, and why.
+// startAttempt starts an attempt at an upstream that has not been tried. If there is none
+// it returns false and the reason.
 func (x *attempts) startAttempt(what string) (refusal, bool) {
-	u, none, ok := x.p.deps.Balancer.pick(time.Now(), x.c.service.Name, x.c.upstreams, x.tried, x.c.route.Priority)
+	u, ref, ok := x.p.deps.Balancer.pick(time.Now(), x.c.service.Name, x.c.upstreams, x.tried, x.c.route.Priority)
 	if !ok {
-		return none, false
+		return ref, false
 	}
 	x.tried = append(x.tried, u.host)
-	x.c.steps.step(what, u.host, kind.None)
+	x.c.decisions.add(what, u.host, kind.None)
 	x.inFlight++
-	// The attempt ends with the caller, but not with the answer of another attempt: it
-	// may be at work, and breaking that off would only waste it.
+	// The attempt is cancelled when the caller's request is, but not when another attempt
+	// is answered: its target may be processing the request, and cancelling would waste
+	// that work.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(x.c.r.Context()))
 	stop := context.AfterFunc(x.c.r.Context(), cancel)
 	go func() {
@@ -106,8 +109,8 @@
 	return refusal{}, true
 }
 
-// handleResult takes the end of an attempt and decides whether it is the call's:
-// if not, another one is under way.
+// handleResult processes a finished attempt and returns whether its result is that of the
+// call. If not, another attempt is in flight.
 func (x *attempts) handleResult(a *attempt) bool {
 	c := x.c
 	if a.reachedTarget {
@@ -116,8 +119,8 @@
 		x.reroutes++
 	}
 	if a.kind != kind.None || a.targetFailed() {
-		c.steps.step("got", a.host, a.kind)
-		c.steps.cause = a.err
+		c.decisions.add("got", a.host, a.kind)
+		c.decisions.cause = a.err
 	}
 	if a.kind == kind.None && a.res != nil && !a.targetFailed() {
 		x.drainRemaining()
@@ -146,7 +149,8 @@
 	return true
 }
 
-// drainRemaining lets the attempts that lost run to their end, and reads their answers.
+// drainRemaining lets the attempts that are still in flight run to their end, and
+// discards their answers.
 func (x *attempts) drainRemaining() {
 	if x.inFlight == 0 {
 		return
@@ -161,8 +165,8 @@
 	}()
 }
 
-// discardAttempt ends an attempt that is not the call's, and remembers whether it may
-// have run.
+// discardAttempt releases an attempt whose result is not that of the call, and records
+// whether the request may have run in it.
 func (x *attempts) discardAttempt(a *attempt) {
 	x.mayHaveRun = x.mayHaveRun || a.ran != kind.RanNo
 	discardBody(a.res)
@@ -170,14 +174,15 @@
 	a.release()
 }
 
-// release frees what the attempt holds.
+// release frees the context of the attempt.
 func (a *attempt) release() {
 	if a.cancel != nil {
 		a.cancel()
 	}
 }
 
-// shouldRetry decides whether another attempt follows one that failed.
+// shouldRetry returns whether another attempt is to follow one that failed. If that takes
+// a retry from the budget, it has been taken.
 func (x *attempts) shouldRetry(a *attempt) bool {
 	c := x.c
 	if time.Until(c.deadline) < minTimeLeft || c.route.Retries == 0 || c.r.Context().Err() != nil || !x.belowRunLimit() {
@@ -190,28 +195,29 @@
 		return false
 	}
 	if a.reachedTarget && a.ran == kind.RanNo && !c.nested {
-		// Its caller can come back by itself; runs and their calls can't.
+		// The caller can retry a call that did not run, so the node's retry is optional.
+		// A nested call is excluded: the request that made it can't be retried without
+		// repeating its work.
 		return x.p.deps.Budget.takeOptional(x.c.service.Name)
 	}
 	if a.reachedTarget {
 		return x.takeRetryToken()
 	}
-	// Nothing reached a target, so no target's work is at stake: another
-	// choice is free, and what bounds it is the time that it takes.
+	// The request reached no target and cost none of them any work, so picking another
+	// upstream needs no budget. maxReroutes bounds the time that it takes.
 	return x.reroutes <= maxReroutes
 }
 
-// belowRunLimit tells whether one more target may get the request. Attempts that are
-// still under way count as if they had reached theirs: nobody knows yet that
-// they have not, and the request would run at more targets than its route
-// allows.
+// belowRunLimit returns whether one more target may get the request. Attempts in flight
+// count as if they had reached a target, because it isn't known yet whether they have.
+// Otherwise the request could run at more targets than its route allows.
 func (x *attempts) belowRunLimit() bool { return x.reachedTarget+x.inFlight <= x.c.route.Retries }
 
-// takeRetryToken takes another run at a target out of the service's budget.
+// takeRetryToken takes one retry from the service's budget; false if none is left.
 func (x *attempts) takeRetryToken() bool { return x.p.deps.Budget.takeRetry(x.c.service.Name) }
 
-// combinedRan is what is to be said of a call after several attempts: it did not
-// run only if none of them did.
+// combinedRan returns whether a call ran, given the last attempt's value: a call did not
+// run only if it ran in none of its attempts.
 func (x *attempts) combinedRan(last kind.Ran) kind.Ran {
 	if x.mayHaveRun && last == kind.RanNo {
 		return kind.RanUnknown
@@ -219,17 +225,17 @@
 	return last
 }
 
-// hedgeAimFraction is the part of the time that the route aims at, and hedgeDeadlineFraction that
-// of its deadline where it has no aim, after which a second target is asked as well.
-// Most work ends well before; an answer that was lost, or a target that has stopped,
-// costs the caller this long and not its whole deadline.
+// hedgeAimFraction is the part of the route's aim after which a hedged request is sent to
+// a second target; hedgeDeadlineFraction is the part of its deadline if it has no aim.
+// Most requests end well before. If an answer is lost or a target has stopped, the caller
+// waits this long instead of until its deadline.
 const (
 	hedgeAimFraction      = 0.6
 	hedgeDeadlineFraction = 0.4
 )
 
-// hedgeTimer fires when the first attempt has taken unusually long. Where the
-// request must not run twice it never does.
+// hedgeTimer returns a timer that fires when the first attempt takes unusually long. It
+// never fires if hedging is off or the request must not run twice.
 func (x *attempts) hedgeTimer() *time.Timer {
 	c := x.c
 	d := time.Duration(hedgeAimFraction * float64(c.route.Aim))
@@ -243,12 +249,12 @@
 	return t
 }
 
-// overloadWindow is how long after an upstream had no room its service counts as
-// overloaded.
+// overloadWindow is how long a service counts as overloaded after one of its upstreams
+// was full.
 const overloadWindow = 500 * time.Millisecond
 
-// hedge asks a second target, unless the service is overloaded: the attempt would
-// take a slot from a call that has none.
+// hedge sends the request to a second target, unless the service is overloaded: the
+// attempt would take a slot from a call that has none.
 func (x *attempts) hedge() {
 	if x.p.deps.Balancer.overloaded(time.Now(), x.c.service.Name, x.c.upstreams) {
 		return
@@ -260,7 +266,8 @@
 	x.startAttempt("hedge")
 }
 
-// maxDiscardBytes bounds what is read of a failure's body to keep its connection.
+// maxDiscardBytes bounds how much of a failed answer's body is read so that its
+// connection can be reused.
 const maxDiscardBytes = 64 << 10
 
 func discardBody(res *http.Response) {
@@ -271,11 +278,12 @@
 	_ = res.Body.Close()
 }
 
-// writeAnswer passes a target's writeAnswer on. keep, if any, gets a copy of it.
+// writeAnswer passes a target's answer to the caller. If rec is not nil it records the
+// answer.
 func (p *Proxy) writeAnswer(w http.ResponseWriter, c *call, a attempt, rec *answerRecorder) {
 	p.logCall(c, kind.None, a.ran, a.res.StatusCode, 0)
 	if c.callerRetry {
-		p.counts.returned(kind.None, a.ran)
+		p.counters.callerRetryEnded(kind.None, a.ran)
 	}
 	h := w.Header()
 	h.Set(target.HeaderTrace, c.trace)
--- a/briarrockd/caller/budget.go
+++ b/briarrockd/caller/budget.go
@@ -2,38 +2,39 @@
 
 import "sync"
 
-// The retry budget.
 const (
-	// tokensPerCall is what each first attempt pays in: one retry for ten calls.
+	// tokensPerCall is what each call adds to the retry budget of its service: one retry
+	// for ten calls.
 	tokensPerCall = 0.1
-	// maxTokens bounds what is saved up, so that a long quiet time does not pay for
-	// a burst of retries.
+	// maxTokens bounds the saved retries, so that a long time without failures does not
+	// allow a burst of retries.
 	maxTokens = 10.0
-	// maxServices bounds the table.
+	// maxServices bounds the table of budgets; a full table is cleared.
 	maxServices = 8192
 )
 
-// Budget bounds retries to a share of the calls, service by service. While a
-// whole service is down the attempts at it stay within 1.1 times the calls:
-// retries would not help then, and would keep it down when it comes back.
+// Budget is the retry budget of each service: it limits retries to a share of the calls.
+// While a whole service is down the attempts at it stay within 1.1 times the calls. More
+// retries would not help then, and would overload the service again when it recovers.
 type Budget struct {
-	mu     sync.Mutex
-	tokens map[string]float64
-	maxTokens   float64
+	mu        sync.Mutex
+	tokens    map[string]float64
+	maxTokens float64
 }
 
-// NewBudget returns a budget that starts with a few retries in hand.
+// NewBudget returns a budget that allows each service one retry at the start.
 func NewBudget() *Budget { return &Budget{tokens: make(map[string]float64), maxTokens: maxTokens} }
 
-// SetNodeShare bounds what is saved up to this node's part of what all nodes of the
-// mesh may save together, so that all of them spending at once stay within it.
+// SetNodeShare limits the saved retries to this node's part of meshTokens, which is the
+// most that all nodes of the mesh may save in total. So all nodes together stay within
+// it, even if they spend their budgets at once.
 func (b *Budget) SetNodeShare(meshTokens float64, nodes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.maxTokens = min(maxTokens, max(1, meshTokens/float64(max(nodes, 1))))
 }
 
-// addCall counts a first attempt.
+// addCall adds the tokens for a call's first attempt.
 func (b *Budget) addCall(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,15 +48,15 @@
 	b.tokens[service] = min(b.maxTokens, tokens+tokensPerCall)
 }
 
-// takeRetry takes one takeRetry out of the budget; false if there is none.
+// takeRetry takes one retry from the budget; false if there is none.
 func (b *Budget) takeRetry(service string) bool { return b.take(service, 1) }
 
-// maxUsedForOptional is how much of the budget may be missing for a retry that can be done without:
-// those of calls which are lost otherwise go first.
+// maxUsedForOptional is how far below its maximum the budget may be, in tokens, for an
+// optional retry. The rest is reserved for retries of calls that are lost without one.
 const maxUsedForOptional = 0.25
 
-// takeOptional takes one retry that can be done without out of the budget, if that is nearly
-// full.
+// takeOptional takes one optional retry from the budget; false unless the budget is
+// nearly full.
 func (b *Budget) takeOptional(service string) bool {
 	b.mu.Lock()
 	minTokens := b.maxTokens - maxUsedForOptional
--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -1,18 +1,17 @@
-// Package caller is a node's side towards callers: it takes their requests
-// over plain HTTP, finds the route that the operator's text gives them, and
-// sends each to a target's node by the route's policy.
+// Package caller serves callers. It accepts their requests over plain HTTP, finds the
+// route that the configuration gives them, and sends each request to a target's node by
+// the policy of the route.
 //
 //	p := caller.New(caller.Deps{Claims: claims, Transport: tr, …})
 //	p.SetTable(table)      // replaces the routing table atomically
 //	http.Serve(listener, p)
 //
-// A request names its service in the Host header. The answer is the target's,
-// or a failure of the closed list in package kind, which always says whether
-// the request ran.
+// A request names its service in the Host header. The answer is the target's, or one of
+// the failures listed in package kind, each of which states whether the request ran.
 //
-// What may be retried is decided in one place, retry.go, from three facts:
-// whether the route's requests may be repeated, whether any byte went out,
-// and what the target's node said.
+// The rules for retries are in one place, retry.go. They depend on three facts: whether
+// the route's requests may be repeated, whether any byte was sent, and what the target's
+// node reported.
 package caller
 
 import (
@@ -40,66 +39,71 @@
 // HeaderKey carries the idempotency key (draft-ietf-httpapi-idempotency-key-header).
 const HeaderKey = "Idempotency-Key"
 
-// HeaderReplay marks an answer that was kept from the first time.
+// HeaderReplay marks a recorded answer to an earlier request with the same idempotency
+// key.
 const HeaderReplay = "Briarrock-Replay"
 
-// Deps are what a Proxy needs from outside.
+// Deps are the dependencies and settings of a Proxy.
 type Deps struct {
 	Balancer  *Balancer
 	Budget    *Budget
 	Claims    *claim.Claims
 	Transport http.RoundTripper
-	// Scheme is that of the nodes' call addresses: http, or https with keys.
+	// Scheme is the URL scheme of requests to other nodes: http, or https if there are
+	// keys.
 	Scheme string
-	// CrashCount tells how often a request has been in flight at a crash.
+	// CrashCount returns how often a request with this fingerprint was in flight when a
+	// target crashed.
 	CrashCount func(fingerprint uint64) int
-	// IsRunning tells whether a target of this host runs a call of a name now; nil for
-	// a node that has no targets.
+	// IsRunning returns whether a target of this host is processing the call with this
+	// trace ID. It is nil for a node without targets.
 	IsRunning func(trace string) bool
-	// Authenticate finds out who calls, by the request's headers; false if it is
-	// nobody who may.
+	// Authenticate returns the caller's name by the request's headers; false if the
+	// request is not from a permitted caller.
 	Authenticate func(h http.Header) (string, bool)
 	Log          *event.Log
 	Metrics      *metrics.Set
-	// StallTimeout bounds the time without a byte moving.
+	// StallTimeout is the longest time without any byte transferred after which a request
+	// or an answer is aborted.
 	StallTimeout time.Duration
-	// Hedge sends a request that may be repeated to a second target when the
-	// first one takes unusually long.
+	// Hedge enables hedged requests: a request that may be repeated is also sent to a
+	// second target when the first attempt takes unusually long.
 	Hedge bool
 }
 
-// Proxy takes requests from callers. New makes one; it is an http.Handler.
+// Proxy is the http.Handler for callers' requests. New makes one.
 type Proxy struct {
-	deps    Deps
-	table   atomic.Pointer[Table]
+	deps     Deps
+	table    atomic.Pointer[Table]
 	draining atomic.Bool
-	// shutdownAt is when the node ends, in Unix nanoseconds; 0 while it stays.
-	shutdownAt    atomic.Int64
-	inFlight atomic.Int64
-	timeouts callerTimeouts
-	startup *startup
-	counts   counts
-	calls    *metrics.Counter
-	attempts *metrics.Counter
-	duration     *metrics.Histogram
+	// shutdownAt is when the node ends, in Unix nanoseconds; 0 if that is not planned.
+	shutdownAt atomic.Int64
+	inFlight   atomic.Int64
+	timeouts   callerTimeouts
+	startup    *startup
+	counters   routeCounters
+	calls      *metrics.Counter
+	attempts   *metrics.Counter
+	duration   *metrics.Histogram
 }
 
-// maxInFlightCalls bounds the calls that one node has under way, and so the memory
-// that callers can make it take: some tens of kilobytes each.
+// maxInFlightCalls bounds the calls in flight at a node, and so the memory that they use:
+// some tens of kilobytes each.
 const maxInFlightCalls = 2048
 
-// New returns a Proxy that has no table yet and says so to callers.
+// New returns a Proxy without a routing table. It refuses calls with kind.Config until
+// SetTable is called.
 func New(d Deps) *Proxy {
 	if d.Metrics == nil {
 		d.Metrics = metrics.NewSet()
 	}
 	p := &Proxy{
 		deps:     d,
-		startup: newStartup(),
-		counts:   counts{set: d.Metrics},
+		startup:  newStartup(),
+		counters: routeCounters{set: d.Metrics},
 		calls:    d.Metrics.GetOrCreateCounter("briarrock_calls_total"),
 		attempts: d.Metrics.GetOrCreateCounter("briarrock_attempts_total"),
-		duration:     d.Metrics.GetOrCreateHistogram("briarrock_call_seconds"),
+		duration: d.Metrics.GetOrCreateHistogram("briarrock_call_seconds"),
 	}
 	d.Metrics.GetOrCreateGauge("briarrock_ejected", func() float64 {
 		return float64(d.Balancer.Ejected(time.Now()))
@@ -107,7 +111,8 @@
 	return p
 }
 
-// SetTable swaps in a table. Calls that are under way keep theirs.
+// SetTable replaces the routing table. Calls in flight keep the table that they started
+// with.
 func (p *Proxy) SetTable(t *Table) {
 	p.table.Store(t)
 	if !p.startup.finished() {
@@ -115,7 +120,7 @@
 	}
 }
 
-// Table returns the table in use; nil before the first.
+// Table returns the current routing table; nil before the first.
 func (p *Proxy) Table() *Table { return p.table.Load() }
 
 // Drain makes the proxy refuse all new calls, because the node is about to stop.
@@ -126,41 +131,43 @@
 // in progress have short deadlines and are still accepted.
 func (p *Proxy) SetShutdownTime(t time.Time) { p.shutdownAt.Store(t.UnixNano()) }
 
-// call is one request on its way, with what was decided about it.
+// call is a request in progress and the decisions made about it.
 type call struct {
-	r        *http.Request
-	table    *Table
-	entryName    string // name of the entry that it came by, if any
-	service  *service
-	upstreams      []upstream // the service's targets by the table
-	route    snapshot.Route
-	caller   string
-	startedAt    time.Time
-	deadline time.Time
-	// aim is when the answer loses most of its worth; zero if the route says
-	// nothing.
+	r         *http.Request
+	table     *Table
+	entryName string // name of the entry that matched, if any
+	service   *service
+	upstreams []upstream // the service's targets in the table
+	route     snapshot.Route
+	caller    string
+	startedAt time.Time
+	deadline  time.Time
+	// aim is the time until which an answer has its full value; a later one has little.
+	// It is zero if the route has no aim.
 	aim time.Time
-	// nested is set for a call that a target of this host makes for one that it runs.
+	// nested is set for a call that a target of this host makes while it processes
+	// another call.
 	nested bool
-	// callerRetry is set for a caller that seems to have been refused before.
-	callerRetry   bool
-	body      []byte // kept to be sent again; nil for none or a streamed one
-	streamed  bool
-	stream     *streamedBody
-	fingerprint     uint64
-	claim     *claim.Claim
-	trace     string
-	steps callSteps
+	// callerRetry is set if the caller appears to retry after a refusal.
+	callerRetry bool
+	body        []byte // kept for retries; nil if empty or streamed
+	streamed    bool
+	stream      *streamedBody
+	fingerprint uint64
+	claim       *claim.Claim
+	trace       string
+	decisions   callDecisions
 }
 
-// refusal is a decision against a call.
+// refusal is the reason for which a call is refused, and the delay before a retry if one
+// is known.
 type refusal struct {
-	kind  kind.Kind
+	kind       kind.Kind
 	retryAfter time.Duration
 }
 
-// emptyRetryAfter is when to ask again for a service that has no live target: one
-// that was restarted is back in about this time.
+// emptyRetryAfter is the retry delay for callers of a service without live targets: a
+// target that was restarted is back in about this time.
 const emptyRetryAfter = 300 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
@@ -188,7 +195,8 @@
 	p.send(w, c)
 }
 
-// waitAtStartup holds a call at a node that has just been started until it can be served.
+// waitAtStartup delays a call at a node that has just started until the call can be
+// served, for a limited time.
 func (p *Proxy) waitAtStartup(r *http.Request) {
 	if p.startup.finished() || p.draining.Load() {
 		return
@@ -203,8 +211,8 @@
 	})
 }
 
-// admit finds the route of a request and checks all that can be checked
-// before anything is sent.
+// admit finds the route of a request and makes all checks that are possible before
+// anything is sent.
 func (p *Proxy) admit(r *http.Request, now time.Time) (*call, refusal) {
 	c := &call{r: r, trace: traceID(r), startedAt: now, table: p.table.Load()}
 	if p.draining.Load() {
@@ -216,7 +224,7 @@
 	if k := c.findRoute(); k != kind.None {
 		return c, refusal{kind: k}
 	}
-	c.upstreams = c.table.sets[c.service.Name]
+	c.upstreams = c.table.upstreams[c.service.Name]
 	p.promoteNested(c)
 	var ok bool
 	c.caller, ok = p.deps.Authenticate(r.Header)
@@ -244,9 +252,10 @@
 	return c, refusal{}
 }
 
-// promoteNested gives the highest priority to a call that a run of this host's target waits
-// for: if it is refused, all that was done for the run is lost. A name alone gives no
-// right to it: the call that it names as its parent must run here now.
+// promoteNested gives the highest priority to a call that a target of this host makes
+// while it processes another call: if the nested call is refused, all work for the outer
+// call is lost. A trace ID alone does not qualify: the outer call that it names must be
+// running on this host now.
 func (p *Proxy) promoteNested(c *call) {
 	parent, ok := target.Parent(c.trace)
 	if !ok || p.deps.IsRunning == nil || !p.deps.IsRunning(parent) {
@@ -256,8 +265,7 @@
 	c.route.Priority = snapshot.MostUrgent
 }
 
-// setAim works out until when the answer is worth most, and whether the caller seems
-// to have been refused before.
+// setAim sets the call's aim, and whether the caller appears to retry after a refusal.
 func (p *Proxy) setAim(c *call) {
 	if c.route.Aim == 0 {
 		return
@@ -268,8 +276,8 @@
 	}
 }
 
-// findRoute finds the call's route and the service that it goes to: by the entries
-// of its host name, or else by the service that the host name names.
+// findRoute finds the call's route and service: by the entries of its host name, or else
+// by the service that the host name names.
 func (c *call) findRoute() kind.Kind {
 	e, known := c.table.entry(hostName(c.r.Host), c.r.URL.Path)
 	if e != nil {
@@ -291,14 +299,15 @@
 	return kind.None
 }
 
-// serviceName is the first label of a host name without its port, so that
-// both "orderdesk" and "orderdesk.mesh:8080" name the service orderdesk.
+// serviceName returns the first label of a host name without its port: both "orderdesk"
+// and "orderdesk.mesh:8080" name the service orderdesk.
 func serviceName(host string) string {
 	name, _, _ := strings.Cut(hostName(host), ".")
 	return name
 }
 
-// deadline is the route's, or the caller's if that is sooner.
+// deadline returns the route's deadline, or the caller's if that is sooner. It returns
+// false if the caller's header is malformed.
 func deadline(r *http.Request, route snapshot.Route, now time.Time) (time.Time, bool) {
 	d := route.Deadline
 	if h := r.Header.Get(target.HeaderDeadline); h != "" {
@@ -313,8 +322,8 @@
 	return now.Add(d), true
 }
 
-// readBody keeps a short body of known length, and wraps any other one so
-// that it is known whether its sending has begun.
+// readBody reads a short body of known length into memory. Any other body is wrapped, to
+// record whether any of it has been read for sending.
 func (p *Proxy) readBody(c *call) kind.Kind {
 	n := c.r.ContentLength
 	if n == 0 {
@@ -332,7 +341,8 @@
 	return kind.None
 }
 
-// streamedBody is a streamed body. Once a byte of it was read it can't be sent again.
+// streamedBody is the body of a streamed request. Once a byte of it was read it can't be
+// sent again.
 type streamedBody struct {
 	io.ReadCloser
 	started atomic.Bool
@@ -344,7 +354,7 @@
 	return b.ReadCloser.Read(p) //nolint:wrapcheck // io.EOF must pass as it is
 }
 
-// payload is the body for one attempt and its length.
+// payload returns the body for one attempt and its length.
 func (c *call) payload() (io.Reader, int64) {
 	switch {
 	case c.streamed:
@@ -356,7 +366,8 @@
 	}
 }
 
-// traceID is the name of a call: the caller's if it is a plausible one.
+// traceID returns the trace ID that the caller sent, or a random one if there is none or
+// it is too long.
 func traceID(r *http.Request) string {
 	const maxLen = 64
 	if t := r.Header.Get(target.HeaderTrace); t != "" && len(t) <= maxLen {
@@ -370,14 +381,14 @@
 	return hex.EncodeToString(b[:])
 }
 
-// fail answers a call that the node itself gives up.
+// fail answers a call with a failure that this node reports.
 func (p *Proxy) fail(w http.ResponseWriter, c *call, k kind.Kind, ran kind.Ran, retryAfter time.Duration) {
 	p.deps.Metrics.GetOrCreateCounter(`briarrock_failures_total{kind="` + string(k) + `",ran="` + ran.String() + `"}`).Inc()
 	if ran == kind.RanNo && c.service != nil {
-		p.counts.refused(c.routeName(), k)
+		p.counters.refused(c.routeName(), k)
 	}
 	if c.callerRetry {
-		p.counts.returned(k, ran)
+		p.counters.callerRetryEnded(k, ran)
 	}
 	p.logCall(c, k, ran, k.Answer().Status, retryAfter)
 	w.Header().Set(target.HeaderTrace, c.trace)
--- a/briarrockd/caller/choose.go
+++ b/briarrockd/caller/choose.go
@@ -10,85 +10,89 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// How an upstream is chosen. Costs are in units of a usual request's time.
+// Parameters of the choice of an upstream. Costs are in units of the service's typical
+// request time.
 const (
-	// farDomain and farRegion are what it costs to go further away. Bytes
-	// between domains and regions are billed, so work leaves the own domain
-	// only for a target that is about half a request sooner, and the region
-	// only for one that is more than two sooner.
-	farDomain = 0.5
-	farRegion = 2.5
-	// calmSamples is how many upstreams of each distance are compared while none has
-	// been full of late: more of them find the faster ones. overloadSamples is the
-	// same when some have: what is known of load is then old sooner, and with
-	// many samples all nodes would send to the same few.
-	calmSamples     = 4
+	// otherDomainCost and otherRegionCost are the costs of an upstream in another domain
+	// of the own region, and in another region. Bytes between domains and regions are
+	// billed, so a call leaves the own domain only for a target that is about half a
+	// request sooner, and the region only for one that is more than two requests sooner.
+	otherDomainCost = 0.5
+	otherRegionCost = 2.5
+	// normalSamples is how many upstreams of each tier are compared if none was full
+	// recently; with more samples faster ones are found. overloadSamples is the number if
+	// some were full: reported load is then outdated sooner, and with many samples all
+	// nodes would send to the same few upstreams.
+	normalSamples   = 4
 	overloadSamples = 2
-	// loadHalf is the time after which a reported load counts half.
-	loadHalf = 500 * time.Millisecond
-	// loadKnee is the load from which on a target is expected to slow down;
-	// below it a request finds a free slot, so load costs next to nothing.
+	// loadHalfLife is the age at which a reported load counts half.
+	loadHalfLife = 500 * time.Millisecond
+	// loadKnee is the load above which a target is expected to slow down. Below it a
+	// request finds a free slot, so load costs next to nothing.
 	loadKnee = 0.75
-	// loadFlat and loadSteep are the costs of load below and above the knee.
-	loadFlat  = 0.1
-	loadSteep = 2.0
-	// failPart is the weight of the newest attempt in the share that fails,
-	// failCost what a target costs whose every attempt fails: more than the
-	// way to another region.
-	failPart = 0.1
-	failCost = 6.0
-	// failHalf is the time after which that share counts half, so that an
-	// upstream which gets no attempts for it is tried again.
-	failHalf = 2 * time.Second
+	// loadCostBelowKnee is the cost for each unit of load, loadCostAboveKnee the
+	// additional cost for each unit above the knee.
+	loadCostBelowKnee = 0.1
+	loadCostAboveKnee = 2.0
+	// failureWeight is the weight of the newest attempt in an upstream's failure rate.
+	// failureCost is the cost of an upstream whose attempts all fail: more than that of
+	// another region.
+	failureWeight = 0.1
+	failureCost   = 6.0
+	// failureHalfLife is the age at which the failure rate counts half, so that an
+	// upstream that gets no attempts because of it is tried again.
+	failureHalfLife = 2 * time.Second
 )
 
-// Ejection of upstreams that fail.
+// Ejection of failing upstreams, and how long full or leaving ones are avoided.
 const (
-	// ejectAfter is the number of failures in a row.
-	ejectAfter  = 3
-	ejectFirst  = time.Second
-	maxEjection = 30 * time.Second
-	// unreachedFor is how long an upstream is left alone whose node could not
-	// be connected to: about the time in which a killed process is back.
-	unreachedFor = 500 * time.Millisecond
-	// minHealthyShare bounds ejection to a part of a set, as 1/minHealthyShare: if more
-	// fails, the fault is likely not the targets'.
-	minHealthyShare = 2
-	// An upstream that had no room is not asked again for about as long as it
-	// takes until one of its slots comes free, within these bounds: a caller is
-	// refused at once, with most of its time left, instead of after asking one
-	// full target after the other.
+	// ejectAfterFailures is the number of consecutive failures after which an upstream is
+	// ejected.
+	ejectAfterFailures = 3
+	minEjection        = time.Second
+	maxEjection        = 30 * time.Second
+	// unreachableTTL is how long an upstream is not picked after a connection to its node
+	// failed: about the time in which a killed process is back.
+	unreachableTTL = 500 * time.Millisecond
+	// minHealthyDivisor bounds ejection: it is ignored if less than 1/minHealthyDivisor
+	// of a set would be left. The fault is then likely not the targets'.
+	minHealthyDivisor = 2
+	// A full upstream is not picked for about the time until one of its slots comes free,
+	// within these bounds. So a caller is refused at once, with most of its time left,
+	// and not after attempts at one full target after another.
 	minFullTTL = 2 * time.Millisecond
 	maxFullTTL = 20 * time.Millisecond
-	// maxFarFullTTL is the most for one in another region, which says itself how
-	// long it has no room to spare; the way there is long, and paid.
-	maxFarFullTTL = 500 * time.Millisecond
-	// maxPacedTTL is the most for one whose target names a rate, and which says itself
-	// when the next of its turns is free.
-	maxPacedTTL = 2 * time.Second
-	// leavingFor is how long an upstream that leaves is left alone.
-	leavingFor = 3 * time.Second
-	// maxStates bounds the table of upstreams that are remembered.
+	// maxOtherRegionFullTTL is the upper bound for an upstream in another region, which
+	// reports how long it has no spare capacity. The round trip there is long, and its
+	// bytes are billed.
+	maxOtherRegionFullTTL = 500 * time.Millisecond
+	// maxRateLimitedTTL is the upper bound for an upstream whose target has set a rate
+	// limit. Its node reports when the next request is allowed.
+	maxRateLimitedTTL = 2 * time.Second
+	// leavingTTL is how long an upstream is not picked after it reported that it is
+	// leaving.
+	leavingTTL = 3 * time.Second
+	// maxStates bounds the number of upstreams whose state is kept.
 	maxStates = 16384
 )
 
-// Balancer picks upstreams: the cheapest of a few at random from each of the own
-// domain, the own region and elsewhere. What counts is the load that answers
-// carry, how long the target's work takes, how far it is, what is in flight to
-// it from here and what came of it.
-// Announced health plays no part; failures are believed only when seen.
+// Balancer picks upstreams. It samples a few at random from each of the own domain, the
+// own region and the other regions, and picks the one with the lowest cost. The cost
+// depends on the load that answers carry, the target's typical latency, its distance, the
+// attempts in flight to it from this node, and the outcome of earlier attempts. Announced
+// health is not used: only failures of attempts count.
 //
-// It is a pure data structure with a lock; times come from its callers.
+// It is a pure data structure with a lock; the time is an argument of its methods.
 type Balancer struct {
 	domain, region string
 	mu             sync.Mutex
 	rng            *rand.Rand
-	// states are by service and host, count is how many there are.
-	states map[string]map[string]*state
-	count  int
+	// states are by service and host, stateCount is their number.
+	states     map[string]map[string]*state
+	stateCount int
 }
 
-// NewBalancer returns a Balancer for a node in the given place.
+// NewBalancer returns a Balancer for a node in the given domain and region.
 func NewBalancer(domain, region string, seed uint64) *Balancer {
 	return &Balancer{
 		domain: domain, region: region,
@@ -97,48 +101,48 @@
 	}
 }
 
-// view is what is known of a service's upstreams at one time. States are looked up once
-// for a choice, since it goes over all of them several times.
+// view holds the states of a service's upstreams at one time. They are looked up once for
+// each pick, because a pick iterates over them several times.
 type view struct {
 	now     time.Time
 	service string
 	set     []upstream
-	states  []*state // nil for an upstream that nothing is known of
+	states  []*state // nil for an upstream without recorded state
 }
 
 func (c *Balancer) view(now time.Time, service string, set []upstream) *view {
 	v := &view{now: now, service: service, set: set, states: make([]*state, len(set))}
-	known := c.states[service]
+	byHost := c.states[service]
 	for i := range set {
-		v.states[i] = known[set[i].host]
+		v.states[i] = byHost[set[i].host]
 	}
 	return v
 }
 
-// pick chooses an upstream that is not in tried and counts it as in flight. It returns
-// false when the set has none that may be used, and what that is for want of: known a
-// moment later it could be another one.
+// pick chooses an upstream that is not in tried, and counts an attempt in flight to it.
+// If there is none it returns false and the reason. The reason is found under the same
+// lock, because a moment later it could be a different one.
 func (c *Balancer) pick(now time.Time, service string, set []upstream, tried []string, priority snapshot.Priority) (upstream, refusal, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := c.view(now, service, set)
 	best, found := c.best(v, tried, priority)
 	if !found {
-		return upstream{}, v.shortage(priority), false
+		return upstream{}, v.refusalReason(priority), false
 	}
 	s := c.state(service, best.host)
-	if s.inflight == 0 {
+	if s.inFlight == 0 {
 		s.stalledSince = now
 	}
-	s.inflight++
-	s.since++
+	s.inFlight++
+	s.picksSinceReport++
 	best.notices = s.notices
-	best.far = c.tier(&best) == tierCount-1
-	s.far, s.slots, s.process = best.far, best.slots, best.process
+	best.otherRegion = c.tier(&best) == tierCount-1
+	s.otherRegion, s.slots, s.incarnation = best.otherRegion, best.slots, best.incarnation
 	return best, refusal{}, true
 }
 
-// tierCount is the number of distances that are told apart.
+// tierCount is the number of tiers, by distance: own domain, own region, other regions.
 const tierCount = 3
 
 func (c *Balancer) tier(u *upstream) int {
@@ -155,7 +159,7 @@
 func (c *Balancer) best(v *view, tried []string, priority snapshot.Priority) (upstream, bool) {
 	usable := v.usable(tried, priority)
 	typicalLatency := v.typicalLatency(usable)
-	samples, overloaded := calmSamples, v.anyOverloaded()
+	samples, overloaded := normalSamples, v.anyOverloaded()
 	if overloaded {
 		samples = overloadSamples
 	}
@@ -164,12 +168,12 @@
 		t := c.tier(&v.set[i])
 		tiers[t] = append(tiers[t], i)
 	}
-	best, found, least := 0, false, 0.0
+	best, found, lowest := 0, false, 0.0
 	for t, list := range tiers {
 		for _, i := range c.sample(list, samples) {
-			cost := v.cost(i, typicalLatency) + [tierCount]float64{0, farDomain, farRegion}[t]
-			if !found || cost < least {
-				best, found, least = i, true, cost
+			cost := v.cost(i, typicalLatency) + [tierCount]float64{0, otherDomainCost, otherRegionCost}[t]
+			if !found || cost < lowest {
+				best, found, lowest = i, true, cost
 			}
 		}
 	}
@@ -181,23 +185,23 @@
 	return u, true
 }
 
-// typicalLatency is the time that a request takes as a rule at the service: the median
-// of what some of its upstreams say, 0 if none has.
+// typicalLatency returns the median of the typical latencies that the listed upstreams
+// have reported; 0 if none has.
 func (v *view) typicalLatency(list []int) time.Duration {
-	known := make([]time.Duration, 0, len(list))
+	latencies := make([]time.Duration, 0, len(list))
 	for _, i := range list {
-		if s := v.states[i]; s != nil && s.usual > 0 {
-			known = append(known, s.usual)
+		if s := v.states[i]; s != nil && s.typicalLatency > 0 {
+			latencies = append(latencies, s.typicalLatency)
 		}
 	}
-	if len(known) == 0 {
+	if len(latencies) == 0 {
 		return 0
 	}
-	slices.Sort(known)
-	return known[len(known)/2]
+	slices.Sort(latencies)
+	return latencies[len(latencies)/2]
 }
 
-// sample takes up to n different elements of a list at random.
+// sample returns up to n different elements of a list, chosen at random.
 func (c *Balancer) sample(list []int, n int) []int {
 	if len(list) <= n {
 		return list
@@ -210,133 +214,135 @@
 	return out[:n]
 }
 
-// usable lists those that were not tried and are not ejected. If ejection
-// would leave less than its share of the set, it is not heeded: misleading
-// failures must not empty a set.
+// usable returns the indexes of the upstreams that were not tried and are not ejected,
+// full or leaving. Ejection is ignored if it would leave less than 1/minHealthyDivisor of
+// the set, so that misleading failures can't empty a set.
 func (v *view) usable(tried []string, priority snapshot.Priority) []int {
-	sound, rest := make([]int, 0, len(v.set)), make([]int, 0, len(v.set))
+	healthy, candidates := make([]int, 0, len(v.set)), make([]int, 0, len(v.set))
 	for i, s := range v.states {
 		if slices.Contains(tried, v.set[i].host) {
 			continue
 		}
-		if s != nil && (s.leaves(v.now, &v.set[i]) || s.isFull(v.now, priority)) {
+		if s != nil && (s.isLeaving(v.now, &v.set[i]) || s.isFull(v.now, priority)) {
 			continue
 		}
-		rest = append(rest, i)
-		if s == nil || !s.until.After(v.now) {
-			sound = append(sound, i)
+		candidates = append(candidates, i)
+		if s == nil || !s.ejectedUntil.After(v.now) {
+			healthy = append(healthy, i)
 		}
 	}
-	if len(sound)*minHealthyShare < len(rest) {
-		return rest
+	if len(healthy)*minHealthyDivisor < len(candidates) {
+		return candidates
 	}
-	return sound
+	return healthy
 }
 
-// shortage is why a set has no upstream for a call: their targets' rates are used up, until
-// the first has a turn, or they have no room, or there are none but those that leave.
-func (v *view) shortage(priority snapshot.Priority) refusal {
-	none := refusal{kind: kind.Empty}
+// refusalReason returns why a set has no upstream for a call. The kind is Full if one of
+// them has no free slot or queue place. It is Rate if all full ones are limited by their
+// targets' rates, with the time until the first of them allows a request. It is Empty if
+// there are none, or only leaving ones.
+func (v *view) refusalReason(priority snapshot.Priority) refusal {
+	ref := refusal{kind: kind.Empty}
 	for i, s := range v.states {
-		if s == nil || s.leaves(v.now, &v.set[i]) || !s.isFull(v.now, priority) {
+		if s == nil || s.isLeaving(v.now, &v.set[i]) || !s.isFull(v.now, priority) {
 			continue
 		}
-		left := s.fullTTL() - v.now.Sub(s.fullAt)
+		remaining := s.fullTTL() - v.now.Sub(s.fullAt)
 		switch {
-		case !s.paced:
+		case !s.rateLimited:
 			return refusal{kind: kind.Full}
-		case none.kind == kind.Empty || left < none.retryAfter:
-			none = refusal{kind.Rate, left}
+		case ref.kind == kind.Empty || remaining < ref.retryAfter:
+			ref = refusal{kind.Rate, remaining}
 		}
 	}
-	return none
+	return ref
 }
 
-// cost is what a request at an upstream is expected to cost, its distance
-// aside, in units of the service's usual time.
+// cost returns the expected cost of a request at upstream i, in units of the service's
+// typical latency and without the cost of distance.
 func (v *view) cost(i int, typicalLatency time.Duration) float64 {
 	s := v.states[i]
 	if s == nil {
 		return 0
 	}
-	pace := 1.0
-	if typicalLatency > 0 && s.usual > 0 {
-		pace = float64(s.usual) / float64(typicalLatency)
+	latencyRatio := 1.0
+	if typicalLatency > 0 && s.typicalLatency > 0 {
+		latencyRatio = float64(s.typicalLatency) / float64(typicalLatency)
 	}
-	cost := pace*(1+waitCost(s.expected(v.now, v.set[i].slots))) - 1
-	rate := s.degraded(v.now)
-	cost += failCost * rate * rate
+	cost := latencyRatio*(1+loadCost(s.expectedLoad(v.now, v.set[i].slots))) - 1
+	failureRate := s.decayedFailureRate(v.now)
+	cost += failureCost * failureRate * failureRate
 	if s.stalled(v.now) {
 		cost += stallCost
 	}
 	return cost
 }
 
-// waitCost is what the load of a target costs.
-func waitCost(load float64) float64 {
-	return loadFlat*load + loadSteep*max(0, load-loadKnee)
+// loadCost returns the cost of a target's load.
+func loadCost(load float64) float64 {
+	return loadCostBelowKnee*load + loadCostAboveKnee*max(0, load-loadKnee)
 }
 
 func (c *Balancer) state(service, host string) *state {
-	known := c.states[service]
-	if s := known[host]; s != nil {
+	byHost := c.states[service]
+	if s := byHost[host]; s != nil {
 		return s
 	}
-	if c.count >= maxStates {
-		c.forget()
+	if c.stateCount >= maxStates {
+		c.evictIdle()
 	}
-	if known = c.states[service]; known == nil {
-		known = make(map[string]*state)
-		c.states[service] = known
+	if byHost = c.states[service]; byHost == nil {
+		byHost = make(map[string]*state)
+		c.states[service] = byHost
 	}
 	s := new(state)
-	known[host] = s
-	c.count++
+	byHost[host] = s
+	c.stateCount++
 	return s
 }
 
-// forget drops states that nothing is in flight to.
-func (c *Balancer) forget() {
-	for service, known := range c.states {
-		for host, s := range known {
-			if s.inflight == 0 {
-				delete(known, host)
-				c.count--
+// evictIdle removes the states of upstreams without attempts in flight.
+func (c *Balancer) evictIdle() {
+	for service, byHost := range c.states {
+		for host, s := range byHost {
+			if s.inFlight == 0 {
+				delete(byHost, host)
+				c.stateCount--
 			}
 		}
-		if len(known) == 0 {
+		if len(byHost) == 0 {
 			delete(c.states, service)
 		}
 	}
 }
 
-// done takes what an attempt that pick counted has told.
+// done records the feedback of an attempt that pick counted.
 func (c *Balancer) done(now time.Time, service, host string, f Feedback) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.state(service, host)
-	s.inflight = max(0, s.inflight-1)
+	s.inFlight = max(0, s.inFlight-1)
 	s.observeFeedback(now, f)
 	if f.Leaving {
-		s.leaving, s.leavingProcess = now.Add(leavingFor), s.process
+		s.leavingUntil, s.leavingIncarnation = now.Add(leavingTTL), s.incarnation
 	}
 	if f.Full {
 		s.markFull(now, f)
 	}
-	if f.Unreached {
-		s.until = later(s.until, now.Add(unreachedFor))
+	if f.Unreachable {
+		s.ejectedUntil = later(s.ejectedUntil, now.Add(unreachableTTL))
 	}
 	if !f.Failed {
-		s.fails, s.ejected = 0, 0
+		s.consecutiveFailures, s.ejections = 0, 0
 		return
 	}
-	s.fails++
-	if s.fails < ejectAfter {
+	s.consecutiveFailures++
+	if s.consecutiveFailures < ejectAfterFailures {
 		return
 	}
-	s.fails = 0
-	s.until = now.Add(min(ejectFirst<<min(s.ejected, 6), maxEjection))
-	s.ejected++
+	s.consecutiveFailures = 0
+	s.ejectedUntil = now.Add(min(minEjection<<min(s.ejections, 6), maxEjection))
+	s.ejections++
 }
 
 func later(a, b time.Time) time.Time {
@@ -346,7 +352,7 @@
 	return b
 }
 
-// overloaded tells whether an upstream of a set had no room of late.
+// overloaded returns whether an upstream of a set was full within overloadWindow.
 func (c *Balancer) overloaded(now time.Time, service string, set []upstream) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -354,21 +360,21 @@
 }
 
 func (v *view) anyOverloaded() bool {
-	return v.any(func(s *state) bool { return !s.paced && v.now.Sub(s.fullAt) < overloadWindow })
+	return v.any(func(s *state) bool { return !s.rateLimited && v.now.Sub(s.fullAt) < overloadWindow })
 }
 
-func (v *view) any(is func(*state) bool) bool {
-	return slices.ContainsFunc(v.states, func(s *state) bool { return s != nil && is(s) })
+func (v *view) any(match func(*state) bool) bool {
+	return slices.ContainsFunc(v.states, func(s *state) bool { return s != nil && match(s) })
 }
 
-// Ejected returns how many upstreams are ejected now.
+// Ejected returns the number of upstreams that are ejected at now.
 func (c *Balancer) Ejected(now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, known := range c.states {
-		for _, s := range known {
-			if s.until.After(now) {
+	for _, byHost := range c.states {
+		for _, s := range byHost {
+			if s.ejectedUntil.After(now) {
 				n++
 			}
 		}
--- a/briarrockd/caller/choose_test.go
+++ b/briarrockd/caller/choose_test.go
@@ -59,9 +59,9 @@
 	ms[1].Targets[0].Draining = true
 	ms = append(ms, peer.Member{Host: "x", Targets: []peer.Target{{Service: "unknown"}}})
 	tab := table(ms)
-	c.Check(tab.sets["orderdesk"], qt.HasLen, 10)
+	c.Check(tab.upstreams["orderdesk"], qt.HasLen, 10)
 	// A service without any target has an empty set, not none.
-	c.Check(tab.sets["ledgerline"], qt.Not(qt.IsNil))
+	c.Check(tab.upstreams["ledgerline"], qt.Not(qt.IsNil))
 	for _, x := range []struct {
 		method, path, want string
 	}{
@@ -79,7 +79,7 @@
 
 func TestNearFirst(t *testing.T) {
 	c := qt.New(t)
-	set := table(members()).sets["orderdesk"]
+	set := table(members()).upstreams["orderdesk"]
 	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	c.Check(count(ch, set, 100, now, Feedback{}), qt.DeepEquals, map[string]int{"northgate": 100})
@@ -98,10 +98,10 @@
 // mesh whose targets are all well. At least half of it stays in use.
 func TestEjection(t *testing.T) {
 	c := qt.New(t)
-	set := table(members()).sets["orderdesk"]
+	set := table(members()).upstreams["orderdesk"]
 	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
-	for range ejectAfter {
+	for range ejectAfterFailures {
 		ch.done(now, "orderdesk", "northgate-0", Feedback{Load: -1, Failed: true})
 	}
 	c.Check(ch.Ejected(now), qt.Equals, 1)
@@ -112,7 +112,7 @@
 		ch.done(now, "orderdesk", u.host, Feedback{})
 	}
 	for _, u := range set {
-		for range ejectAfter {
+		for range ejectAfterFailures {
 			ch.done(now, "orderdesk", u.host, Feedback{Load: -1, Failed: true})
 		}
 	}
@@ -125,7 +125,7 @@
 // more, and that a set of only such ones is empty.
 func TestLeaving(t *testing.T) {
 	c := qt.New(t)
-	set := table(members()).sets["orderdesk"][:2]
+	set := table(members()).upstreams["orderdesk"][:2]
 	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	ch.done(now, "orderdesk", set[0].host, Feedback{Load: -1, Leaving: true})
--- a/briarrockd/caller/counts.go
+++ b/briarrockd/caller/counts.go
@@ -8,54 +8,54 @@
 	"briarrock.example/mesh/kind"
 )
 
-// maxCounted bounds the routes that are counted by name; those that come later
-// share one name. Each name costs some series for as long as the process lives.
+// maxCountedRoutes bounds the routes with a label value of their own; later ones share
+// one value. Each label value costs some time series for the life of the process.
 const (
-	maxCounted = 64
-	otherRoute = "other"
+	maxCountedRoutes = 64
+	otherRouteLabel  = "other"
 )
 
-// counts are the counters by route: who is refused, who crosses between regions,
-// and what becomes of those who come back.
-type counts struct {
-	set   *metrics.Set
-	mu    sync.Mutex
-	known map[string]bool
+// routeCounters are the counters by route: refused calls, attempts in other regions, and
+// the outcome of callers' retries.
+type routeCounters struct {
+	set    *metrics.Set
+	mu     sync.Mutex
+	labels map[string]bool
 }
 
-// name is the route's name as a label.
-func (n *counts) name(route string) string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.known[route] {
+// label returns the label value for a route.
+func (c *routeCounters) label(route string) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.labels[route] {
 		return route
 	}
-	if len(n.known) >= maxCounted {
-		return otherRoute
+	if len(c.labels) >= maxCountedRoutes {
+		return otherRouteLabel
 	}
-	if n.known == nil {
-		n.known = make(map[string]bool)
+	if c.labels == nil {
+		c.labels = make(map[string]bool)
 	}
-	n.known[route] = true
+	c.labels[route] = true
 	return route
 }
 
-// refused counts a call that was answered that it did not run.
-func (n *counts) refused(route string, k kind.Kind) {
-	n.set.GetOrCreateCounter(`briarrock_refused_total{route="` + n.name(route) + `",kind="` + string(k) + `"}`).Inc()
+// refused counts a call that was refused without being run.
+func (c *routeCounters) refused(route string, k kind.Kind) {
+	c.set.GetOrCreateCounter(`briarrock_refused_total{route="` + c.label(route) + `",kind="` + string(k) + `"}`).Inc()
 }
 
-// crossed counts an attempt in another region and the bytes of its answer.
-func (n *counts) crossed(route string, bytes int64) {
-	name := n.name(route)
-	n.set.GetOrCreateCounter(`briarrock_crossings_total{route="` + name + `"}`).Inc()
+// crossedRegions counts an attempt in another region and the bytes of its answer.
+func (c *routeCounters) crossedRegions(route string, bytes int64) {
+	labelValue := c.label(route)
+	c.set.GetOrCreateCounter(`briarrock_crossings_total{route="` + labelValue + `"}`).Inc()
 	if bytes > 0 {
-		n.set.GetOrCreateCounter(`briarrock_crossed_bytes_total{route="` + name + `"}`).Add(int(bytes))
+		c.set.GetOrCreateCounter(`briarrock_crossed_bytes_total{route="` + labelValue + `"}`).Add(int(bytes))
 	}
 }
 
-// returned counts the end of a call whose caller has been refused before.
-func (n *counts) returned(k kind.Kind, ran kind.Ran) {
+// callerRetryEnded counts the outcome of a call whose caller retries after a refusal.
+func (c *routeCounters) callerRetryEnded(k kind.Kind, ran kind.Ran) {
 	end := "failed"
 	switch {
 	case k == kind.None:
@@ -63,5 +63,5 @@
 	case ran == kind.RanNo:
 		end = "refused"
 	}
-	n.set.GetOrCreateCounter(`briarrock_returns_total{end="` + end + `"}`).Inc()
+	c.set.GetOrCreateCounter(`briarrock_returns_total{end="` + end + `"}`).Inc()
 }
--- a/briarrockd/caller/counts_test.go
+++ b/briarrockd/caller/counts_test.go
@@ -16,18 +16,18 @@
 // thousands of routes must not make as many series.
 func TestCounts(t *testing.T) {
 	c := qt.New(t)
-	n := counts{set: metrics.NewSet()}
-	for i := range 3 * maxCounted {
+	n := routeCounters{set: metrics.NewSet()}
+	for i := range 3 * maxCountedRoutes {
 		n.refused(fmt.Sprintf("r%d", i), kind.Full)
 	}
-	n.crossed("r0", 5000)
-	n.returned(kind.Full, kind.RanNo)
-	n.returned(kind.Late, kind.RanUnknown)
+	n.crossedRegions("r0", 5000)
+	n.callerRetryEnded(kind.Full, kind.RanNo)
+	n.callerRetryEnded(kind.Late, kind.RanUnknown)
 	var b bytes.Buffer
 	n.set.WritePrometheus(&b)
 	text := b.String()
-	c.Check(strings.Count(text, "briarrock_refused_total{"), qt.Equals, maxCounted+1)
-	c.Check(text, qt.Contains, fmt.Sprintf(`briarrock_refused_total{route="other",kind="full"} %d`, 2*maxCounted))
+	c.Check(strings.Count(text, "briarrock_refused_total{"), qt.Equals, maxCountedRoutes+1)
+	c.Check(text, qt.Contains, fmt.Sprintf(`briarrock_refused_total{route="other",kind="full"} %d`, 2*maxCountedRoutes))
 	c.Check(text, qt.Contains, `briarrock_crossed_bytes_total{route="r0"} 5000`)
 	c.Check(text, qt.Contains, `briarrock_returns_total{end="refused"} 1`)
 	c.Check(text, qt.Contains, `briarrock_returns_total{end="failed"} 1`)
--- a/briarrockd/caller/explain.go
+++ b/briarrockd/caller/explain.go
@@ -8,8 +8,8 @@
 	api "briarrock.example/mesh/operator"
 )
 
-// Explain tells which way a request would take by the table in use, without
-// sending anything.
+// Explain returns how a request would be routed by the current table, without sending
+// anything.
 func (p *Proxy) Explain(method, target, caller string) api.Explain {
 	u, err := url.Parse(target)
 	if err != nil || u.Host == "" {
@@ -25,7 +25,7 @@
 		return refused(e, kind.Service)
 	}
 	e.Service, e.Slots, e.Queue = svc.Name, svc.Slots, svc.Queue
-	for _, x := range t.sets[svc.Name] {
+	for _, x := range t.upstreams[svc.Name] {
 		e.Upstreams = append(e.Upstreams, api.Upstream{Host: x.host, Domain: x.domain, Region: x.region, Slots: x.slots})
 	}
 	if method == "" {
--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -110,7 +110,7 @@
 		}
 	}
 	s := &snapshot.Snapshot{Services: []snapshot.Service{{Name: fleetService, Slots: fleetSlots}}}
-	f.set = NewTable(1, s, members).sets[fleetService]
+	f.set = NewTable(1, s, members).upstreams[fleetService]
 	for i := range nodes {
 		domain := i % fleetDomains
 		f.nodes = append(f.nodes, NewBalancer(fmt.Sprint("d", domain), fmt.Sprint("r", domain%2), uint64(i)))
@@ -181,7 +181,7 @@
 	}
 	c.tried = append(c.tried, u.host)
 	hop := fleetHop
-	if u.far {
+	if u.otherRegion {
 		hop = fleetFar
 	}
 	f.at(f.now.Add(hop), func() { c.reach(u, hop) })
@@ -197,9 +197,9 @@
 		if slices.Contains(tried, u.host) {
 			continue
 		}
-		u.far = ch.tier(&u) == tierCount-1
-		if u.far {
-			cost += farRegion
+		u.otherRegion = ch.tier(&u) == tierCount-1
+		if u.otherRegion {
+			cost += otherRegionCost
 		}
 		if cost += 0.01 * s.gate.Load(f.now); cost < least {
 			best, least = u, cost
@@ -224,7 +224,7 @@
 			c.refused(u, s, cmd, hop)
 		}
 	}
-	f.step(s, target.Arrive{ID: id, Route: "view", Priority: snapshot.Normal, Deadline: c.began.Add(fleetLimit), Aim: c.began.Add(fleetAim), Far: u.far})
+	f.step(s, target.Arrive{ID: id, Route: "view", Priority: snapshot.Normal, Deadline: c.began.Add(fleetLimit), Aim: c.began.Add(fleetAim), Far: u.otherRegion})
 }
 
 // step gives a Gate a message and hands on what it decides.
@@ -244,7 +244,7 @@
 }
 
 func (f *fleet) feedback(s *server) Feedback {
-	return Feedback{Load: s.gate.Load(f.now), Usual: s.gate.Usual(), Priority: snapshot.Normal}
+	return Feedback{Load: s.gate.Load(f.now), TypicalLatency: s.gate.Usual(), Priority: snapshot.Normal}
 }
 
 func (c *fleetCall) ended(u upstream, s *server, id target.CallID, took, hop time.Duration) {
@@ -260,7 +260,7 @@
 func (c *fleetCall) refused(u upstream, s *server, r target.Refuse, hop time.Duration) {
 	f := c.f
 	fb := f.feedback(s)
-	fb.Full, fb.Again = r.Kind == kind.Full, r.Wait
+	fb.Full, fb.RetryAfter = r.Kind == kind.Full, r.Wait
 	f.at(f.now.Add(hop), func() {
 		c.ch.done(f.now, fleetService, u.host, fb)
 		if c.moves++; c.moves > maxReroutes {
--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -9,7 +9,7 @@
 	"briarrock.example/mesh/kind"
 )
 
-// serveOnce runs a call that may run at most serveOnce and carries a key.
+// serveOnce serves a call that may run at most once and carries an idempotency key.
 func (p *Proxy) serveOnce(w http.ResponseWriter, c *call) {
 	key := c.r.Header.Get(HeaderKey)
 	if len(key) > claim.MaxKey || len(c.r.Header[HeaderKey]) != 1 {
@@ -59,21 +59,22 @@
 	_, _ = w.Write(o.Body)
 }
 
-// answerRecorder copies an answer as it passes, up to the bound of a replay.
+// answerRecorder copies an answer while it is sent to the caller, up to the size limit of
+// replays.
 type answerRecorder struct {
-	status int
-	contentType   string
-	body   []byte
-	truncated    bool
+	status      int
+	contentType string
+	body        []byte
+	truncated   bool
 }
 
-// recordedBody is a body that a keeper copies.
+// recordedBody is an answer's body that an answerRecorder copies as it is read.
 type recordedBody struct {
 	io.ReadCloser
 	rec *answerRecorder
 }
 
-func (k *answerRecorder) wrap(b io.ReadCloser) io.ReadCloser { return &recordedBody{b, k} }
+func (rec *answerRecorder) wrap(b io.ReadCloser) io.ReadCloser { return &recordedBody{b, rec} }
 
 // Read implements io.Reader.
 func (b *recordedBody) Read(p []byte) (int, error) {
@@ -88,6 +89,6 @@
 	return n, err //nolint:wrapcheck // io.EOF must pass as it is
 }
 
-func (k *answerRecorder) outcome() claim.Outcome {
-	return claim.Outcome{Status: k.status, Type: k.contentType, Body: k.body, Cut: k.truncated}
+func (rec *answerRecorder) outcome() claim.Outcome {
+	return claim.Outcome{Status: rec.status, Type: rec.contentType, Body: rec.body, Cut: rec.truncated}
 }
--- a/briarrockd/caller/overload_test.go
+++ b/briarrockd/caller/overload_test.go
@@ -18,7 +18,7 @@
 // refusal is remembered for long, and a near one for a moment.
 func TestBothRegionsPressed(t *testing.T) {
 	c := qt.New(t)
-	set := table(members()).sets["orderdesk"]
+	set := table(members()).upstreams["orderdesk"]
 	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	asked, again := 0, time.Second
@@ -29,7 +29,7 @@
 				return
 			}
 			asked++
-			ch.done(now, "orderdesk", u.host, Feedback{Load: 1, Full: true, Priority: snapshot.Normal, Again: again})
+			ch.done(now, "orderdesk", u.host, Feedback{Load: 1, Full: true, Priority: snapshot.Normal, RetryAfter: again})
 		}
 	}
 	ask()
@@ -41,7 +41,7 @@
 	asked = 0
 	ask()
 	c.Check(asked, qt.Equals, 8, qt.Commentf("only the own region's"))
-	now = now.Add(maxFarFullTTL)
+	now = now.Add(maxOtherRegionFullTTL)
 	asked, again = 0, 50*time.Millisecond
 	ask()
 	c.Check(asked, qt.Equals, len(set))
@@ -56,7 +56,7 @@
 // region at once, and back as soon as one of the own targets is there again.
 func TestRegionLost(t *testing.T) {
 	c := qt.New(t)
-	set := table(members()).sets["orderdesk"]
+	set := table(members()).upstreams["orderdesk"]
 	ch := NewBalancer("riverside", "south-line", 1)
 	now := time.Unix(100, 0)
 	var north, south []upstream
@@ -75,7 +75,7 @@
 // a gate makes room, still ask there.
 func TestFullByPriority(t *testing.T) {
 	c := qt.New(t)
-	set := table(members()).sets["orderdesk"][:1]
+	set := table(members()).upstreams["orderdesk"][:1]
 	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	ch.done(now, "orderdesk", set[0].host, Feedback{Load: 1, Full: true, Priority: snapshot.Bulk})
@@ -96,7 +96,7 @@
 // send to the same target.
 func TestFasterFirst(t *testing.T) {
 	c := qt.New(t)
-	set := table(members()).sets["orderdesk"][:4] // of one domain
+	set := table(members()).upstreams["orderdesk"][:4] // of one domain
 	share := func(full bool) int {
 		ch := NewBalancer("northgate", "north-line", 1)
 		now := time.Unix(100, 0)
@@ -105,7 +105,7 @@
 			if i == 0 {
 				usual /= 2
 			}
-			ch.done(now, "orderdesk", u.host, Feedback{Usual: usual})
+			ch.done(now, "orderdesk", u.host, Feedback{TypicalLatency: usual})
 		}
 		if full {
 			ch.done(now, "orderdesk", set[1].host, Feedback{Load: -1, Full: true})
@@ -138,7 +138,7 @@
 	ms := members()
 	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
-	set := table(ms).sets["orderdesk"]
+	set := table(ms).upstreams["orderdesk"]
 	for range set {
 		u, _, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
 		c.Assert(ok, qt.IsTrue)
@@ -147,7 +147,7 @@
 	_, _, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsFalse)
 	ms[5].Incarnation++
-	u, _, ok := ch.pick(now, "orderdesk", table(ms).sets["orderdesk"], nil, snapshot.Normal)
+	u, _, ok := ch.pick(now, "orderdesk", table(ms).upstreams["orderdesk"], nil, snapshot.Normal)
 	c.Check(ok, qt.IsTrue)
 	c.Check(u.host, qt.Equals, ms[5].Host)
 }
--- a/briarrockd/caller/paced_test.go
+++ b/briarrockd/caller/paced_test.go
@@ -16,14 +16,14 @@
 func TestPaced(t *testing.T) {
 	c := qt.New(t)
 	const service = "orderdesk"
-	set := table(members()).sets[service]
+	set := table(members()).upstreams[service]
 	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	for i := range set {
 		u, _, ok := ch.pick(now, service, set, nil, snapshot.Normal)
 		c.Assert(ok, qt.IsTrue)
 		again := 300*time.Millisecond + time.Duration(i)*time.Millisecond
-		ch.done(now, service, u.host, Feedback{Load: 1, Full: true, Paced: true, Priority: snapshot.Normal, Again: again})
+		ch.done(now, service, u.host, Feedback{Load: 1, Full: true, RateLimited: true, Priority: snapshot.Normal, RetryAfter: again})
 	}
 	_, none, ok := ch.pick(now, service, set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsFalse)
@@ -53,6 +53,6 @@
 	for _, process := range []string{"c/1", "d/1", "e/1"} {
 		s.observeNotice(target.Notice{Process: process, At: at(4)})
 	}
-	c.Check(s.notices, qt.HasLen, maxTold)
-	c.Check(s.notices[maxTold-1].Process, qt.Equals, "e/1")
+	c.Check(s.notices, qt.HasLen, maxNotices)
+	c.Check(s.notices[maxNotices-1].Process, qt.Equals, "e/1")
 }
--- a/briarrockd/caller/patience.go
+++ b/briarrockd/caller/patience.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// retryTimeoutShare is the part of the longest deadline that callers of one entry
-// have at least when they first ask: below it a request has come back.
+// retryTimeoutShare is the share of an entry's longest caller timeout that a first
+// request has at least. A request with less is taken for a retry.
 const retryTimeoutShare = 0.85
 
-// maxTrackedEntries bounds the entries that are remembered.
+// maxTrackedEntries bounds the entries whose longest timeout is kept.
 const maxTrackedEntries = 4096
 
-// callerTimeouts knows how long the callers of each entry are ready to wait at most. A
-// caller who was refused and comes back has less time left than one who asks for the
-// first time.
+// callerTimeouts records the longest timeout that callers have sent for each entry. A
+// caller that retries after a refusal has less time left, and sends a shorter timeout,
+// than with its first request.
 type callerTimeouts struct {
 	mu      sync.Mutex
 	longest map[string]time.Duration
 }
 
-// observe takes the time that a caller of an entry has left, and tells whether it
-// seems to have asked before.
-func (p *callerTimeouts) observe(entry string, timeout time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.longest == nil || len(p.longest) >= maxTrackedEntries {
-		p.longest = make(map[string]time.Duration)
+// observe records the timeout that a caller sent for an entry, and returns whether the
+// request appears to be a retry.
+func (t *callerTimeouts) observe(entry string, timeout time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.longest == nil || len(t.longest) >= maxTrackedEntries {
+		t.longest = make(map[string]time.Duration)
 	}
-	longest := max(p.longest[entry], timeout)
-	p.longest[entry] = longest
+	longest := max(t.longest[entry], timeout)
+	t.longest[entry] = longest
 	return float64(timeout) < retryTimeoutShare*float64(longest)
 }
--- a/briarrockd/caller/retry.go
+++ b/briarrockd/caller/retry.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// maxReroutes is how many refusals by targets' nodes are followed by another
-	// choice. Each costs a way there and back and no work at any target; where
-	// so many refuse, the service has no room, and the caller is told so.
+	// maxReroutes is how many refusals by targets' nodes are followed by another pick.
+	// Each costs a round trip and no work at any target. Where so many refuse, the
+	// service is full, and the caller gets the refusal.
 	maxReroutes = 3
-	// minTimeLeft is the time below which an attempt is not worth making.
+	// minTimeLeft is the time before the deadline below which no further attempt is made.
 	minTimeLeft = 5 * time.Millisecond
 )
 
-// mayRetry decides whether a failed attempt may be followed by another one.
+// mayRetry returns whether a failed attempt may be followed by another one.
 //
-// A request that provably did not run may always be sent again; one that may
-// have run only if its route says that it may be repeated. A target's own
-// answer is never retried, whatever its status: it ran, and in a chain of
-// services each link's retries would multiply with those of the next. Where
-// the operator wants it nevertheless, mayRepeat decides.
+// A request that certainly did not run may always be sent again. One that may have run
+// may be sent again only if its route allows repeats. A target's own answer is not
+// retried, whatever its status: the request ran, and in a chain of services the retries
+// of each service would multiply with those of the next. If the operator allows such
+// retries on a route, mayRepeat decides.
 func mayRetry(k kind.Kind, ran kind.Ran, mode snapshot.Mode, replayable bool) bool {
 	if !replayable {
 		return false
@@ -34,11 +34,11 @@
 	return ran == kind.RanNo || mode == snapshot.Repeatable
 }
 
-// mayRepeat decides whether a request may run again after its target answered
-// that it failed.
+// mayRepeat returns whether a request may run again after its target answered with a
+// failure.
 func mayRepeat(r *snapshot.Route, replayable bool) bool {
 	return r.Again && r.Mode == snapshot.Repeatable && replayable
 }
 
-// replayable tells whether the body can still be sent from its start.
+// replayable returns whether the body can still be sent from its start.
 func (c *call) replayable() bool { return !c.streamed || !c.stream.started.Load() }
--- a/briarrockd/caller/start.go
+++ b/briarrockd/caller/start.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// startupPeriod is how long after its start a node may still be without a configuration
-	// or targets for want of time.
+	// startupPeriod is how long after its start a node may lack a configuration or
+	// targets because they have not arrived yet.
 	startupPeriod = 3 * time.Second
-	// maxStartupWait is the longest that a call is held for them, and holdShare the part of
-	// its time left, as 1/holdShare.
-	maxStartupWait   = 600 * time.Millisecond
+	// A call waits for them for at most maxStartupWait, and for at most
+	// 1/startupWaitDivisor of its time left.
+	maxStartupWait     = 600 * time.Millisecond
 	startupWaitDivisor = 4
-	// startupRetryAfter is when it is worth asking a starting node again that held a call in
-	// vain.
+	// startupRetryAfter is the retry delay for callers whose call has waited at a
+	// starting node in vain.
 	startupRetryAfter = 300 * time.Millisecond
 )
 
-// startup tells the calls at a node that has just been started when there is a new
-// table. Such a node has a configuration within some tenths of a second, and its
-// callers have nowhere else to go: refused at once, most would come back too early.
+// startup notifies the calls at a node that has just started when a new routing table is
+// set. Such a node gets a configuration within some tenths of a second, and its callers
+// can use no other node. If they were refused at once, most would retry too early.
 type startup struct {
 	startedAt time.Time
-	mu    sync.Mutex
-	tableSet  chan struct{} // closed with the next table
+	mu        sync.Mutex
+	tableSet  chan struct{} // closed when the next table is set
 }
 
 func newStartup() *startup {
 	return &startup{startedAt: time.Now(), tableSet: make(chan struct{})}
 }
 
-// finished tells whether the node has been up for so long that what is missing is not
-// missing for want of time.
+// finished returns whether the node has been up for so long that a missing configuration
+// or target is not just late.
 func (s *startup) finished() bool { return time.Since(s.startedAt) >= startupPeriod }
 
 // notify wakes the calls that wait for a table.
@@ -44,14 +44,15 @@
 	s.tableSet = make(chan struct{})
 }
 
-// changed is closed with the next table.
+// changed returns a channel that is closed when the next table is set.
 func (s *startup) changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tableSet
 }
 
-// wait waits until ready holds, for a part of the time that a call has left.
+// wait blocks until ready returns true, for at most a part of the time that a call has
+// left.
 func (s *startup) wait(ctx context.Context, timeLeft time.Duration, ready func() bool) {
 	timer := time.NewTimer(min(maxStartupWait, timeLeft/startupWaitDivisor))
 	defer timer.Stop()
--- a/briarrockd/caller/state.go
+++ b/briarrockd/caller/state.go
@@ -7,137 +7,146 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// How silence is found: attempts are under way, and nothing comes back.
+// Detection of stalled upstreams: attempts are in flight, and no answer arrives.
 const (
-	// stallFactor is how many times the usual time nothing may come back.
+	// stallFactor is the time without an answer after which an upstream counts as
+	// stalled, as a multiple of its typical latency.
 	stallFactor = 4
-	// minStall is the least such time, above the way to another region and
-	// the work of most requests.
+	// minStall is the lower bound of that time. It is longer than a round trip to another
+	// region and the work of most requests.
 	minStall  = 250 * time.Millisecond
 	stallCost = 5.0
 )
 
-// Feedback is what one attempt told about an upstream.
+// Feedback is what one attempt showed about an upstream.
 type Feedback struct {
-	// Load is how taken the target said it is; negative if it didn't.
+	// Load is the load that the target's node reported, 1 if all slots are in use and
+	// none waits; negative if it reported none.
 	Load float64
-	// Usual is how long the target's node says that its work takes as a rule;
-	// 0 if it didn't.
-	Usual time.Duration
-	// Failed is set when no answer came from the target's node.
+	// TypicalLatency is how long the target typically works on a call, as its node
+	// reported; 0 if it reported none.
+	TypicalLatency time.Duration
+	// Failed is set when no answer of the target arrived, whether its node did not answer
+	// or reported a failed connection or a missed deadline.
 	Failed bool
-	// Unreached is set when the target's node could not be connected to.
-	Unreached bool
-	// TargetFailed is set for an answer that was a failure of the target.
+	// Unreachable is set when the connection to the target's node failed.
+	Unreachable bool
+	// TargetFailed is set when the target answered with a failure or refused the request.
 	TargetFailed bool
-	// Leaving is set when the target's node said that the target leaves.
+	// Leaving is set when the target's node reported that the target or the node is
+	// leaving.
 	Leaving bool
-	// Full is set when the target's node had no room for a call of Priority, Paced if
-	// that was for the rate that the target names, and Again is when it said that it is
-	// worth asking again; 0 if it didn't.
-	Full, Paced bool
-	Priority    snapshot.Priority
-	Again       time.Duration
-	// Notices are what the node's targets have told of themselves.
+	// Full is set when the target's node refused a call of Priority because it had no
+	// capacity, and RateLimited if that was due to the target's rate limit. RetryAfter is
+	// the retry delay that it named; 0 if none.
+	Full, RateLimited bool
+	Priority          snapshot.Priority
+	RetryAfter        time.Duration
+	// Notices are the rate limits and the leaving that the node's targets have reported
+	// in their answers.
 	Notices []target.Notice
 }
 
-// state is what is remembered of one upstream.
+// state is the recorded state of one upstream.
 type state struct {
-	inflight int
+	inFlight int
 	load     float64
 	loadAt   time.Time
-	// since counts the picks since the load was reported.
-	since int
-	usual time.Duration
-	// stalledSince is since when attempts have been under way with nothing back.
-	stalledSince  time.Time
-	failureRate   float64 // share of the attempts that failed, at failureRateAt
-	failureRateAt time.Time
-	fails         int
-	ejected       int // times in a row
-	until         time.Time
-	// leaving is until when the upstream is left alone since it said that it
-	// leaves; by then the members' records say so too.
-	leaving time.Time
-	// leavingProcess is the process of the upstream's node that said so, process the
-	// one that was asked last.
-	leavingProcess, process uint64
-	// fullAt is when the upstream last had no room, for calls up to the
-	// priority fullTo.
-	fullAt time.Time
-	fullTo snapshot.Priority
-	// again is when it said then that it is worth asking again, and paced is set if it
-	// was for its target's rate.
-	again time.Duration
-	paced bool
-	// notices are what its targets have told of themselves, never changed in place.
+	// picksSinceReport counts the picks since the load was last reported.
+	picksSinceReport int
+	typicalLatency   time.Duration
+	// stalledSince is the time since which attempts have been in flight without an
+	// answer.
+	stalledSince        time.Time
+	failureRate         float64 // moving average of failed attempts, at failureRateAt
+	failureRateAt       time.Time
+	consecutiveFailures int
+	ejections           int // consecutive ejections
+	ejectedUntil        time.Time
+	// leavingUntil is until when the upstream is not picked because it reported that it
+	// is leaving. By then the member records show it too.
+	leavingUntil time.Time
+	// leavingIncarnation identifies the process of the upstream's node that reported it,
+	// and incarnation the one of the last pick.
+	leavingIncarnation, incarnation uint64
+	// fullAt is when the upstream was last full, for calls up to the priority
+	// fullPriority.
+	fullAt       time.Time
+	fullPriority snapshot.Priority
+	// retryAfter is the retry delay that it then named. rateLimited is set if the reason
+	// was its target's rate limit.
+	retryAfter  time.Duration
+	rateLimited bool
+	// notices are the latest notices of its targets. The slice is never changed in place.
 	notices []target.Notice
-	// far is set for an upstream in another region, slots are those that it has.
-	far   bool
-	slots int
+	// otherRegion is set for an upstream in another region. slots is the number of its
+	// slots.
+	otherRegion bool
+	slots       int
 }
 
-// expected is the load that an upstream is expected to have: what it reported
-// last, fading with age, and what has been sent to it since.
-func (s *state) expected(now time.Time, slots int) float64 {
+// expectedLoad returns an upstream's expected load: the last reported one, decayed by its
+// age, plus the picks since; at least the load by attempts in flight from this node.
+func (s *state) expectedLoad(now time.Time, slots int) float64 {
 	slots = max(slots, 1)
-	halves := float64(now.Sub(s.loadAt)) / float64(loadHalf)
-	own := float64(s.inflight) / float64(slots)
-	reported := s.load/(1+halves) + float64(min(s.since, s.inflight))/float64(slots)
+	halfLives := float64(now.Sub(s.loadAt)) / float64(loadHalfLife)
+	own := float64(s.inFlight) / float64(slots)
+	reported := s.load/(1+halfLives) + float64(min(s.picksSinceReport, s.inFlight))/float64(slots)
 	return max(own, reported)
 }
 
-// stalled tells whether several attempts have been under way for long with
-// nothing back: the node or its target has stopped, or can't be reached, and
-// no error says so.
+// stalled returns whether several attempts have been in flight for long without an
+// answer. The node or its target has then stopped or can't be reached, and no connection
+// error shows it.
 func (s *state) stalled(now time.Time) bool {
-	const attempts = 2 // one alone may just be long work
-	return s.inflight >= attempts && now.Sub(s.stalledSince) > max(minStall, stallFactor*s.usual)
+	const attempts = 2 // a single one may just take long
+	return s.inFlight >= attempts && now.Sub(s.stalledSince) > max(minStall, stallFactor*s.typicalLatency)
 }
 
-// leaves tells whether an upstream has said that it leaves. The word holds for the
-// process that gave it: one that has just been started says so too, until its target
-// has been heard of, and its first record says when that is.
-func (s *state) leaves(now time.Time, u *upstream) bool {
-	return s.leaving.After(now) && s.leavingProcess == u.process
+// isLeaving returns whether an upstream is avoided because it reported that it is
+// leaving. The report counts only for the process that made it. A node that has just
+// started also reports leaving, until its target's announcement has arrived; its first
+// member record, with a new incarnation, shows that it has.
+func (s *state) isLeaving(now time.Time, u *upstream) bool {
+	return s.leavingUntil.After(now) && s.leavingIncarnation == u.incarnation
 }
 
-// markFull notes that there was no room for a call.
+// markFull records that the upstream was full for a call.
 func (s *state) markFull(now time.Time, f Feedback) {
 	priority := f.Priority
-	if s.isFull(now, s.fullTo) {
-		priority = max(priority, s.fullTo)
+	if s.isFull(now, s.fullPriority) {
+		priority = max(priority, s.fullPriority)
 	}
-	s.fullAt, s.fullTo, s.again, s.paced = now, priority, f.Again, f.Paced
+	s.fullAt, s.fullPriority, s.retryAfter, s.rateLimited = now, priority, f.RetryAfter, f.RateLimited
 }
 
-// isFull tells whether there is known to be no room for a call.
+// isFull returns whether the upstream is known to be full for calls of a priority.
 func (s *state) isFull(now time.Time, priority snapshot.Priority) bool {
-	return priority <= s.fullTo && now.Sub(s.fullAt) < s.fullTTL()
+	return priority <= s.fullPriority && now.Sub(s.fullAt) < s.fullTTL()
 }
 
-// fullTTL is how long the upstream is left alone after it had no room.
+// fullTTL returns how long the upstream is not picked after it was full.
 func (s *state) fullTTL() time.Duration {
-	if s.paced {
-		return min(s.again, maxPacedTTL)
+	if s.rateLimited {
+		return min(s.retryAfter, maxRateLimitedTTL)
 	}
-	if s.far {
-		return min(max(s.again, maxFullTTL), maxFarFullTTL)
+	if s.otherRegion {
+		return min(max(s.retryAfter, maxFullTTL), maxOtherRegionFullTTL)
 	}
-	if s.usual == 0 {
+	if s.typicalLatency == 0 {
 		return maxFullTTL
 	}
-	return min(max(s.usual/time.Duration(max(s.slots, 1)), minFullTTL), maxFullTTL)
+	return min(max(s.typicalLatency/time.Duration(max(s.slots, 1)), minFullTTL), maxFullTTL)
 }
 
-// maxTold bounds the processes of one upstream's targets that are remembered.
-const maxTold = 4
+// maxNotices bounds the notices that are kept for one upstream, one for each process of
+// its targets.
+const maxNotices = 4
 
-// observeNotice remembers what a target has told of itself in place of what the same
-// process told before.
+// observeNotice records a target's notice in place of an earlier one of the same process.
+// The rate of the newer one applies, and leaving is never revoked.
 func (s *state) observeNotice(n target.Notice) {
-	list := make([]target.Notice, 0, maxTold+1)
+	list := make([]target.Notice, 0, maxNotices+1)
 	for _, old := range s.notices {
 		if old.Process != n.Process {
 			list = append(list, old)
@@ -149,18 +158,19 @@
 		n.Leaving = n.Leaving || old.Leaving
 	}
 	list = append(list, n)
-	s.notices = list[max(0, len(list)-maxTold):]
+	s.notices = list[max(0, len(list)-maxNotices):]
 }
 
-// observeFeedback takes the figures of an attempt.
+// observeFeedback updates load, latency, notices and failure rate by the feedback of an
+// attempt.
 func (s *state) observeFeedback(now time.Time, f Feedback) {
 	if f.Load >= 0 {
 		s.load = f.Load
 		s.loadAt = now
-		s.since = 0
+		s.picksSinceReport = 0
 	}
-	if f.Usual > 0 {
-		s.usual = f.Usual
+	if f.TypicalLatency > 0 {
+		s.typicalLatency = f.TypicalLatency
 	}
 	if !f.Failed {
 		s.stalledSince = now
@@ -168,16 +178,16 @@
 	for _, n := range f.Notices {
 		s.observeNotice(n)
 	}
-	bad := 0.0
+	failed := 0.0
 	if f.Failed || f.TargetFailed {
-		bad = 1
+		failed = 1
 	}
-	rate := s.degraded(now)
-	s.failureRate = rate + failPart*(bad-rate)
+	rate := s.decayedFailureRate(now)
+	s.failureRate = rate + failureWeight*(failed-rate)
 	s.failureRateAt = now
 }
 
-// degraded is the share of the attempts that failed, fading with age.
-func (s *state) degraded(now time.Time) float64 {
-	return s.failureRate / (1 + float64(now.Sub(s.failureRateAt))/float64(failHalf))
+// decayedFailureRate returns the failure rate, decayed by its age.
+func (s *state) decayedFailureRate(now time.Time) float64 {
+	return s.failureRate / (1 + float64(now.Sub(s.failureRateAt))/float64(failureHalfLife))
 }
--- a/briarrockd/caller/table.go
+++ b/briarrockd/caller/table.go
@@ -14,25 +14,25 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// Table is everything that calls are routed by: one version of the
-// configuration together with the targets that its services have. It is made
-// whole and then swapped in by one pointer, and a call keeps the one that it
-// began with, so that no call sees half of a change.
+// Table is the routing table: one version of the configuration together with the targets
+// of its services. A new table is built completely and then swapped in by one pointer. A
+// call uses the table that it started with, so that no call sees half of a change.
 type Table struct {
 	*routing
-	madeAt time.Time
-	// sets are the targets of each service of the version. A listed service
-	// without target has an empty set: its calls are told that they did not run.
-	sets map[string][]upstream
+	createdAt time.Time
+	// upstreams are the targets of each service of the version. A listed service without
+	// targets has an empty set: its calls are refused with the statement that they did
+	// not run.
+	upstreams map[string][]upstream
 }
 
-// routing is the part of a table that only the version decides. Tables that
-// differ in their targets alone share it: making it anew for each change of a
-// member would cost a version of 2,700 entries a megabyte each time.
+// routing is the part of a table that depends on the version only. Tables that differ
+// only in their targets share it: rebuilding it for each change of a member would
+// allocate a megabyte each time for a version of 2,700 entries.
 type routing struct {
 	version  uint64
 	services map[string]*service
-	// hosts are the entries by host name, longest prefix first.
+	// hosts are the entries by host name, longest path prefix first.
 	hosts  map[string][]*entry
 	limits snapshot.Limits
 }
@@ -43,46 +43,47 @@
 	routes []snapshot.Route // longest path first
 }
 
-// upstream is one target in a service's set, by the node that answers for it.
+// upstream is one target of a service, reached through the node on its host.
 type upstream struct {
 	host   string
 	addr   string
 	domain string
 	region string
 	slots  int
-	// process tells the processes of the host's node apart.
-	process uint64
-	// far is set by the Balancer on an upstream in another region, overloaded on one of a
-	// service of which some upstream had no room of late.
-	far, overloaded bool
-	// notices, also set by the Balancer, are what its targets have told of themselves.
+	// incarnation identifies the process of the host's node: a restarted one has another.
+	incarnation uint64
+	// otherRegion is set by the Balancer on an upstream in another region, and overloaded
+	// on one of a service with an upstream that was full recently.
+	otherRegion, overloaded bool
+	// notices, also set by the Balancer, are the notices of its targets to pass on to its
+	// node.
 	notices []target.Notice
 }
 
-// entry is one entry of a version with the services that it leads to.
+// entry is one entry of a version with the services that it routes to.
 type entry struct {
 	*snapshot.Entry
-	services []*service
-	total    int
-	// turn counts the entry's requests, from a random start.
-	turn atomic.Uint64
+	services    []*service
+	totalWeight int
+	// sequence counts the entry's requests, from a random start.
+	sequence atomic.Uint64
 }
 
-// Version is the version that the table was made from.
+// Version returns the version of the configuration that the table was built from.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits are the bounds for callers.
+// Limits returns the bounds for callers.
 func (t *Table) Limits() snapshot.Limits { return t.limits }
 
-// NewTable joins a version and the members into a table. A target of a
-// service that the version doesn't list is left out, a listed service without
-// open target gets an empty set.
+// NewTable builds a table from a version of the configuration and the members. A target
+// of a service that the version doesn't list is left out. A listed service without open
+// targets gets an empty set.
 func NewTable(version uint64, s *snapshot.Snapshot, members []peer.Member) *Table {
-	return newRouting(version, s).with(members)
+	return newRouting(version, s).tableFor(members)
 }
 
 // WithMembers returns a table of the same version with other members.
-func (t *Table) WithMembers(members []peer.Member) *Table { return t.with(members) }
+func (t *Table) WithMembers(members []peer.Member) *Table { return t.tableFor(members) }
 
 func newRouting(version uint64, s *snapshot.Snapshot) *routing {
 	r := &routing{
@@ -92,10 +93,10 @@
 	}
 	for i := range s.Services {
 		svc := &s.Services[i]
-		r.services[svc.Name] = &service{Service: svc, routes: byLength(svc.Routes)}
+		r.services[svc.Name] = &service{Service: svc, routes: byPathLength(svc.Routes)}
 	}
 	for i := range s.Entries {
-		r.enter(&s.Entries[i])
+		r.addEntry(&s.Entries[i])
 	}
 	for _, list := range r.hosts {
 		slices.SortStableFunc(list, func(a, b *entry) int { return len(b.Route.Path) - len(a.Route.Path) })
@@ -103,28 +104,28 @@
 	return r
 }
 
-func (r *routing) enter(e *snapshot.Entry) {
+func (r *routing) addEntry(e *snapshot.Entry) {
 	x := &entry{Entry: e, services: make([]*service, 0, len(e.Parts))}
 	for _, p := range e.Parts {
 		x.services = append(x.services, r.services[p.Service])
-		x.total += p.Weight
+		x.totalWeight += p.Weight
 	}
-	x.turn.Store(rand.Uint64())
+	x.sequence.Store(rand.Uint64())
 	r.hosts[e.Host] = append(r.hosts[e.Host], x)
 }
 
-func (r *routing) with(members []peer.Member) *Table {
-	t := &Table{routing: r, madeAt: time.Now(), sets: make(map[string][]upstream, len(r.services))}
+func (r *routing) tableFor(members []peer.Member) *Table {
+	t := &Table{routing: r, createdAt: time.Now(), upstreams: make(map[string][]upstream, len(r.services))}
 	for name := range r.services {
-		t.sets[name] = []upstream{}
+		t.upstreams[name] = []upstream{}
 	}
 	for i := range members {
-		t.add(&members[i])
+		t.addMember(&members[i])
 	}
 	return t
 }
 
-func (t *Table) add(m *peer.Member) {
+func (t *Table) addMember(m *peer.Member) {
 	if m.State != peer.Alive {
 		return
 	}
@@ -133,21 +134,21 @@
 		if svc == nil || x.Draining {
 			continue
 		}
-		t.sets[x.Service] = append(t.sets[x.Service], upstream{
+		t.upstreams[x.Service] = append(t.upstreams[x.Service], upstream{
 			host: m.Host, addr: m.Call, domain: m.Domain, region: m.Region,
-			slots: min(x.Slots, svc.Slots), process: m.Incarnation,
+			slots: min(x.Slots, svc.Slots), incarnation: m.Incarnation,
 		})
 	}
 }
 
-func byLength(routes []snapshot.Route) []snapshot.Route {
+func byPathLength(routes []snapshot.Route) []snapshot.Route {
 	out := slices.Clone(routes)
 	slices.SortStableFunc(out, func(a, b snapshot.Route) int { return len(b.Path) - len(a.Path) })
 	return out
 }
 
-// entry finds the entry for a host and a path: the longest prefix. known tells
-// whether the host has any entry.
+// entry returns the entry with the longest path prefix for a host and a path. known is
+// set if the host has any entry.
 func (t *Table) entry(host, path string) (e *entry, known bool) {
 	list, known := t.hosts[host]
 	for _, x := range list {
@@ -158,41 +159,41 @@
 	return nil, known
 }
 
-// canServe tells whether a request has targets, or would be refused whatever targets
-// there are.
+// canServe returns whether a request's services have targets, or whether it would be
+// refused with any targets.
 func (t *Table) canServe(r *http.Request) bool {
 	e, known := t.entry(hostName(r.Host), r.URL.Path)
 	if e == nil {
 		svc := t.services[serviceName(r.Host)]
-		return known || svc == nil || len(t.sets[svc.Name]) > 0
+		return known || svc == nil || len(t.upstreams[svc.Name]) > 0
 	}
 	for _, svc := range e.services {
-		if len(t.sets[svc.Name]) == 0 {
+		if len(t.upstreams[svc.Name]) == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// golden is the golden ratio's fraction in 64 bits. Its multiples fall evenly
-// into the range, so that each part gets its share within a few requests and
-// not only on the average of many.
-const golden = 0x9E3779B97F4A7C15
+// goldenRatio64 is the fraction of the golden ratio in 64 bits. Its multiples are spread
+// evenly over the range, so that each service gets its share within a few requests and
+// not only in the long-term average.
+const goldenRatio64 = 0x9E3779B97F4A7C15
 
 // pick chooses one of the entry's services by weight.
 func (x *entry) pick() *service {
-	at := x.turn.Add(1) * golden
-	place := int(at >> 32 * uint64(x.total) >> 32)
+	hash := x.sequence.Add(1) * goldenRatio64
+	position := int(hash >> 32 * uint64(x.totalWeight) >> 32)
 	for i, p := range x.Parts {
-		if place < p.Weight {
+		if position < p.Weight {
 			return x.services[i]
 		}
-		place -= p.Weight
+		position -= p.Weight
 	}
 	return x.services[len(x.services)-1]
 }
 
-// hostName is a Host header without its port.
+// hostName returns a Host header without its port.
 func hostName(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		return h
@@ -200,32 +201,32 @@
 	return host
 }
 
-// route finds the route for a method and path: the longest path that is a
-// prefix by whole segments, and among equals one that names the method.
+// route returns the route for a method and a path: the longest path that is a prefix by
+// whole segments. Among equally long ones it prefers a route that names the method.
 func (s *service) route(method, path string) (snapshot.Route, bool) {
-	var open *snapshot.Route
+	var anyMethod *snapshot.Route
 	for i := range s.routes {
 		r := &s.routes[i]
-		if !covers(r.Path, path) {
+		if !hasPathPrefix(r.Path, path) {
 			continue
 		}
-		if open != nil && len(r.Path) < len(open.Path) {
+		if anyMethod != nil && len(r.Path) < len(anyMethod.Path) {
 			break
 		}
 		if slices.Contains(r.Methods, method) {
 			return *r, true
 		}
-		if len(r.Methods) == 0 && open == nil {
-			open = r
+		if len(r.Methods) == 0 && anyMethod == nil {
+			anyMethod = r
 		}
 	}
-	if open != nil {
-		return *open, true
+	if anyMethod != nil {
+		return *anyMethod, true
 	}
 	return snapshot.Route{}, false
 }
 
-func covers(prefix, path string) bool {
+func hasPathPrefix(prefix, path string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
 	}
--- a/briarrockd/caller/trace.go
+++ b/briarrockd/caller/trace.go
@@ -8,30 +8,30 @@
 	"briarrock.example/mesh/kind"
 )
 
-// callSteps is what is told of a call in the log: the decisions along its way.
-type callSteps struct {
-	steps []string
-	// cause is the error of the attempt that failed last without an answer.
+// callDecisions are the decisions made for a call, for its log entry.
+type callDecisions struct {
+	list []string
+	// cause is the error of the last attempt that failed without an answer.
 	cause error
 }
 
-// step notes a decision. Most calls have one; the slice stays small.
-func (s *callSteps) step(what, host string, k kind.Kind) {
+// add records a decision. Most calls have one, so the slice stays small.
+func (s *callDecisions) add(what, host string, k kind.Kind) {
 	line := what + " " + host
 	if k != kind.None {
 		line += " " + string(k)
 	}
-	s.steps = append(s.steps, line)
+	s.list = append(s.list, line)
 }
 
-// logCall writes the one line of a call: its name, what was known when it was
-// decided on and how old that was, and what came of it. Calls that went as
-// planned are the first to be left out when there are too many lines.
+// logCall writes the log entry of a call: its trace ID, the routing table that it used
+// and the age of that, and the outcome. Entries of calls that were answered by the first
+// attempt are dropped first when there are too many.
 func (p *Proxy) logCall(c *call, k kind.Kind, ran kind.Ran, status int, retryAfter time.Duration) {
 	f := event.Fields{"trace": c.trace, "status": status, "ms": time.Since(c.startedAt).Milliseconds()}
 	if c.table != nil {
 		f["version"] = c.table.version
-		f["tableage"] = time.Since(c.table.madeAt).Milliseconds()
+		f["tableage"] = time.Since(c.table.createdAt).Milliseconds()
 	}
 	if c.service != nil {
 		f["service"] = c.service.Name
@@ -40,16 +40,16 @@
 	if c.entryName != "" {
 		f["entry"] = c.entryName
 	}
-	if len(c.steps.steps) > 0 {
-		f["way"] = strings.Join(c.steps.steps, ", ")
+	if len(c.decisions.list) > 0 {
+		f["way"] = strings.Join(c.decisions.list, ", ")
 	}
-	if c.steps.cause != nil {
-		f["cause"] = c.steps.cause.Error()
+	if c.decisions.cause != nil {
+		f["cause"] = c.decisions.cause.Error()
 	}
 	if !c.deadline.IsZero() {
 		f["left"] = time.Until(c.deadline).Milliseconds()
 	}
-	routine := k == kind.None && len(c.steps.steps) <= 1
+	routine := k == kind.None && len(c.decisions.list) <= 1
 	if k != kind.None {
 		f["kind"], f["ran"] = string(k), ran.String()
 	}
--- a/briarrockd/heap/heap.go
+++ b/briarrockd/heap/heap.go
@@ -1,8 +1,8 @@
-// Package heap sets how often the runtime collects garbage.
+// Package heap adjusts how often the Go runtime collects garbage.
 //
-// On a host that is mostly idle memory is what a node costs, so garbage is collected
-// early. Under load a node allocates for each call, and on a fraction of a core frequent
-// collections are time that calls wait for: the heap may then grow further before each.
+// On a mostly idle host a node's main cost is its memory, so garbage is collected early.
+// Under load a node allocates for each call, and on a fraction of a core frequent
+// collections delay calls, so the heap may grow further before each collection.
 package heap
 
 import (
@@ -11,27 +11,28 @@
 	"time"
 )
 
-// Percentages of the live heap by which it may grow before the next collection.
+// Percentages of the live heap by which it may grow before the next collection (GOGC).
 const (
-	least = 50
-	most  = 100
+	lowPercent  = 50
+	highPercent = 100
 )
 
 const (
-	// every is how often collections are counted.
-	every = time.Second
-	// busy is the number of collections in that time from which on the heap may grow
-	// further, calm the one up to which they may be more frequent again.
-	busy = 5
-	calm = 1
+	// interval is the period over which collections are counted.
+	interval = time.Second
+	// busyCollections is the number of collections in an interval from which on the heap
+	// may grow by highPercent, and calmCollections the number up to which it is limited
+	// to lowPercent again.
+	busyCollections = 5
+	calmCollections = 1
 )
 
-// TuneGC adjusts the runtime's percentage to the load until ctx ends.
+// TuneGC adjusts the runtime's GC percentage to the load until ctx ends.
 func TuneGC(ctx context.Context) {
 	var stats debug.GCStats
-	percent := least
+	percent := lowPercent
 	debug.SetGCPercent(percent)
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	debug.ReadGCStats(&stats)
 	last := stats.NumGC
@@ -42,7 +43,7 @@
 		case <-tick.C:
 		}
 		debug.ReadGCStats(&stats)
-		if next := adjust(percent, stats.NumGC-last); next != percent {
+		if next := nextPercent(percent, stats.NumGC-last); next != percent {
 			percent = next
 			debug.SetGCPercent(percent)
 		}
@@ -50,13 +51,13 @@
 	}
 }
 
-// adjust is the percentage after a second with n collections.
-func adjust(percent int, n int64) int {
+// nextPercent returns the percentage after an interval with n collections.
+func nextPercent(percent int, n int64) int {
 	switch {
-	case n >= busy:
-		return most
-	case n <= calm:
-		return least
+	case n >= busyCollections:
+		return highPercent
+	case n <= calmCollections:
+		return lowPercent
 	default:
 		return percent
 	}
--- a/briarrockd/heap/heap_test.go
+++ b/briarrockd/heap/heap_test.go
@@ -15,13 +15,13 @@
 		n       int64
 		want    int
 	}{
-		{least, 0, least},
-		{least, busy - 1, least},
-		{least, busy, most},
-		{most, busy - 1, most},
-		{most, calm + 1, most},
-		{most, calm, least},
+		{lowPercent, 0, lowPercent},
+		{lowPercent, busyCollections - 1, lowPercent},
+		{lowPercent, busyCollections, highPercent},
+		{highPercent, busyCollections - 1, highPercent},
+		{highPercent, calmCollections + 1, highPercent},
+		{highPercent, calmCollections, lowPercent},
 	} {
-		c.Check(adjust(x.percent, x.n), qt.Equals, x.want, qt.Commentf("%d at %d", x.n, x.percent))
+		c.Check(nextPercent(x.percent, x.n), qt.Equals, x.want, qt.Commentf("%d at %d", x.n, x.percent))
 	}
 }
