--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -22,7 +22,7 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-func route(name string) *chainRoute {
+func chainRouteByName(name string) *chainRoute {
 	for i := range chainRoutes {
 		if chainRoutes[i].name == name {
 			return &chainRoutes[i]
@@ -31,21 +31,21 @@
 	return nil
 }
 
-// chainHost is a host with its node and its target.
+// chainHost is a host with a node and a target.
 type chainHost struct {
-	ch      *chain
-	name    string
-	service string
-	region  string
-	pace    float64
-	proxy   *Proxy
-	targets *target.Targets
-	mu      sync.Mutex
-	running int
-	// cut is set while the host reaches no other one, nor is reached.
-	cut bool
-	// sheds is the part of the requests that the target refuses by itself.
-	sheds float64
+	ch       *chain
+	name     string
+	service  string
+	region   string
+	slowdown float64
+	proxy    *Proxy
+	targets  *target.Targets
+	mu       sync.Mutex
+	running  int
+	// partitioned is set while the host and the other hosts can't reach each other.
+	partitioned bool
+	// shedRate is the share of the requests that the target itself refuses.
+	shedRate float64
 }
 
 func (h *chainHost) start(s *snapshot.Snapshot, self peer.Member, seed uint64) {
@@ -53,7 +53,7 @@
 	h.targets = target.New(target.Deps{
 		Changed: func([]peer.Target) {}, Crashed: func(peer.Crashed) {}, Suspicion: func(uint64) int { return 0 },
 		Log: log, Stall: time.Minute, Silent: time.Hour, NoTurns: true,
-		Dialect: func(http.RoundTripper) http.RoundTripper { return chainWork{h} },
+		Dialect: func(http.RoundTripper) http.RoundTripper { return chainTarget{h} },
 	})
 	h.targets.Configure(s)
 	h.targets.Heard(target.Announcement{Service: h.service, Addr: "127.0.0.1:1", Slots: chainSlots, Connections: 500, State: target.StateUp})
@@ -65,7 +65,7 @@
 	})
 }
 
-// sleep pauses for d; false if the context ends before.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -77,25 +77,25 @@
 	}
 }
 
-// chainNet is the network between nodes, as seen from one.
+// chainNet is a simulated network between nodes, used as the transport of one of them.
 type chainNet struct{ from *chainHost }
 
-var errChainCut = errors.New("chain: no way to the host")
+var errChainPartitioned = errors.New("chain: host unreachable")
 
 // RoundTrip implements http.RoundTripper.
 func (n chainNet) RoundTrip(req *http.Request) (*http.Response, error) {
 	to := n.from.ch.hosts[strings.TrimSuffix(req.URL.Host, ":1")]
 	ctx := req.Context()
-	if to != n.from && (to.isCut() || n.from.isCut()) {
-		sleep(ctx, chainDial)
-		return nil, errChainCut
+	if to != n.from && (to.isPartitioned() || n.from.isPartitioned()) {
+		sleep(ctx, chainDialTimeout)
+		return nil, errChainPartitioned
 	}
 	if tr := httptrace.ContextClientTrace(ctx); tr != nil {
 		tr.GotConn(httptrace.GotConnInfo{})
 	}
-	hop := chainNear
+	hop := chainNearDelay
 	if to.region != n.from.region {
-		hop = chainFar
+		hop = chainFarDelay
 	}
 	if !sleep(ctx, hop) {
 		return nil, ctx.Err()
@@ -112,40 +112,40 @@
 	return res, nil
 }
 
-func (h *chainHost) isCut() bool {
+func (h *chainHost) isPartitioned() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.cut
+	return h.partitioned
 }
 
-func (h *chainHost) set(do func()) {
+func (h *chainHost) locked(do func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	do()
 }
 
-// chainWork is a target.
-type chainWork struct{ h *chainHost }
+// chainTarget is the transport from a node to its simulated target.
+type chainTarget struct{ h *chainHost }
 
 // RoundTrip implements http.RoundTripper.
-func (x chainWork) RoundTrip(req *http.Request) (*http.Response, error) {
+func (x chainTarget) RoundTrip(req *http.Request) (*http.Response, error) {
 	if tr := httptrace.ContextClientTrace(req.Context()); tr != nil {
 		tr.GotConn(httptrace.GotConnInfo{})
 	}
-	var sheds float64
-	x.h.set(func() { sheds = x.h.sheds })
-	if sheds > 0 && x.h.ch.float() < sheds {
-		if !sleep(req.Context(), chainNear) {
+	var shedRate float64
+	x.h.locked(func() { shedRate = x.h.shedRate })
+	if shedRate > 0 && x.h.ch.float() < shedRate {
+		if !sleep(req.Context(), chainNearDelay) {
 			return nil, req.Context().Err()
 		}
 		return answerOf(req, http.StatusServiceUnavailable, kind.RanNo), nil
 	}
-	r := route(strings.Trim(req.URL.Path, "/"))
-	x.h.runs(1)
+	r := chainRouteByName(strings.Trim(req.URL.Path, "/"))
+	x.h.addRunning(1)
 	began := time.Now()
-	ok := x.h.run(req.Context(), r, req.Header.Get(target.HeaderTrace))
-	x.h.runs(-1)
-	x.h.ch.ran(time.Since(began), ok)
+	ok := x.h.process(req.Context(), r, req.Header.Get(target.HeaderTrace))
+	x.h.addRunning(-1)
+	x.h.ch.recordRun(time.Since(began), ok)
 	if req.Context().Err() != nil {
 		return nil, req.Context().Err()
 	}
@@ -155,43 +155,44 @@
 	return answerOf(req, http.StatusOK, kind.RanYes), nil
 }
 
-func (h *chainHost) runs(n int) {
+func (h *chainHost) addRunning(n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.running += n; n > 0 && h.running > chainSlots {
 		h.ch.mu.Lock()
-		h.ch.over++
+		h.ch.overSlots++
 		h.ch.mu.Unlock()
 	}
 }
 
-func (ch *chain) ran(took time.Duration, ok bool) {
+func (ch *chain) recordRun(took time.Duration, ok bool) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	if !ch.counted {
+	if !ch.recording {
 		return
 	}
-	ch.tally.runs += took
+	ch.stats.runs += took
 	if !ok {
-		ch.tally.wasted += took
+		ch.stats.wasted += took
 	}
 }
 
-// run does a run's work and makes its calls, at half of it.
-func (h *chainHost) run(ctx context.Context, r *chainRoute, trace string) bool {
-	work := time.Duration(float64(r.work) * h.pace * math.Exp(r.spread*h.ch.norm()-r.spread*r.spread/2))
+// process simulates the work for a request. Half way through it, the target may make
+// calls of its own.
+func (h *chainHost) process(ctx context.Context, r *chainRoute, trace string) bool {
+	work := time.Duration(float64(r.work) * h.slowdown * math.Exp(r.spread*h.ch.norm()-r.spread*r.spread/2))
 	if !sleep(ctx, work/2) {
 		return false
 	}
 	if r.calls != "" && h.ch.float() < r.callShare {
-		results := make(chan bool, r.times)
-		for range r.times {
+		results := make(chan bool, r.callCount)
+		for range r.callCount {
 			go func() {
-				results <- h.ask(ctx, route(r.calls), trace+"."+h.ch.id(), route(r.calls).limit).Code == http.StatusOK
+				results <- h.send(ctx, chainRouteByName(r.calls), trace+"."+h.ch.id(), chainRouteByName(r.calls).timeout).Code == http.StatusOK
 			}()
 		}
 		ok := true
-		for range r.times {
+		for range r.callCount {
 			ok = <-results && ok
 		}
 		if !ok {
@@ -201,15 +202,15 @@
 	return sleep(ctx, work/2)
 }
 
-// ask sends one request to the host's own node.
-func (h *chainHost) ask(ctx context.Context, r *chainRoute, trace string, left time.Duration) *httptest.ResponseRecorder {
+// send sends one request to the node on the host.
+func (h *chainHost) send(ctx context.Context, r *chainRoute, trace string, timeLeft time.Duration) *httptest.ResponseRecorder {
 	method := http.MethodGet
 	if r.mode == snapshot.Once {
 		method = http.MethodPost
 	}
 	req := httptest.NewRequest(method, "http://chain.example/"+r.name+"/", nil).WithContext(ctx)
 	req.Header.Set(target.HeaderTrace, trace)
-	req.Header.Set(target.HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10))
+	req.Header.Set(target.HeaderDeadline, strconv.FormatInt(timeLeft.Milliseconds(), 10))
 	w := httptest.NewRecorder()
 	h.proxy.ServeHTTP(w, req)
 	return w
--- a/briarrockd/caller/chain_test.go
+++ b/briarrockd/caller/chain_test.go
@@ -20,58 +20,58 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// A chain of services whose runs call the next one, played with the real Proxies,
-// Balancers, Budgets, Targets and Gates of all hosts on the paused clock. Only the
-// network and the targets' work are stand-ins.
+// A simulation of a chain of services whose targets call the next service. It uses the
+// real Proxies, Balancers, Budgets, Targets and Gates of all hosts on a simulated clock.
+// Only the network and the targets' work are simulated.
 
-// chainRoute is one kind of request, and the work of its runs.
+// chainRoute is one kind of request and the work that it takes.
 type chainRoute struct {
 	name, service string
 	mode          snapshot.Mode
 	priority      snapshot.Priority
-	// rate is its part of the callers' requests; 0 for one that only runs make.
+	// rate is its share of the callers' requests; 0 for one that only targets make.
 	rate      float64
 	work      time.Duration
-	spread    float64 // of the logarithm of the work
+	spread    float64 // standard deviation of the logarithm of the work
 	aim       time.Duration
-	deadline  time.Duration // the route's
-	limit     time.Duration // the caller's
-	worth     float64       // of an answer within the aim
-	calls     string        // the route that runs call, if any
-	times     int
+	deadline  time.Duration // of the route
+	timeout   time.Duration // timeout of the caller
+	value     float64       // of an answer within the aim
+	calls     string        // the route that its targets call, if any
+	callCount int
 	callShare float64
 }
 
-const chainLate = 0.3 // the part of its worth that a late answer keeps
+const chainLateValue = 0.3 // share of its value that a late answer has
 
 var chainRoutes = []chainRoute{
 	{
 		name: "view", service: "ledger", priority: 7, rate: 0.38, work: 220 * time.Millisecond, spread: 0.5,
-		aim: 800 * time.Millisecond, deadline: 1200 * time.Millisecond, limit: 2 * time.Second, worth: 1, calls: "check", times: 2, callShare: 0.7,
+		aim: 800 * time.Millisecond, deadline: 1200 * time.Millisecond, timeout: 2 * time.Second, value: 1, calls: "check", callCount: 2, callShare: 0.7,
 	},
 	{
 		name: "post", service: "posting", mode: snapshot.Once, priority: 8, rate: 0.42, work: 290 * time.Millisecond, spread: 0.8,
-		aim: time.Second, deadline: 1500 * time.Millisecond, limit: 2500 * time.Millisecond, worth: 2, calls: "verify", times: 1, callShare: 0.7,
+		aim: time.Second, deadline: 1500 * time.Millisecond, timeout: 2500 * time.Millisecond, value: 2, calls: "verify", callCount: 1, callShare: 0.7,
 	},
 	{
 		name: "upload", service: "intake", mode: snapshot.Once, priority: 8, rate: 0.04, work: 260 * time.Millisecond, spread: 0.8,
-		aim: time.Second, deadline: 2500 * time.Millisecond, limit: 2500 * time.Millisecond, worth: 2, calls: "probe", times: 2, callShare: 0.7,
+		aim: time.Second, deadline: 2500 * time.Millisecond, timeout: 2500 * time.Millisecond, value: 2, calls: "probe", callCount: 2, callShare: 0.7,
 	},
 	{
 		name: "read", service: "archive", priority: 7, rate: 0.16, work: 880 * time.Millisecond, spread: 0.8,
-		aim: 2500 * time.Millisecond, deadline: 4 * time.Second, limit: 6 * time.Second, worth: 1,
+		aim: 2500 * time.Millisecond, deadline: 4 * time.Second, timeout: 6 * time.Second, value: 1,
 	},
-	{name: "check", service: "posting", priority: 8, work: 55 * time.Millisecond, spread: 0.5, aim: 200 * time.Millisecond, deadline: 600 * time.Millisecond, limit: 600 * time.Millisecond},
-	{name: "verify", service: "intake", priority: 8, work: 55 * time.Millisecond, spread: 0.5, aim: 200 * time.Millisecond, deadline: 600 * time.Millisecond, limit: 600 * time.Millisecond},
-	{name: "probe", service: "archive", priority: 8, work: 55 * time.Millisecond, spread: 0.5, aim: 200 * time.Millisecond, deadline: 600 * time.Millisecond, limit: 600 * time.Millisecond},
+	{name: "check", service: "posting", priority: 8, work: 55 * time.Millisecond, spread: 0.5, aim: 200 * time.Millisecond, deadline: 600 * time.Millisecond, timeout: 600 * time.Millisecond},
+	{name: "verify", service: "intake", priority: 8, work: 55 * time.Millisecond, spread: 0.5, aim: 200 * time.Millisecond, deadline: 600 * time.Millisecond, timeout: 600 * time.Millisecond},
+	{name: "probe", service: "archive", priority: 8, work: 55 * time.Millisecond, spread: 0.5, aim: 200 * time.Millisecond, deadline: 600 * time.Millisecond, timeout: 600 * time.Millisecond},
 }
 
-// chainServices are the targets of each service in four hosts of its size, and how
-// many times the usual work their targets take, in turns.
+// chainServices are the services. weight is a service's share of the hosts, relative to
+// the other services. slowdowns are factors on the work of its targets, assigned in turn.
 var chainServices = []struct {
-	name  string
-	part  int
-	paces []float64
+	name      string
+	weight    int
+	slowdowns []float64
 }{
 	{"ledger", 19, []float64{0.7, 0.7, 1.6}},
 	{"posting", 29, []float64{0.5, 1, 1, 1.5}},
@@ -80,42 +80,42 @@
 }
 
 const (
-	chainSlots   = 16
-	chainDomains = 4
-	chainNear    = time.Millisecond
-	chainFar     = 20 * time.Millisecond
-	chainDial    = 500 * time.Millisecond
-	// chainScarce is the service whose room a load is a part of.
-	chainScarce = "posting"
-	chainUsual  = 0.9
-	chainSheds  = 0.55
-	chainBefore = 1500 * time.Millisecond
-	chainDuring = 2 * time.Second
-	chainAfter  = 1500 * time.Millisecond
+	chainSlots       = 16
+	chainDomains     = 4
+	chainNearDelay   = time.Millisecond
+	chainFarDelay    = 20 * time.Millisecond
+	chainDialTimeout = 500 * time.Millisecond
+	// chainBottleneck is the service whose slots the load is relative to.
+	chainBottleneck     = "posting"
+	chainNormalLoad     = 0.9
+	chainShedRate       = 0.55
+	chainBeforeDuration = 1500 * time.Millisecond
+	chainDuringDuration = 2 * time.Second
+	chainAfterDuration  = 1500 * time.Millisecond
 )
 
-// chainTally is what came of the callers' requests in a time.
-type chainTally struct {
+// chainStats counts the outcomes of the callers' requests in a period.
+type chainStats struct {
 	calls, inAim, late, refused, failed int
-	worth                               float64
-	refusedAfter                        time.Duration // sum of the refused callers' waits
-	runs, wasted                        time.Duration // slots' time, and that of runs that failed
-	returned, returnedInVain            int
+	value                               float64
+	refusedLatency                      time.Duration // sum of the times until refused callers were answered
+	runs, wasted                        time.Duration // slot time in total, and of runs that failed
+	retried, retryRefused               int
 }
 
-func (t chainTally) share() float64 { return float64(t.inAim+t.late) / float64(max(t.calls, 1)) }
+func (t chainStats) servedShare() float64 { return float64(t.inAim+t.late) / float64(max(t.calls, 1)) }
 
-// chain is one play.
+// chain is one simulation.
 type chain struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	hosts   map[string]*chainHost
-	list    []*chainHost
-	tally   chainTally
-	counted bool
-	over    int // runs beyond a target's slots
-	wg      sync.WaitGroup
-	ids     int
+	mu        sync.Mutex
+	rng       *rand.Rand
+	hosts     map[string]*chainHost
+	list      []*chainHost
+	stats     chainStats
+	recording bool
+	overSlots int // runs in excess of a target's slots
+	wg        sync.WaitGroup
+	ids       int
 }
 
 func (ch *chain) float() float64 {
@@ -137,20 +137,20 @@
 	return strconv.Itoa(ch.ids)
 }
 
-// newChain starts the nodes and targets of a mesh with about as many hosts.
+// newChain starts the nodes and targets of a mesh with about this many hosts.
 func newChain(hosts int) *chain {
 	ch := &chain{rng: rand.New(rand.NewPCG(1, 2)), hosts: make(map[string]*chainHost)}
 	s := &snapshot.Snapshot{Mesh: "chain"}
 	var members []peer.Member
-	all := 0
+	total := 0
 	for _, sv := range chainServices {
-		all += sv.part
+		total += sv.weight
 	}
 	for _, sv := range chainServices {
 		s.Services = append(s.Services, snapshot.Service{Name: sv.name, Slots: chainSlots, Conns: 500, Queue: snapshot.QueueBySlots})
-		for i := range max(chainDomains, (sv.part*hosts+all/2)/all) {
+		for i := range max(chainDomains, (sv.weight*hosts+total/2)/total) {
 			d := i % chainDomains
-			h := &chainHost{ch: ch, name: fmt.Sprintf("%s-%02d", sv.name, i), service: sv.name, region: fmt.Sprint("r", d%2), pace: sv.paces[(i/chainDomains+i)%len(sv.paces)]}
+			h := &chainHost{ch: ch, name: fmt.Sprintf("%s-%02d", sv.name, i), service: sv.name, region: fmt.Sprint("r", d%2), slowdown: sv.slowdowns[(i/chainDomains+i)%len(sv.slowdowns)]}
 			ch.hosts[h.name] = h
 			ch.list = append(ch.list, h)
 			members = append(members, peer.Member{
@@ -178,95 +178,97 @@
 	for _, h := range ch.list {
 		h.targets.Close()
 	}
-	time.Sleep(time.Minute) // what lost a race ends by its own deadline
+	time.Sleep(time.Minute) // attempts that are still in flight end by their deadlines
 }
 
-// caller sends a request, and once more if it was told to come back.
-func (ch *chain) caller(h *chainHost, r *chainRoute) {
+// callWithRetry sends a request, and once more if it was refused or, on a repeatable
+// route, failed.
+func (ch *chain) callWithRetry(h *chainHost, r *chainRoute) {
 	began := time.Now()
-	returned := false
+	retried := false
 	var w *httptest.ResponseRecorder
 	for {
-		left := r.limit - time.Since(began)
-		ctx, cancel := context.WithTimeout(context.Background(), left)
-		w = h.ask(ctx, r, ch.id(), left)
+		timeLeft := r.timeout - time.Since(began)
+		ctx, cancel := context.WithTimeout(context.Background(), timeLeft)
+		w = h.send(ctx, r, ch.id(), timeLeft)
 		cancel()
 		refused := w.Code == http.StatusServiceUnavailable || w.Code == http.StatusTooManyRequests
-		if w.Code == http.StatusOK || returned || !refused && r.mode == snapshot.Once {
+		if w.Code == http.StatusOK || retried || !refused && r.mode == snapshot.Once {
 			break
 		}
-		left = r.limit - time.Since(began)
-		wait := left / 3
+		timeLeft = r.timeout - time.Since(began)
+		wait := timeLeft / 3
 		if ms, err := strconv.Atoi(w.Header().Get(kind.HeaderAfter)); err == nil {
 			wait = min(wait, time.Duration(ms)*time.Millisecond)
 		}
 		time.Sleep(wait)
-		returned = true
+		retried = true
 	}
-	ch.count(r, w.Code, time.Since(began), returned)
+	ch.record(r, w.Code, time.Since(began), retried)
 }
 
-func (ch *chain) count(r *chainRoute, code int, took time.Duration, returned bool) {
+func (ch *chain) record(r *chainRoute, code int, took time.Duration, retried bool) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	if !ch.counted {
+	if !ch.recording {
 		return
 	}
-	t := &ch.tally
+	t := &ch.stats
 	t.calls++
-	if returned {
-		t.returned++
+	if retried {
+		t.retried++
 	}
 	switch {
 	case code == http.StatusOK && took <= r.aim:
 		t.inAim++
-		t.worth += r.worth
-	case code == http.StatusOK && took < r.limit:
+		t.value += r.value
+	case code == http.StatusOK && took < r.timeout:
 		t.late++
-		t.worth += chainLate * r.worth
+		t.value += chainLateValue * r.value
 	case code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests:
 		t.refused++
-		t.refusedAfter += took
-		if returned {
-			t.returnedInVain++
+		t.refusedLatency += took
+		if retried {
+			t.retryRefused++
 		}
 	default:
 		t.failed++
 	}
 }
 
-// rate is how many requests a second take a part of the scarce service's slots.
-func (ch *chain) rate(load float64) float64 {
+// requestRate returns the requests per second that use the share load of the slots of
+// chainBottleneck.
+func (ch *chain) requestRate(load float64) float64 {
 	slots := 0.0
 	for _, h := range ch.list {
-		if h.service == chainScarce {
-			slots += chainSlots / h.pace
+		if h.service == chainBottleneck {
+			slots += chainSlots / h.slowdown
 		}
 	}
-	need := 0.0 // slots' time of a request, at the usual pace
+	need := 0.0 // slot time of a request at a target with slowdown 1
 	for _, r := range chainRoutes {
-		if r.service == chainScarce {
+		if r.service == chainBottleneck {
 			need += r.rate * r.work.Seconds()
 		}
 		if r.calls == "" {
 			continue
 		}
-		next := route(r.calls)
+		next := chainRouteByName(r.calls)
 		calls := r.rate * r.callShare * next.work.Seconds()
-		if next.service == chainScarce {
-			need += calls * float64(r.times)
+		if next.service == chainBottleneck {
+			need += calls * float64(r.callCount)
 		}
-		if r.service == chainScarce {
-			need += calls // while it waits for them
+		if r.service == chainBottleneck {
+			need += calls // while the outer request waits for them
 		}
 	}
 	return load * slots / need
 }
 
-// play sends callers' requests for some time.
-func (ch *chain) play(load float64, last time.Duration) {
-	gap := float64(time.Second) / ch.rate(load)
-	for end := time.Now().Add(last); time.Now().Before(end); {
+// generateLoad sends callers' requests for a duration.
+func (ch *chain) generateLoad(load float64, duration time.Duration) {
+	gap := float64(time.Second) / ch.requestRate(load)
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		ch.mu.Lock()
 		pause := time.Duration(ch.rng.ExpFloat64() * gap)
 		x, h := ch.rng.Float64(), ch.list[ch.rng.IntN(len(ch.list))]
@@ -274,87 +276,87 @@
 		time.Sleep(pause)
 		for i := range chainRoutes {
 			if x -= chainRoutes[i].rate; x < 0 {
-				ch.wg.Go(func() { ch.caller(h, &chainRoutes[i]) })
+				ch.wg.Go(func() { ch.callWithRetry(h, &chainRoutes[i]) })
 				break
 			}
 		}
 	}
 }
 
-// measure plays and returns what came of the requests that ended meanwhile.
-func (ch *chain) measure(load float64, last time.Duration) chainTally {
+// measure generates load and returns the outcomes of the requests that ended meanwhile.
+func (ch *chain) measure(load float64, duration time.Duration) chainStats {
 	ch.mu.Lock()
-	ch.tally, ch.counted = chainTally{}, true
+	ch.stats, ch.recording = chainStats{}, true
 	ch.mu.Unlock()
-	ch.play(load, last)
+	ch.generateLoad(load, duration)
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	ch.counted = false
-	return ch.tally
+	ch.recording = false
+	return ch.stats
 }
 
-// some applies a change to every n-th host of a service, or of all.
-func (ch *chain) some(service string, n int, do func(h *chainHost)) {
+// everyNth applies a change to every n-th host of a service, or of all services if
+// service is empty.
+func (ch *chain) everyNth(service string, n int, do func(h *chainHost)) {
 	i := 0
 	for _, h := range ch.list {
 		if service != "" && h.service != service {
 			continue
 		}
 		if i++; i%n == 0 {
-			h.set(func() { do(h) })
+			h.locked(func() { do(h) })
 		}
 	}
 }
 
-func (t chainTally) String() string {
-	return fmt.Sprintf("served %.3f in aim %.3f refused %.3f (after %d ms) failed %.3f, worth %.0f, wasted %.3f of the slots' time, returned %d, of these in vain %d",
-		t.share(), float64(t.inAim)/float64(max(t.calls, 1)), float64(t.refused)/float64(max(t.calls, 1)), (t.refusedAfter / time.Duration(max(t.refused, 1))).Milliseconds(),
-		float64(t.failed)/float64(max(t.calls, 1)), t.worth, float64(t.wasted)/float64(max(t.runs, 1)), t.returned, t.returnedInVain)
+func (t chainStats) String() string {
+	return fmt.Sprintf("served %.3f in aim %.3f refused %.3f (after %d ms) failed %.3f, value %.0f, wasted %.3f of the slot time, retried %d, of these refused again %d",
+		t.servedShare(), float64(t.inAim)/float64(max(t.calls, 1)), float64(t.refused)/float64(max(t.calls, 1)), (t.refusedLatency / time.Duration(max(t.refused, 1))).Milliseconds(),
+		float64(t.failed)/float64(max(t.calls, 1)), t.value, float64(t.wasted)/float64(max(t.runs, 1)), t.retried, t.retryRefused)
 }
 
-// chainPlay is a mesh at its usual load, then in some trouble, then at its usual load
-// again.
-func chainPlay(t *testing.T, trouble string, hosts int, load float64) (before, during, after chainTally, over int) {
+// runChain simulates a mesh at normal load, then with a fault, then at normal load again.
+func runChain(t *testing.T, fault string, hosts int, load float64) (before, during, after chainStats, overSlots int) {
 	synctest.Test(t, func(*testing.T) {
 		ch := newChain(hosts)
 		defer ch.close()
-		ch.play(chainUsual, time.Second)
-		before = ch.measure(1, chainBefore)
-		switch trouble {
+		ch.generateLoad(chainNormalLoad, time.Second)
+		before = ch.measure(1, chainBeforeDuration)
+		switch fault {
 		case "cut":
-			ch.some("", 3, func(h *chainHost) { h.cut = true })
+			ch.everyNth("", 3, func(h *chainHost) { h.partitioned = true })
 		case "shed":
-			ch.some(chainScarce, 1, func(h *chainHost) { h.sheds = chainSheds })
+			ch.everyNth(chainBottleneck, 1, func(h *chainHost) { h.shedRate = chainShedRate })
 		}
-		ch.play(load, time.Second)
-		during = ch.measure(load, chainDuring)
-		ch.some("", 1, func(h *chainHost) { h.cut, h.sheds = false, 0 })
-		ch.play(chainUsual, time.Second)
-		after = ch.measure(chainUsual, chainAfter)
-		over = ch.over
+		ch.generateLoad(load, time.Second)
+		during = ch.measure(load, chainDuringDuration)
+		ch.everyNth("", 1, func(h *chainHost) { h.partitioned, h.shedRate = false, 0 })
+		ch.generateLoad(chainNormalLoad, time.Second)
+		after = ch.measure(chainNormalLoad, chainAfterDuration)
+		overSlots = ch.overSlots
 	})
-	return before, during, after, over
+	return before, during, after, overSlots
 }
 
-// TestChain guards against a chain of services that serves less the more it is asked:
-// runs that are thrown away since a call of theirs was refused, room that is given up
-// where targets refuse at any load, and an overload that outlasts its cause.
+// TestChain guards against a chain of services whose goodput falls when load rises: work
+// is wasted when a nested call is refused, capacity is given up where targets refuse at
+// any load, or an overload lasts after its cause has ended.
 func TestChain(t *testing.T) {
 	datadriven.RunTest(t, "testdata/chain", func(t *testing.T, d *datadriven.TestData) string {
 		c := qt.New(t)
-		var hosts, load, keeps, wasted, after int
+		var hosts, load, minValue, wasted, after int
 		d.ScanArgs(t, "hosts", &hosts)
 		d.ScanArgs(t, "load", &load)
-		d.ScanArgs(t, "keeps", &keeps)
+		d.ScanArgs(t, "keeps", &minValue)
 		d.ScanArgs(t, "wasted", &wasted)
 		d.ScanArgs(t, "after", &after)
-		full, got, then, over := chainPlay(t, d.Cmd, hosts, float64(load)/100)
-		t.Logf("%s, at %d %%:\n at 100 %%: %v\n in it:    %v\n after it: %v", d.Cmd, load, full, got, then)
-		kept := got.worth / chainDuring.Seconds() / (full.worth / chainBefore.Seconds())
-		c.Check(kept*100 >= float64(keeps), qt.IsTrue, qt.Commentf("worth a second is %.2f of that at 100 %% of the room", kept))
-		c.Check(got.wasted.Seconds()*100 <= float64(wasted)*got.runs.Seconds(), qt.IsTrue, qt.Commentf("%v", got))
-		c.Check(then.share()*100 >= float64(after), qt.IsTrue, qt.Commentf("%v", then))
-		c.Check(over, qt.Equals, 0, qt.Commentf("runs beyond a target's slots"))
+		before, during, recovered, overSlots := runChain(t, d.Cmd, hosts, float64(load)/100)
+		t.Logf("%s, at %d %%:\n at 100 %%:      %v\n during fault:  %v\n after fault:   %v", d.Cmd, load, before, during, recovered)
+		relativeValue := during.value / chainDuringDuration.Seconds() / (before.value / chainBeforeDuration.Seconds())
+		c.Check(relativeValue*100 >= float64(minValue), qt.IsTrue, qt.Commentf("value per second is %.2f of that at a load of 100 %%", relativeValue))
+		c.Check(during.wasted.Seconds()*100 <= float64(wasted)*during.runs.Seconds(), qt.IsTrue, qt.Commentf("%v", during))
+		c.Check(recovered.servedShare()*100 >= float64(after), qt.IsTrue, qt.Commentf("%v", recovered))
+		c.Check(overSlots, qt.Equals, 0, qt.Commentf("runs in excess of a target's slots"))
 		return "ok\n"
 	})
 }
--- a/briarrockd/caller/choose_test.go
+++ b/briarrockd/caller/choose_test.go
@@ -37,8 +37,8 @@
 	return NewTable(7, s, members)
 }
 
-// count picks n times and returns how the picks fall on domains.
-func count(ch *Balancer, set []upstream, n int, now time.Time, f Feedback) map[string]int {
+// picksByDomain picks n times and returns the number of picks of each domain.
+func picksByDomain(ch *Balancer, set []upstream, n int, now time.Time, f Feedback) map[string]int {
 	out := make(map[string]int)
 	for range n {
 		u, _, ok := ch.pick(now, "orderdesk", set, nil, 0)
@@ -60,7 +60,7 @@
 	ms = append(ms, peer.Member{Host: "x", Targets: []peer.Target{{Service: "unknown"}}})
 	tab := table(ms)
 	c.Check(tab.upstreams["orderdesk"], qt.HasLen, 10)
-	// A service without any target has an empty set, not none.
+	// A service without any target has an empty set, not a nil one.
 	c.Check(tab.upstreams["ledgerline"], qt.Not(qt.IsNil))
 	for _, x := range []struct {
 		method, path, want string
@@ -82,20 +82,19 @@
 	set := table(members()).upstreams["orderdesk"]
 	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
-	c.Check(count(ch, set, 100, now, Feedback{}), qt.DeepEquals, map[string]int{"northgate": 100})
-	// The own domain says that it is full: work goes to the next one, and
-	// only a part of it over the paid link.
+	c.Check(picksByDomain(ch, set, 100, now, Feedback{}), qt.DeepEquals, map[string]int{"northgate": 100})
+	// All targets of the own domain report a load of 2: calls go to the other domain of
+	// the region, and not over the billed link to the other region.
 	for i := range 4 {
 		ch.done(now, "orderdesk", fmt.Sprintf("northgate-%d", i), Feedback{Load: 2})
 	}
-	got := count(ch, set, 100, now, Feedback{Load: -1})
+	got := picksByDomain(ch, set, 100, now, Feedback{Load: -1})
 	c.Check(got["millbank"], qt.Equals, 100, qt.Commentf("%v", got))
 }
 
-// TestEjection lets all targets of a set fail.
-//
-// Health that misleads must not empty a set: callers would be refused by a
-// mesh whose targets are all well. At least half of it stays in use.
+// TestEjection guards against ejection that empties a set: misleading failures would
+// refuse all callers although the targets are healthy. At least half of the set must stay
+// in use.
 func TestEjection(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"]
@@ -121,8 +120,8 @@
 	c.Check(ch.Ejected(now.Add(maxEjection)), qt.Equals, 0)
 }
 
-// TestLeaving checks that an upstream which said that it leaves gets nothing
-// more, and that a set of only such ones is empty.
+// TestLeaving checks that an upstream that reported that it is leaving is not picked, and
+// that a set of only such upstreams counts as empty.
 func TestLeaving(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"][:2]
@@ -138,8 +137,8 @@
 	c.Check(ok, qt.IsFalse)
 }
 
-// TestBudget takes a whole service down: the attempts must stay within 1.1
-// times the calls, beside the one retry that is in hand at the start.
+// TestBudget simulates a service that is down: the attempts must stay within 1.1 times
+// the calls, plus the one retry that the budget has at the start.
 func TestBudget(t *testing.T) {
 	c := qt.New(t)
 	b := NewBudget()
@@ -157,8 +156,8 @@
 	c.Check(b.takeRetry("another"), qt.IsFalse)
 }
 
-// TestMayRetry goes through every kind: a request that may have run is sent
-// again only if its route says that it may be repeated.
+// TestMayRetry checks every kind of failure: a request that may have run is sent again
+// only if its route allows repeats.
 func TestMayRetry(t *testing.T) {
 	c := qt.New(t)
 	for _, k := range append(kind.All(), kind.None) {
--- a/briarrockd/caller/counts_test.go
+++ b/briarrockd/caller/counts_test.go
@@ -12,8 +12,8 @@
 	"briarrock.example/mesh/kind"
 )
 
-// TestCounts refuses calls of more routes than are counted by name: a version of
-// thousands of routes must not make as many series.
+// TestCounts refuses calls of more routes than have labels of their own: a version with
+// thousands of routes must not create as many time series.
 func TestCounts(t *testing.T) {
 	c := qt.New(t)
 	n := routeCounters{set: metrics.NewSet()}
--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -19,83 +19,83 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// The fleet that is played: the real Balancers of all nodes and the real Gates of all
-// targets, with nothing but delays between them.
+// Parameters of the simulated fleet: the real Balancers of all nodes and the real Gates
+// of all targets, with only delays between them.
 const (
-	fleetDomains = 8
-	fleetTargets = 128
-	fleetSlots   = 11
-	fleetWork    = 270 * time.Millisecond // at a target of middling speed
-	fleetAim     = time.Second
-	fleetLimit   = 2500 * time.Millisecond
-	fleetSpread  = 0.7 // of the logarithm of the work
-	fleetFor     = 3 * time.Second
-	fleetWarm    = time.Second // not counted
-	fleetService = "ledger"
-	fleetHop     = time.Millisecond
-	fleetFar     = 20 * time.Millisecond
+	fleetDomains   = 8
+	fleetTargets   = 128
+	fleetSlots     = 11
+	fleetWork      = 270 * time.Millisecond // at a target with slowdown 1
+	fleetAim       = time.Second
+	fleetTimeout   = 2500 * time.Millisecond
+	fleetSpread    = 0.7 // standard deviation of the logarithm of the work
+	fleetDuration  = 3 * time.Second
+	fleetWarmup    = time.Second // not recorded
+	fleetService   = "ledger"
+	fleetNearDelay = time.Millisecond
+	fleetFarDelay  = 20 * time.Millisecond
 )
 
-// fleetPace are the times that targets take, in turns: a fleet has hosts of several
-// generations.
-var fleetPace = []float64{0.7, 0.7, 1.6}
+// fleetSlowdowns are factors on the work of the targets, assigned in turn: a fleet has
+// hosts of several generations.
+var fleetSlowdowns = []float64{0.7, 0.7, 1.6}
 
-// occurrence is something that happens at a time.
-type occurrence struct {
+// fleetEvent is an action at a simulated time.
+type fleetEvent struct {
 	at time.Time
 	n  int
 	do func()
 }
 
-type agenda []occurrence
+type fleetEvents []fleetEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a fleetEvents) Len() int { return len(a) }
+func (a fleetEvents) Less(i, j int) bool {
 	return a[i].at.Before(a[j].at) || a[i].at.Equal(a[j].at) && a[i].n < a[j].n
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(occurrence)) }
-func (a *agenda) Pop() any {
+func (a fleetEvents) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *fleetEvents) Push(x any)   { *a = append(*a, x.(fleetEvent)) }
+func (a *fleetEvents) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return x
 }
 
-// server is a target with its Gate.
+// server is a simulated target with its Gate.
 type server struct {
-	gate   *target.Gate
-	pace   float64
-	calls  map[target.CallID]func(target.Cmd)
-	starts int
+	gate     *target.Gate
+	slowdown float64
+	calls    map[target.CallID]func(target.Cmd)
+	starts   int
 }
 
-// tally is what came of the calls of a play.
-type tally struct {
-	calls, inAim, late, refused, idle int
-	busiest                           float64
+// fleetStats counts the outcomes of the calls of a simulation.
+type fleetStats struct {
+	calls, inAim, late, refused, refusedIdle int
+	maxLoadShare                             float64
 }
 
-func (t tally) share() float64 { return float64(t.inAim) / float64(t.calls) }
+func (t fleetStats) inAimShare() float64 { return float64(t.inAim) / float64(t.calls) }
 
-// fleet is one play.
+// fleet is one simulation.
 type fleet struct {
-	rng     *rand.Rand
-	now     time.Time
-	agenda  agenda
-	n       int
-	set     []upstream
-	servers map[string]*server
-	nodes   []*Balancer
-	policy  string
-	lastID  target.CallID
-	tally   tally
-	counted time.Time
+	rng        *rand.Rand
+	now        time.Time
+	events     fleetEvents
+	n          int
+	set        []upstream
+	servers    map[string]*server
+	nodes      []*Balancer
+	policy     string
+	lastID     target.CallID
+	stats      fleetStats
+	recordFrom time.Time
 }
 
 func newFleet(nodes int, policy string) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1000, 0), servers: make(map[string]*server), policy: policy}
-	f.counted = f.now.Add(fleetWarm)
+	f.recordFrom = f.now.Add(fleetWarmup)
 	var members []peer.Member
 	for i := range fleetTargets {
 		domain := i % fleetDomains
@@ -105,7 +105,7 @@
 			Targets: []peer.Target{{Service: fleetService, Slots: fleetSlots}},
 		})
 		f.servers[host] = &server{
-			gate: target.NewGate(target.Limits{Slots: fleetSlots, Queue: 2 * fleetSlots}), pace: fleetPace[i/fleetDomains%len(fleetPace)],
+			gate: target.NewGate(target.Limits{Slots: fleetSlots, Queue: 2 * fleetSlots}), slowdown: fleetSlowdowns[i/fleetDomains%len(fleetSlowdowns)],
 			calls: make(map[target.CallID]func(target.Cmd)),
 		}
 	}
@@ -118,82 +118,83 @@
 	return f
 }
 
-func (f *fleet) at(t time.Time, do func()) {
+func (f *fleet) schedule(t time.Time, do func()) {
 	f.n++
-	heap.Push(&f.agenda, occurrence{t, f.n, do})
+	heap.Push(&f.events, fleetEvent{t, f.n, do})
 }
 
-// play sends calls that take up a part of all slots.
-func (f *fleet) play(load float64) tally {
+// run simulates calls that use the share load of all slots.
+func (f *fleet) run(load float64) fleetStats {
 	capacity := 0.0
 	for _, s := range f.servers {
-		capacity += fleetSlots / s.pace / fleetWork.Seconds()
+		capacity += fleetSlots / s.slowdown / fleetWork.Seconds()
 	}
 	gap := time.Duration(float64(time.Second) / (capacity * load))
-	end := f.now.Add(fleetFor)
+	end := f.now.Add(fleetDuration)
 	var arrive func()
 	arrive = func() {
 		if f.now.After(end) {
 			return
 		}
-		f.at(f.now.Add(time.Duration(f.rng.ExpFloat64()*float64(gap))), arrive)
+		f.schedule(f.now.Add(time.Duration(f.rng.ExpFloat64()*float64(gap))), arrive)
 		f.call(f.nodes[f.rng.IntN(len(f.nodes))])
 	}
 	arrive()
-	for len(f.agenda) > 0 {
-		o := heap.Pop(&f.agenda).(occurrence)
+	for len(f.events) > 0 {
+		o := heap.Pop(&f.events).(fleetEvent)
 		f.now = o.at
 		o.do()
 	}
 	total := 0
 	for _, s := range f.servers {
 		total += s.starts
-		f.tally.busiest = max(f.tally.busiest, float64(s.starts)*fleetTargets)
+		f.stats.maxLoadShare = max(f.stats.maxLoadShare, float64(s.starts)*fleetTargets)
 	}
-	f.tally.busiest /= float64(total)
-	return f.tally
+	f.stats.maxLoadShare /= float64(total)
+	return f.stats
 }
 
-// fleetCall is one call on its way.
+// fleetCall is a call in progress.
 type fleetCall struct {
-	f     *fleet
-	ch    *Balancer
-	began time.Time
-	work  time.Duration
-	tried []string
-	moves int
+	f        *fleet
+	ch       *Balancer
+	began    time.Time
+	work     time.Duration
+	tried    []string
+	reroutes int
 }
 
 func (f *fleet) call(ch *Balancer) {
 	work := time.Duration(float64(fleetWork) * math.Exp(fleetSpread*f.rng.NormFloat64()-fleetSpread*fleetSpread/2))
-	(&fleetCall{f: f, ch: ch, began: f.now, work: work}).try()
+	(&fleetCall{f: f, ch: ch, began: f.now, work: work}).sendAttempt()
 }
 
-func (c *fleetCall) try() {
+func (c *fleetCall) sendAttempt() {
 	f := c.f
 	u, _, ok := c.ch.pick(f.now, fleetService, f.set, c.tried, snapshot.Normal)
 	if f.policy == "oracle" {
-		u, ok = f.best(c.ch, c.tried), true
+		u, ok = f.bestUpstream(c.ch, c.tried), true
 	}
 	if !ok {
-		c.end(false)
+		c.record(false)
 		return
 	}
 	c.tried = append(c.tried, u.host)
-	hop := fleetHop
+	hop := fleetNearDelay
 	if u.otherRegion {
-		hop = fleetFar
+		hop = fleetFarDelay
 	}
-	f.at(f.now.Add(hop), func() { c.reach(u, hop) })
+	f.schedule(f.now.Add(hop), func() { c.arrive(u, hop) })
 }
 
-// best is the target at which a call ends first, of those that it has not tried.
-func (f *fleet) best(ch *Balancer, tried []string) upstream {
+// bestUpstream returns the target that would end a call first, among those that were not
+// tried.
+func (f *fleet) bestUpstream(ch *Balancer, tried []string) upstream {
 	var best upstream
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, u := range f.set {
 		s := f.servers[u.host]
-		cost := s.pace * (1 + max(0, s.gate.Load(f.now)-1+1.0/fleetSlots))
+		cost := s.slowdown * (1 + max(0, s.gate.Load(f.now)-1+1.0/fleetSlots))
 		if slices.Contains(tried, u.host) {
 			continue
 		}
@@ -201,15 +202,15 @@
 		if u.otherRegion {
 			cost += otherRegionCost
 		}
-		if cost += 0.01 * s.gate.Load(f.now); cost < least {
-			best, least = u, cost
+		if cost += 0.01 * s.gate.Load(f.now); cost < lowest {
+			best, lowest = u, cost
 		}
 	}
 	return best
 }
 
-// reach brings a call to its target's node.
-func (c *fleetCall) reach(u upstream, hop time.Duration) {
+// arrive delivers a call to its target's node.
+func (c *fleetCall) arrive(u upstream, hop time.Duration) {
 	f := c.f
 	s := f.servers[u.host]
 	f.lastID++
@@ -218,16 +219,16 @@
 		switch cmd := cmd.(type) {
 		case target.Start:
 			s.starts++
-			took := time.Duration(float64(c.work) * s.pace)
-			f.at(f.now.Add(took), func() { c.ended(u, s, id, took, hop) })
+			took := time.Duration(float64(c.work) * s.slowdown)
+			f.schedule(f.now.Add(took), func() { c.finish(u, s, id, took, hop) })
 		case target.Refuse:
 			c.refused(u, s, cmd, hop)
 		}
 	}
-	f.step(s, target.Arrive{ID: id, Route: "view", Priority: snapshot.Normal, Deadline: c.began.Add(fleetLimit), Aim: c.began.Add(fleetAim), Far: u.otherRegion})
+	f.step(s, target.Arrive{ID: id, Route: "view", Priority: snapshot.Normal, Deadline: c.began.Add(fleetTimeout), Aim: c.began.Add(fleetAim), Far: u.otherRegion})
 }
 
-// step gives a Gate a message and hands on what it decides.
+// step passes a message to a Gate and executes the commands that it returns.
 func (f *fleet) step(s *server, m target.Msg) {
 	for _, cmd := range s.gate.Step(f.now, m) {
 		id := target.CallID(0)
@@ -247,13 +248,13 @@
 	return Feedback{Load: s.gate.Load(f.now), TypicalLatency: s.gate.Usual(), Priority: snapshot.Normal}
 }
 
-func (c *fleetCall) ended(u upstream, s *server, id target.CallID, took, hop time.Duration) {
+func (c *fleetCall) finish(u upstream, s *server, id target.CallID, took, hop time.Duration) {
 	f := c.f
 	f.step(s, target.Ended{ID: id, Route: "view", Took: took})
 	fb := f.feedback(s)
-	f.at(f.now.Add(hop), func() {
+	f.schedule(f.now.Add(hop), func() {
 		c.ch.done(f.now, fleetService, u.host, fb)
-		c.end(true)
+		c.record(true)
 	})
 }
 
@@ -261,45 +262,46 @@
 	f := c.f
 	fb := f.feedback(s)
 	fb.Full, fb.RetryAfter = r.Kind == kind.Full, r.Wait
-	f.at(f.now.Add(hop), func() {
+	f.schedule(f.now.Add(hop), func() {
 		c.ch.done(f.now, fleetService, u.host, fb)
-		if c.moves++; c.moves > maxReroutes {
-			c.end(false)
+		if c.reroutes++; c.reroutes > maxReroutes {
+			c.record(false)
 			return
 		}
-		c.try()
+		c.sendAttempt()
 	})
 }
 
-// end counts a call. A refusal counts as idle if a tenth of the slots were free.
-func (c *fleetCall) end(answered bool) {
+// record counts a call. A refusal counts as refusedIdle if at least a tenth of the slots
+// were free.
+func (c *fleetCall) record(answered bool) {
 	f := c.f
-	if c.began.Before(f.counted) {
+	if c.began.Before(f.recordFrom) {
 		return
 	}
-	f.tally.calls++
+	f.stats.calls++
 	took := f.now.Sub(c.began)
 	switch {
 	case answered && took <= fleetAim:
-		f.tally.inAim++
+		f.stats.inAim++
 	case answered:
-		f.tally.late++
+		f.stats.late++
 	default:
-		f.tally.refused++
+		f.stats.refused++
 		running := 0
 		for _, s := range f.servers {
 			running += s.gate.Running()
 		}
 		if running < fleetTargets*fleetSlots*9/10 {
-			f.tally.idle++
+			f.stats.refusedIdle++
 		}
 	}
 }
 
-// TestFleet guards against choices by knowledge that is old at the size of the fleet: a
-// few targets that get more than their slots take, and more than one call in a hundred
-// that is refused while a tenth of the slots are free. A choice that knows everything is
-// played beside it.
+// TestFleet guards against outdated load information in a large fleet: a few targets get
+// more than their slots can process, or more than one call in a hundred is refused while
+// a tenth of the slots are free. A Balancer with complete and current information is
+// simulated for comparison.
 func TestFleet(t *testing.T) {
 	datadriven.RunTest(t, "testdata/fleet", func(t *testing.T, d *datadriven.TestData) string {
 		c := qt.New(t)
@@ -307,20 +309,20 @@
 		d.ScanArgs(t, "nodes", &nodes)
 		d.ScanArgs(t, "load", &load)
 		policies := []string{"reported", "oracle"}
-		got := make([]tally, len(policies))
+		got := make([]fleetStats, len(policies))
 		var wg sync.WaitGroup
 		for i, policy := range policies {
-			wg.Go(func() { got[i] = newFleet(nodes, policy).play(float64(load) / 100) })
+			wg.Go(func() { got[i] = newFleet(nodes, policy).run(float64(load) / 100) })
 		}
 		wg.Wait()
 		for i, policy := range policies {
-			t.Logf("%d nodes at %d %%: %-8s %.4f in aim, busiest %.2f, late %d, refused %d, of these %d beside free slots",
-				nodes, load, policy, got[i].share(), got[i].busiest, got[i].late, got[i].refused, got[i].idle)
+			t.Logf("%d nodes at %d %%: %-8s %.4f in aim, highest relative load %.2f, late %d, refused %d, of these %d while slots were free",
+				nodes, load, policy, got[i].inAimShare(), got[i].maxLoadShare, got[i].late, got[i].refused, got[i].refusedIdle)
 		}
 		reported := got[0]
-		c.Check(reported.idle*100 <= reported.calls, qt.IsTrue)
-		// Above all slots the Gates keep to them.
-		c.Check(load > 100 || reported.busiest*float64(load)/100*slices.Min(fleetPace) <= 1, qt.IsTrue, qt.Commentf("a target got more than its slots take"))
+		c.Check(reported.refusedIdle*100 <= reported.calls, qt.IsTrue)
+		// At a load above 100 % the Gates enforce the slots.
+		c.Check(load > 100 || reported.maxLoadShare*float64(load)/100*slices.Min(fleetSlowdowns) <= 1, qt.IsTrue, qt.Commentf("a target got more calls than its slots can process"))
 		return "ok\n"
 	})
 }
--- a/briarrockd/caller/full_test.go
+++ b/briarrockd/caller/full_test.go
@@ -15,7 +15,8 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// fullTargets is a transport to targets' nodes that have no room, for 2.5 ms each.
+// fullTargets is a transport to targets' nodes that are full. Each stays marked as full
+// for 2.5 ms.
 type fullTargets struct{}
 
 // RoundTrip implements http.RoundTripper.
@@ -30,8 +31,9 @@
 	return res, nil
 }
 
-// TestFullNotEmpty guards against callers of a full service that are told that it has no
-// target, when room is expected again between the choice and the look for its reason.
+// TestFullNotEmpty guards against calls to a full service that are refused as if it had
+// no targets. This happened when an upstream's full mark expired between the pick and the
+// look for the reason.
 func TestFullNotEmpty(t *testing.T) {
 	c := qt.New(t)
 	const callers, calls = 64, 500
--- a/briarrockd/caller/header_test.go
+++ b/briarrockd/caller/header_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// FuzzHeaders sends what a caller could: the request is refused or gets a
-// deadline that is not beyond its route's, and a fingerprint that is not zero.
+// FuzzHeaders sends arbitrary headers: the request is refused, or gets a deadline that is
+// not later than its route's, and a fingerprint that is not zero.
 func FuzzHeaders(f *testing.F) {
 	f.Add("100", "orderdesk:80", "key", "/orders")
 	f.Add("-1", "", "", "")
@@ -62,9 +62,9 @@
 	})
 }
 
-// TestForeign checks that a caller can't pass a node's own headers off, and
-// that headers of one connection stay with it.
-func TestForeign(t *testing.T) {
+// TestHeaderFilter checks that headers which only nodes may set are removed from callers'
+// requests and targets' answers, and that headers of one connection are not forwarded.
+func TestHeaderFilter(t *testing.T) {
 	c := qt.New(t)
 	got := make(chan http.Header, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/briarrockd/caller/held_test.go
+++ b/briarrockd/caller/held_test.go
@@ -17,33 +17,33 @@
 	"briarrock.example/mesh/kind"
 )
 
-// silent is a transport to a node that never answers, and asks for the body only if reads
-// is set.
-type silent struct {
-	reads bool
-	held  bool
+// unresponsiveNode is a transport to a node that never answers. It requests the body only
+// if requestsBody is set.
+type unresponsiveNode struct {
+	requestsBody bool
+	withheld     bool
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *silent) RoundTrip(req *http.Request) (*http.Response, error) {
+func (s *unresponsiveNode) RoundTrip(req *http.Request) (*http.Response, error) {
 	if tr := httptrace.ContextClientTrace(req.Context()); tr != nil {
 		tr.GotConn(httptrace.GotConnInfo{})
 	}
-	s.held = req.Header.Get(http1.HeaderHeld) != ""
-	if s.reads {
+	s.withheld = req.Header.Get(http1.HeaderHeld) != ""
+	if s.requestsBody {
 		_, _ = io.Copy(io.Discard, req.Body)
 	}
 	<-req.Context().Done()
 	return nil, req.Context().Err()
 }
 
-// TestHeldBack guards against callers who are told "may have run" of an order that was
-// still queued at the target's node: in an overload its body is held back, and while
-// nobody has asked for that, it has not run.
-func TestHeldBack(t *testing.T) {
+// TestBodyWithheld guards against "may have run" for a request that was still queued at
+// the target's node. In an overload its body is withheld, and until the node requests the
+// body the request has not run.
+func TestBodyWithheld(t *testing.T) {
 	for name, x := range map[string]struct {
-		full, asked, held bool
-		ran               kind.Ran
+		full, bodyRequested, withheld bool
+		ran                           kind.Ran
 	}{
 		"no overload":                  {false, true, false, kind.RanUnknown},
 		"overload, body asked for":     {true, true, true, kind.RanUnknown},
@@ -57,7 +57,7 @@
 					CrashCount:   func(uint64) int { return 0 },
 					Authenticate: func(http.Header) (string, bool) { return "", true }, StallTimeout: time.Minute,
 				})
-				tr := &silent{reads: x.asked}
+				tr := &unresponsiveNode{requestsBody: x.bodyRequested}
 				p.deps.Transport = tr
 				ms := members()
 				p.SetTable(table(ms))
@@ -68,7 +68,7 @@
 				r.Header.Set(target.HeaderDeadline, "500")
 				w := httptest.NewRecorder()
 				p.ServeHTTP(w, r)
-				c.Check(tr.held, qt.Equals, x.held)
+				c.Check(tr.withheld, qt.Equals, x.withheld)
 				c.Check(kind.ParseRan(w.Header().Get(kind.HeaderRan)), qt.Equals, x.ran)
 			})
 		})
--- a/briarrockd/caller/nested_test.go
+++ b/briarrockd/caller/nested_test.go
@@ -8,9 +8,10 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// TestNestedFirst guards against runs that are lost since a call of theirs waits behind
-// new work, and against callers who claim that right by the name of their request.
-func TestNestedFirst(t *testing.T) {
+// TestNestedPriority guards against lost work: a nested call must not wait behind new
+// calls. It also guards against callers that claim its priority by the trace ID of their
+// request.
+func TestNestedPriority(t *testing.T) {
 	c := qt.New(t)
 	p := New(Deps{IsRunning: func(trace string) bool { return trace == "running" }})
 	priority := func(trace string) snapshot.Priority {
--- a/briarrockd/caller/overload_test.go
+++ b/briarrockd/caller/overload_test.go
@@ -10,50 +10,50 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// TestBothRegionsPressed has no room in either region.
+// TestBothRegionsFull has full targets in both regions.
 //
-// A caller is refused at once. Asking the other region's targets for each call
-// would cost it two ways between the regions, and take room from that region's
-// own callers, who then would come here: nobody more would be served. So a far
-// refusal is remembered for long, and a near one for a moment.
-func TestBothRegionsPressed(t *testing.T) {
+// A call must be refused at once. Attempts in the other region for each call would cost
+// two trips between the regions, and take capacity from that region's own callers, which
+// would then send their calls here. No more calls would be served. So a refusal from
+// another region is remembered for long, and one from the own region for a moment.
+func TestBothRegionsFull(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"]
 	ch := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
-	asked, again := 0, time.Second
-	ask := func() {
+	attempts, retryAfter := 0, time.Second
+	pickUntilRefused := func() {
 		for {
 			u, _, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
 			if !ok {
 				return
 			}
-			asked++
-			ch.done(now, "orderdesk", u.host, Feedback{Load: 1, Full: true, Priority: snapshot.Normal, RetryAfter: again})
+			attempts++
+			ch.done(now, "orderdesk", u.host, Feedback{Load: 1, Full: true, Priority: snapshot.Normal, RetryAfter: retryAfter})
 		}
 	}
-	ask()
-	c.Check(asked, qt.Equals, len(set))
-	_, none, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
+	pickUntilRefused()
+	c.Check(attempts, qt.Equals, len(set))
+	_, ref, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsFalse)
-	c.Check(none.kind, qt.Equals, kind.Full)
+	c.Check(ref.kind, qt.Equals, kind.Full)
 	now = now.Add(maxFullTTL)
-	asked = 0
-	ask()
-	c.Check(asked, qt.Equals, 8, qt.Commentf("only the own region's"))
+	attempts = 0
+	pickUntilRefused()
+	c.Check(attempts, qt.Equals, 8, qt.Commentf("only the own region's targets are tried"))
 	now = now.Add(maxOtherRegionFullTTL)
-	asked, again = 0, 50*time.Millisecond
-	ask()
-	c.Check(asked, qt.Equals, len(set))
-	// Now the other region was only out of room for a moment.
-	now = now.Add(again)
-	asked = 0
-	ask()
-	c.Check(asked, qt.Equals, len(set))
+	attempts, retryAfter = 0, 50*time.Millisecond
+	pickUntilRefused()
+	c.Check(attempts, qt.Equals, len(set))
+	// The other region had reported a short retry delay.
+	now = now.Add(retryAfter)
+	attempts = 0
+	pickUntilRefused()
+	c.Check(attempts, qt.Equals, len(set))
 }
 
-// TestRegionLost takes all of a region's targets away: its calls go to the other
-// region at once, and back as soon as one of the own targets is there again.
+// TestRegionLost removes all targets of a region: its calls go to the other region at
+// once, and back as soon as one of the own targets returns.
 func TestRegionLost(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"]
@@ -67,12 +67,12 @@
 			south = append(south, u)
 		}
 	}
-	c.Check(count(ch, north, 10, now, Feedback{})["none"], qt.Equals, 0)
-	c.Check(count(ch, append(north, south[0]), 10, now, Feedback{}), qt.DeepEquals, map[string]int{"riverside": 10})
+	c.Check(picksByDomain(ch, north, 10, now, Feedback{})["none"], qt.Equals, 0)
+	c.Check(picksByDomain(ch, append(north, south[0]), 10, now, Feedback{}), qt.DeepEquals, map[string]int{"riverside": 10})
 }
 
-// TestFullByPriority refuses a call of low priority: more urgent ones, for which
-// a gate makes room, still ask there.
+// TestFullByPriority has an upstream that refuses a call of low priority: more urgent
+// calls, for which a Gate makes room, must still be sent to it.
 func TestFullByPriority(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"][:1]
@@ -83,17 +83,17 @@
 	c.Check(ok, qt.IsFalse)
 	_, _, ok = ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsTrue)
-	// The more urgent one is refused too, and after that a lesser one: the
-	// first's word holds on.
+	// The more urgent call is refused too, and after it one of lower priority: the first
+	// refusal still counts.
 	ch.done(now, "orderdesk", set[0].host, Feedback{Load: 1, Full: true, Priority: snapshot.Normal})
 	ch.done(now, "orderdesk", set[0].host, Feedback{Load: 1, Full: true, Priority: snapshot.Bulk})
 	_, _, ok = ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsFalse)
 }
 
-// TestFasterFirst has targets of different speed and little load: most calls go to
-// the faster ones. When some are full, two are compared, so that not all nodes
-// send to the same target.
+// TestFasterFirst has targets of different speed at low load: most calls go to the faster
+// ones. When some are full only two are compared, so that not all nodes send to the same
+// target.
 func TestFasterFirst(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"][:4] // of one domain
@@ -127,13 +127,13 @@
 	c.Check(overloaded > 60 && overloaded < 140, qt.IsTrue, qt.Commentf("%d", overloaded))
 }
 
-// TestBackAgain restarts a node, as all are after a loss of power.
+// TestRestartedNode restarts a node, as all nodes are after a power loss.
 //
-// Calls reach the new process before its target has been heard of, and it answers
-// that there is none to go to. As soon as its record says that the target is open it
-// is asked again: left alone for seconds, as one that leaves is, a whole service would
-// be taken for empty although all of its targets are back.
-func TestBackAgain(t *testing.T) {
+// Calls reach the new process before its target's announcement has arrived, and it
+// answers that it has no target. It must be picked again as soon as its member record
+// says that the target is open. If it were avoided for seconds, as a leaving one is, a
+// whole service would count as empty although all of its targets are back.
+func TestRestartedNode(t *testing.T) {
 	c := qt.New(t)
 	ms := members()
 	ch := NewBalancer("northgate", "north-line", 1)
--- a/briarrockd/caller/paced_test.go
+++ b/briarrockd/caller/paced_test.go
@@ -11,9 +11,9 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// TestPaced guards against upstreams that are asked in vain while their targets' rates are
-// used up, and against refusals for rate that count as overload or as failures.
-func TestPaced(t *testing.T) {
+// TestRateLimited guards against attempts at upstreams whose targets' rate limits are
+// used up, and against refusals due to rate limits that count as overload or as failures.
+func TestRateLimited(t *testing.T) {
 	c := qt.New(t)
 	const service = "orderdesk"
 	set := table(members()).upstreams[service]
@@ -22,23 +22,23 @@
 	for i := range set {
 		u, _, ok := ch.pick(now, service, set, nil, snapshot.Normal)
 		c.Assert(ok, qt.IsTrue)
-		again := 300*time.Millisecond + time.Duration(i)*time.Millisecond
-		ch.done(now, service, u.host, Feedback{Load: 1, Full: true, RateLimited: true, Priority: snapshot.Normal, RetryAfter: again})
+		retryAfter := 300*time.Millisecond + time.Duration(i)*time.Millisecond
+		ch.done(now, service, u.host, Feedback{Load: 1, Full: true, RateLimited: true, Priority: snapshot.Normal, RetryAfter: retryAfter})
 	}
-	_, none, ok := ch.pick(now, service, set, nil, snapshot.Normal)
+	_, ref, ok := ch.pick(now, service, set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsFalse)
-	c.Check(none, qt.Equals, refusal{kind.Rate, 300 * time.Millisecond})
+	c.Check(ref, qt.Equals, refusal{kind.Rate, 300 * time.Millisecond})
 	_, _, ok = ch.pick(now, service, set, nil, snapshot.Urgent)
-	c.Check(ok, qt.IsTrue, qt.Commentf("more urgent calls may have a turn"))
+	c.Check(ok, qt.IsTrue, qt.Commentf("more urgent calls may be allowed by the rate limit"))
 	c.Check(ch.overloaded(now, service, set), qt.IsFalse)
 	c.Check(ch.Ejected(now), qt.Equals, 0)
-	now = now.Add(none.retryAfter)
+	now = now.Add(ref.retryAfter)
 	_, _, ok = ch.pick(now, service, set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsTrue)
 }
 
-// TestNoticesKept guards against a leaving that a later notice of the same process takes
-// back, an older rate that replaces a newer one, and notices without a bound.
+// TestNoticesKept guards against a later notice of a process that revokes its leaving, an
+// older rate that replaces a newer one, and an unbounded number of notices.
 func TestNoticesKept(t *testing.T) {
 	c := qt.New(t)
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -21,35 +21,35 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// step is what one attempt meets, after a while.
-type step struct {
+// scriptedResult is the result of one attempt, after a delay.
+type scriptedResult struct {
 	after  time.Duration
-	status int       // of a target's answer; 0 for none
-	kind   kind.Kind // of a target's node that gives up
+	status int       // of a target's answer; 0 if it gives none
+	kind   kind.Kind // of a failure that the target's node reports
 	ran    kind.Ran
-	err    error // instead of any answer
+	err    error // of the transport, instead of an answer
 }
 
-// script is a transport that gives each attempt its step, in the order in
-// which the attempts come.
-type script struct {
-	mu    sync.Mutex
-	steps []step
-	hosts []string
-	// ended counts the attempts that came to their own end.
-	ended int
+// scriptedTransport is a transport that gives each attempt its result, in the order of
+// the attempts.
+type scriptedTransport struct {
+	mu      sync.Mutex
+	results []scriptedResult
+	hosts   []string
+	// finished counts the attempts that were not cancelled.
+	finished int
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *script) RoundTrip(req *http.Request) (*http.Response, error) {
+func (s *scriptedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	s.mu.Lock()
 	n := len(s.hosts)
 	s.hosts = append(s.hosts, req.URL.Host)
 	s.mu.Unlock()
-	if n >= len(s.steps) {
+	if n >= len(s.results) {
 		return nil, fmt.Errorf("attempt %d was not expected", n+1)
 	}
-	x := s.steps[n]
+	x := s.results[n]
 	if tr := httptrace.ContextClientTrace(req.Context()); tr != nil && !errors.Is(x.err, errRefused) {
 		tr.GotConn(httptrace.GotConnInfo{})
 	}
@@ -59,7 +59,7 @@
 		return nil, req.Context().Err()
 	}
 	s.mu.Lock()
-	s.ended++
+	s.finished++
 	s.mu.Unlock()
 	if x.err != nil {
 		return nil, x.err
@@ -72,7 +72,7 @@
 	return res, nil
 }
 
-// answerOf is an answer to a request, of a target or of its node.
+// answerOf returns an answer to a request, of a target or of its node.
 func answerOf(req *http.Request, status int, ran kind.Ran) *http.Response {
 	res := &http.Response{
 		StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Header: make(http.Header),
@@ -87,16 +87,16 @@
 	errBroken  = errors.New("broken")
 )
 
-// play sends one request by a route through a proxy whose attempts meet the
-// steps. It returns the answer and the transport.
-func play(route snapshot.Route, steps ...step) (*httptest.ResponseRecorder, *script) {
+// sendScripted sends one request by a route through a Proxy whose attempts have the given
+// results. It returns the answer and the transport.
+func sendScripted(route snapshot.Route, results ...scriptedResult) (*httptest.ResponseRecorder, *scriptedTransport) {
 	s := &snapshot.Snapshot{
 		Services: []snapshot.Service{{Name: "orderdesk", Slots: 6}},
 		Entries: []snapshot.Entry{{
 			Name: "r", Host: "desk.example", Route: route, Parts: []snapshot.Part{{Service: "orderdesk", Weight: 1}},
 		}},
 	}
-	tr := &script{steps: steps}
+	tr := &scriptedTransport{results: results}
 	p := New(Deps{
 		Balancer: NewBalancer("northgate", "north-line", 1), Budget: NewBudget(), Transport: tr, Scheme: "http",
 		CrashCount:   func(uint64) int { return 0 },
@@ -104,7 +104,7 @@
 		StallTimeout: time.Minute, Hedge: true,
 	})
 	for range 200 {
-		p.deps.Budget.addCall("orderdesk") // it has something saved up
+		p.deps.Budget.addCall("orderdesk") // fill the retry budget
 	}
 	ms := members()
 	for i := range ms {
@@ -124,16 +124,15 @@
 	return snapshot.Route{Path: "/orders/", Deadline: time.Second, Aim: 300 * time.Millisecond, Retries: retries, Again: true}
 }
 
-// TestRunsBounded has a first attempt that takes long and a second one that
-// fails.
+// TestRunsBounded has a slow first attempt and a second one that fails.
 //
-// The caller's request is sent to a second target since the first is slow, and
-// the second answers that it failed. The first may still be at work: a third
-// attempt would run the request at more targets than its route allows.
+// The request is hedged because the first attempt is slow, and the second target answers
+// with a failure. The first target may still be processing the request: a third attempt
+// would run it at more targets than its route allows.
 func TestRunsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		w, tr := play(repeatable(1), step{after: 500 * time.Millisecond, status: 200}, step{after: 20 * time.Millisecond, status: 500}, step{status: 200})
+		w, tr := sendScripted(repeatable(1), scriptedResult{after: 500 * time.Millisecond, status: 200}, scriptedResult{after: 20 * time.Millisecond, status: 500}, scriptedResult{status: 200})
 		c.Check(len(tr.hosts), qt.Equals, 2)
 		c.Check(w.Code, qt.Equals, 200)
 	})
@@ -141,61 +140,61 @@
 
 // TestHedge loses the answer of the first attempt.
 //
-// The caller would wait for its whole deadline. A second target is asked after
-// a part of the time that the route aims at, and its answer is given at once.
+// Without hedging the caller would wait until its deadline. A second target must get the
+// request after a part of the route's aim, and its answer must be passed on at once.
 func TestHedge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		began := time.Now()
-		w, tr := play(repeatable(1), step{after: time.Hour, status: 200}, step{after: 50 * time.Millisecond, status: 200})
+		w, tr := sendScripted(repeatable(1), scriptedResult{after: time.Hour, status: 200}, scriptedResult{after: 50 * time.Millisecond, status: 200})
 		c.Check(w.Code, qt.Equals, 200)
 		c.Check(time.Since(began), qt.Equals, 230*time.Millisecond)
 		c.Check(tr.hosts[0], qt.Not(qt.Equals), tr.hosts[1])
-		time.Sleep(2 * time.Second) // the first attempt ends by its own deadline
+		time.Sleep(2 * time.Second) // the first attempt ends by its deadline
 	})
 }
 
-// TestLoserRuns lets the first attempt lose the race: it is at work, and is
-// not broken off, since its target would only have worked for nothing.
-func TestLoserRuns(t *testing.T) {
+// TestSlowAttemptFinishes has a first attempt that is answered after the hedged one: it
+// must not be cancelled, because its target's work would be wasted.
+func TestSlowAttemptFinishes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		_, tr := play(repeatable(1), step{after: 400 * time.Millisecond, status: 200}, step{after: 50 * time.Millisecond, status: 200})
+		_, tr := sendScripted(repeatable(1), scriptedResult{after: 400 * time.Millisecond, status: 200}, scriptedResult{after: 50 * time.Millisecond, status: 200})
 		time.Sleep(time.Second)
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
-		c.Check(tr.ended, qt.Equals, 2)
+		c.Check(tr.finished, qt.Equals, 2)
 	})
 }
 
-// TestOutcomes goes through the ends that an attempt can have, and what the
-// caller is told after them.
+// TestOutcomes checks the number of attempts and the caller's answer for each result that
+// attempts can have.
 func TestOutcomes(t *testing.T) {
 	once := snapshot.Route{Path: "/orders/", Mode: snapshot.Once, Deadline: time.Second, Retries: 1}
-	full := step{kind: kind.Full, ran: kind.RanNo}
+	full := scriptedResult{kind: kind.Full, ran: kind.RanNo}
 	for name, x := range map[string]struct {
 		route    snapshot.Route
-		steps    []step
+		results  []scriptedResult
 		attempts int
 		status   int
 		ran      kind.Ran
 	}{
-		"a failure is repeated":                  {repeatable(1), []step{{status: 500}, {status: 200}}, 2, 200, kind.RanYes},
-		"the last failure is passed on":          {repeatable(1), []step{{status: 500}, {status: 503}}, 2, 503, kind.RanYes},
-		"a failure is final for once":            {once, []step{{status: 500}}, 1, 500, kind.RanYes},
-		"a broken answer is repeated":            {repeatable(1), []step{{err: errBroken}, {status: 200}}, 2, 200, kind.RanYes},
-		"a broken answer is unknown for once":    {once, []step{{err: errBroken}}, 1, 502, kind.RanUnknown},
-		"a refusal moves on, also for once":      {once, []step{full, full, {status: 200}}, 3, 200, kind.RanYes},
-		"moves are bounded":                      {once, []step{full, full, full, full, full}, maxReroutes + 1, 503, kind.RanNo},
-		"a refusal after a run promises nothing": {repeatable(1), []step{{err: errBroken}, full, full, full, full}, maxReroutes + 2, 503, kind.RanUnknown},
-		"no connection moves on":                 {once, []step{{err: errRefused}, {status: 200}}, 2, 200, kind.RanYes},
-		"a target's own refusal is a run":        {once, []step{{kind: kind.Shed, ran: kind.RanNo}, {status: 200}}, 2, 200, kind.RanYes},
-		"a route without retries has one":        {snapshot.Route{Path: "/", Deadline: time.Second}, []step{full}, 1, 503, kind.RanNo},
+		"a failure is repeated":                     {repeatable(1), []scriptedResult{{status: 500}, {status: 200}}, 2, 200, kind.RanYes},
+		"the last failure is passed on":             {repeatable(1), []scriptedResult{{status: 500}, {status: 503}}, 2, 503, kind.RanYes},
+		"a failure is final for once":               {once, []scriptedResult{{status: 500}}, 1, 500, kind.RanYes},
+		"a broken answer is repeated":               {repeatable(1), []scriptedResult{{err: errBroken}, {status: 200}}, 2, 200, kind.RanYes},
+		"a broken answer is unknown for once":       {once, []scriptedResult{{err: errBroken}}, 1, 502, kind.RanUnknown},
+		"a refusal is rerouted, also for once":      {once, []scriptedResult{full, full, {status: 200}}, 3, 200, kind.RanYes},
+		"reroutes are bounded":                      {once, []scriptedResult{full, full, full, full, full}, maxReroutes + 1, 503, kind.RanNo},
+		"a refusal after a possible run is unknown": {repeatable(1), []scriptedResult{{err: errBroken}, full, full, full, full}, maxReroutes + 2, 503, kind.RanUnknown},
+		"a failed connection is rerouted":           {once, []scriptedResult{{err: errRefused}, {status: 200}}, 2, 200, kind.RanYes},
+		"a target's own refusal counts as a run":    {once, []scriptedResult{{kind: kind.Shed, ran: kind.RanNo}, {status: 200}}, 2, 200, kind.RanYes},
+		"a route without retries has one attempt":   {snapshot.Route{Path: "/", Deadline: time.Second}, []scriptedResult{full}, 1, 503, kind.RanNo},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				w, tr := play(x.route, x.steps...)
+				w, tr := sendScripted(x.route, x.results...)
 				c.Check(len(tr.hosts), qt.Equals, x.attempts)
 				c.Check(w.Code, qt.Equals, x.status)
 				c.Check(kind.ParseRan(w.Header().Get(kind.HeaderRan)), qt.Equals, x.ran)
@@ -204,30 +203,30 @@
 	}
 }
 
-// TestAnswerCut has an answer that ends before its declared length.
+// TestTruncatedAnswer has an answer that ends before its declared length.
 //
-// Passed on as it comes it would break the caller's connection, or worse look
-// whole. It is noticed before any of it goes out, and asked for again.
-func TestAnswerCut(t *testing.T) {
+// If it were passed on as it arrives it would break the caller's connection, or worse,
+// look complete. It must be detected before any of it is sent to the caller, so that the
+// request can be retried.
+func TestTruncatedAnswer(t *testing.T) {
 	c := qt.New(t)
 	res := &http.Response{
 		StatusCode: 200, Header: make(http.Header), ContentLength: 10,
-		Body: io.NopCloser(io.MultiReader(strings.NewReader("half"), broken{})),
+		Body: io.NopCloser(io.MultiReader(strings.NewReader("half"), brokenReader{})),
 	}
 	c.Check(relay.Whole(res, 1<<10), qt.ErrorMatches, "broken")
 }
 
-type broken struct{}
+type brokenReader struct{}
 
 // Read implements io.Reader.
-func (broken) Read([]byte) (int, error) { return 0, errBroken }
+func (brokenReader) Read([]byte) (int, error) { return 0, errBroken }
 
-// TestShares sends many requests to an entry of two services.
+// TestEntryWeights sends many requests to an entry of two services.
 //
-// An operator moves a tenth of a route's requests to another service. Each
-// node's share must be near that within few requests, since its callers may
-// send no more.
-func TestShares(t *testing.T) {
+// An operator moves a tenth of a route's requests to another service. The share must be
+// near that within few requests at each node, because its callers may send no more.
+func TestEntryWeights(t *testing.T) {
 	c := qt.New(t)
 	s := &snapshot.Snapshot{
 		Services: []snapshot.Service{{Name: "new"}, {Name: "old"}},
--- a/briarrockd/caller/start_test.go
+++ b/briarrockd/caller/start_test.go
@@ -12,8 +12,9 @@
 	"briarrock.example/mesh/kind"
 )
 
-// ask sends a request to a Proxy and returns how long it took, and the kind of failure.
-func ask(p *Proxy) (time.Duration, kind.Kind) {
+// sendRequest sends a request to a Proxy. It returns the time until the answer and the
+// kind of failure.
+func sendRequest(p *Proxy) (time.Duration, kind.Kind) {
 	r := httptest.NewRequest(http.MethodGet, "http://orderdesk/", nil)
 	w := httptest.NewRecorder()
 	began := time.Now()
@@ -21,14 +22,14 @@
 	return time.Since(began), kind.Kind(w.Header().Get(kind.HeaderKind))
 }
 
-// TestHoldAtStart guards against a herd of restarted nodes that refuse all of their
-// callers in the moment before they have a configuration and know the targets.
+// TestHoldAtStart guards against restarted nodes that refuse all calls in the moment
+// before they have a configuration and know their targets.
 func TestHoldAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p := New(Deps{
 			Balancer: NewBalancer("a", "b", 1), Budget: NewBudget(), Authenticate: func(http.Header) (string, bool) { return "", true },
-			CrashCount: func(uint64) int { return 0 }, Transport: &script{steps: []step{{status: http.StatusOK}}}, StallTimeout: time.Second,
+			CrashCount: func(uint64) int { return 0 }, Transport: &scriptedTransport{results: []scriptedResult{{status: http.StatusOK}}}, StallTimeout: time.Second,
 		})
 		go func() {
 			time.Sleep(200 * time.Millisecond)
@@ -36,18 +37,18 @@
 			time.Sleep(100 * time.Millisecond)
 			p.SetTable(table(members()))
 		}()
-		took, k := ask(p)
+		took, k := sendRequest(p)
 		c.Check(took, qt.Equals, 300*time.Millisecond)
 		c.Check(k, qt.Equals, kind.None)
 
 		p = New(Deps{Balancer: NewBalancer("a", "b", 1), Budget: NewBudget()})
-		took, k = ask(p)
+		took, k = sendRequest(p)
 		c.Check(took, qt.Equals, maxStartupWait)
 		c.Check(k, qt.Equals, kind.Config)
 
 		// A node that has been up for a while refuses at once.
 		time.Sleep(startupPeriod)
-		took, k = ask(p)
+		took, k = sendRequest(p)
 		c.Check(took, qt.Equals, time.Duration(0))
 		c.Check(k, qt.Equals, kind.Config)
 	})
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -22,153 +22,158 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// A mesh whose targets tell of themselves in their answers, played with the real Proxies
-// and Targets of all hosts on the paused clock. The network and the work are stand-ins.
+// A simulation of a mesh whose targets report rate limits and leaving in their answers.
+// It uses the real Proxies and Targets of all hosts on a simulated clock. The network and
+// the targets' work are simulated.
 const (
-	toldService  = "ledger"
-	toldSlots    = 18
-	toldWork     = 60 * time.Millisecond
-	toldAim      = 300 * time.Millisecond
-	toldDeadline = 800 * time.Millisecond
-	toldDomains  = 4
-	toldRestart  = 300 * time.Millisecond
+	noticeService  = "ledger"
+	noticeSlots    = 18
+	noticeWork     = 60 * time.Millisecond
+	noticeAim      = 300 * time.Millisecond
+	noticeDeadline = 800 * time.Millisecond
+	noticeDomains  = 4
+	noticeRestart  = 300 * time.Millisecond
 )
 
-// toldMesh is one play.
-type toldMesh struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	hosts   []*toldHost
-	members []peer.Member
-	snap    *snapshot.Snapshot
-	wg      sync.WaitGroup
-	calls   int
-	answers int
-	asked   int // attempts at targets' nodes
-	over    int // runs beyond a target's slots
+// noticeMesh is one simulation.
+type noticeMesh struct {
+	mu        sync.Mutex
+	rng       *rand.Rand
+	hosts     []*noticeHost
+	members   []peer.Member
+	snap      *snapshot.Snapshot
+	wg        sync.WaitGroup
+	calls     int
+	answered  int
+	attempts  int // requests to targets' nodes
+	overSlots int // runs in excess of a target's slots
 }
 
-// toldHost is a host with its node and, on some of them, a target.
-type toldHost struct {
-	m      *toldMesh
+// noticeHost is a host with a node and, on some hosts, a target.
+type noticeHost struct {
+	m      *noticeMesh
 	n      int
 	region string
 	proxy  *Proxy
 
 	mu      sync.Mutex
 	targets *target.Targets
-	// down ends with the node's process, frozen is until when that stands still.
-	down   context.Context
-	kill   context.CancelFunc
-	frozen time.Time
-	app    *toldApp
+	// down is cancelled when the node's process is killed. frozenUntil is until when that
+	// process is frozen.
+	nodeCtx     context.Context
+	kill        context.CancelFunc
+	frozenUntil time.Time
+	app         *noticeTarget
 }
 
-// toldApp is a target's process and what reached it.
-type toldApp struct {
-	born    int64
-	rate    string
-	leaving bool
-	running int
-	named   []toldRate
-	arrived []toldArrival
-	// leavingAt and ratedAt are when each entry node passed on such an answer first.
-	leavingAt, ratedAt map[int]time.Time
+// noticeTarget is the process of a target, and the requests that reached it.
+type noticeTarget struct {
+	startedAt int64
+	rate      string
+	leaving   bool
+	running   int
+	rates     []noticeRate
+	arrivals  []noticeArrival
+	// leavingSeenAt and rateSeenAt are the times at which each entry node first passed on
+	// an answer that reported leaving or a rate.
+	leavingSeenAt, rateSeenAt map[int]time.Time
 }
 
-// toldRate is a rate that was named from a time on.
-type toldRate struct {
+// noticeRate is a rate limit that the target reported from a time on.
+type noticeRate struct {
 	at   time.Time
 	rate target.Rate
 }
 
-// toldArrival is a request that reached a target, from the entry node where it began.
-type toldArrival struct {
+// noticeArrival is a request that reached a target, and the entry node that received it
+// from the caller.
+type noticeArrival struct {
 	at, sent time.Time
 	entry    int
 }
 
-func newToldMesh(hosts, targets int) *toldMesh {
-	m := &toldMesh{rng: rand.New(rand.NewPCG(1, 2))}
+func newNoticeMesh(hosts, targets int) *noticeMesh {
+	m := &noticeMesh{rng: rand.New(rand.NewPCG(1, 2))}
 	m.snap = &snapshot.Snapshot{
-		Services: []snapshot.Service{{Name: toldService, Slots: toldSlots, Conns: 500, Queue: snapshot.QueueBySlots}},
+		Services: []snapshot.Service{{Name: noticeService, Slots: noticeSlots, Conns: 500, Queue: snapshot.QueueBySlots}},
 		Entries: []snapshot.Entry{{
-			Name: "view", Host: "told.example", Parts: []snapshot.Part{{Service: toldService, Weight: 1}},
-			Route: snapshot.Route{Path: "/", Deadline: toldDeadline, Aim: toldAim, Priority: 7, Retries: 2, Again: true},
+			Name: "view", Host: "told.example", Parts: []snapshot.Part{{Service: noticeService, Weight: 1}},
+			Route: snapshot.Route{Path: "/", Deadline: noticeDeadline, Aim: noticeAim, Priority: 7, Retries: 2, Again: true},
 		}},
 	}
 	for i := range hosts {
-		h := &toldHost{m: m, n: i, region: fmt.Sprint("r", i%2)}
-		member := peer.Member{Host: fmt.Sprint(i), Domain: fmt.Sprint("d", i%toldDomains), Region: h.region, Peer: fmt.Sprint(i), Call: fmt.Sprint(i) + ":1"}
+		h := &noticeHost{m: m, n: i, region: fmt.Sprint("r", i%2)}
+		member := peer.Member{Host: fmt.Sprint(i), Domain: fmt.Sprint("d", i%noticeDomains), Region: h.region, Peer: fmt.Sprint(i), Call: fmt.Sprint(i) + ":1"}
 		if i < targets {
-			h.app = newToldApp(1)
+			h.app = newNoticeTarget(1)
 			h.startTargets()
-			member.Targets = []peer.Target{{Service: toldService, Slots: toldSlots}}
+			member.Targets = []peer.Target{{Service: noticeService, Slots: noticeSlots}}
 		}
 		h.proxy = New(Deps{
-			Balancer: NewBalancer(member.Domain, member.Region, uint64(i)), Budget: NewBudget(), Transport: toldNet{h}, Scheme: "http",
+			Balancer: NewBalancer(member.Domain, member.Region, uint64(i)), Budget: NewBudget(), Transport: noticeNet{h}, Scheme: "http",
 			CrashCount: func(uint64) int { return 0 }, Authenticate: func(http.Header) (string, bool) { return "front", true },
-			Log: quietLog(), StallTimeout: time.Minute, Hedge: true,
+			Log: discardLog(), StallTimeout: time.Minute, Hedge: true,
 		})
 		m.hosts, m.members = append(m.hosts, h), append(m.members, member)
 	}
-	m.use()
+	m.setTables()
 	return m
 }
 
-func quietLog() *event.Log { return event.New(io.Discard, true, logrus.ErrorLevel, "h") }
+func discardLog() *event.Log { return event.New(io.Discard, true, logrus.ErrorLevel, "h") }
 
-func (m *toldMesh) use() {
+func (m *noticeMesh) setTables() {
 	for _, h := range m.hosts {
 		h.proxy.SetTable(NewTable(1, m.snap, m.members))
 	}
 }
 
-func newToldApp(born int64) *toldApp {
-	return &toldApp{born: born, leavingAt: make(map[int]time.Time), ratedAt: make(map[int]time.Time)}
+func newNoticeTarget(startedAt int64) *noticeTarget {
+	return &noticeTarget{startedAt: startedAt, leavingSeenAt: make(map[int]time.Time), rateSeenAt: make(map[int]time.Time)}
 }
 
-// startTargets starts the node's process, which knows its target by an announcement.
-func (h *toldHost) startTargets() {
+// startTargets starts the node's process. It learns of its target by an announcement.
+func (h *noticeHost) startTargets() {
 	h.mu.Lock()
-	h.down, h.kill = context.WithCancel(context.Background())
+	h.nodeCtx, h.kill = context.WithCancel(context.Background())
 	h.targets = target.New(target.Deps{
 		Changed: func([]peer.Target) {}, Crashed: func(peer.Crashed) {}, Suspicion: func(uint64) int { return 0 },
-		Log: quietLog(), Stall: time.Minute, Silent: time.Hour, NoTurns: true,
-		Dialect: func(http.RoundTripper) http.RoundTripper { return toldWorker{h} },
+		Log: discardLog(), Stall: time.Minute, Silent: time.Hour, NoTurns: true,
+		Dialect: func(http.RoundTripper) http.RoundTripper { return noticeTargetConn{h} },
 	})
 	h.targets.Configure(h.m.snap)
 	h.mu.Unlock()
 	h.announce(1)
 }
 
-// announce says that the target is up, as it does each second until it leaves.
-func (h *toldHost) announce(seq int64) {
+// announce sends the announcement that the target is up, as targets do each second until
+// they leave.
+func (h *noticeHost) announce(seq int64) {
 	h.mu.Lock()
-	ts, born := h.targets, h.app.born
+	ts, startedAt := h.targets, h.app.startedAt
 	h.mu.Unlock()
-	ts.Heard(target.Announcement{ID: fmt.Sprint("i-", h.n), Service: toldService, Addr: "127.0.0.1:1", Slots: toldSlots, Connections: 500, State: target.StateUp, Born: born, Seq: seq})
+	ts.Heard(target.Announcement{ID: fmt.Sprint("i-", h.n), Service: noticeService, Addr: "127.0.0.1:1", Slots: noticeSlots, Connections: 500, State: target.StateUp, Born: startedAt, Seq: seq})
 }
 
-// restart kills the node beside a target and starts it again.
-func (h *toldHost) restart() {
+// restart kills the node on a target's host and starts it again.
+func (h *noticeHost) restart() {
 	h.mu.Lock()
 	h.kill()
 	old := h.targets
 	h.mu.Unlock()
 	h.m.wg.Go(func() {
 		old.Close()
-		time.Sleep(toldRestart)
+		time.Sleep(noticeRestart)
 		h.startTargets()
 		h.m.members[h.n].Incarnation++
-		h.m.use()
+		h.m.setTables()
 	})
 }
 
-// close ends the play.
-func (m *toldMesh) close() {
+// close ends the simulation.
+func (m *noticeMesh) close() {
 	m.wg.Wait()
-	time.Sleep(time.Minute) // what lost a race ends by its own deadline
+	time.Sleep(time.Minute) // attempts that are still in flight end by their deadlines
 	for _, h := range m.hosts {
 		if h.app != nil {
 			h.targets.Close()
@@ -177,43 +182,43 @@
 	}
 }
 
-// toldNet is the network between nodes, as seen from one.
-type toldNet struct{ from *toldHost }
+// noticeNet is a simulated network between nodes, used as the transport of one of them.
+type noticeNet struct{ from *noticeHost }
 
 // RoundTrip implements http.RoundTripper.
-func (n toldNet) RoundTrip(req *http.Request) (*http.Response, error) {
+func (n noticeNet) RoundTrip(req *http.Request) (*http.Response, error) {
 	i, _ := strconv.Atoi(strings.TrimSuffix(req.URL.Host, ":1"))
 	to := n.from.m.hosts[i]
 	to.m.mu.Lock()
-	to.m.asked++
+	to.m.attempts++
 	to.m.mu.Unlock()
-	hop := chainNear
+	hop := chainNearDelay
 	if to.region != n.from.region {
-		hop = chainFar
+		hop = chainFarDelay
 	}
 	if !sleep(req.Context(), hop) {
 		return nil, req.Context().Err()
 	}
 	to.mu.Lock()
-	down, ts, thaw := to.down, to.targets, time.Until(to.frozen)
+	nodeCtx, ts, frozenFor := to.nodeCtx, to.targets, time.Until(to.frozenUntil)
 	to.mu.Unlock()
-	if down.Err() != nil {
+	if nodeCtx.Err() != nil {
 		return nil, errRefused
 	}
 	if tr := httptrace.ContextClientTrace(req.Context()); tr != nil {
 		tr.GotConn(httptrace.GotConnInfo{})
 	}
-	if thaw > 0 && !sleep(req.Context(), thaw) {
+	if frozenFor > 0 && !sleep(req.Context(), frozenFor) {
 		return nil, req.Context().Err()
 	}
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
-	defer context.AfterFunc(down, cancel)()
+	defer context.AfterFunc(nodeCtx, cancel)()
 	in := httptest.NewRequest(req.Method, req.URL.Path, req.Body).WithContext(ctx)
 	in.Host, in.Header, in.ContentLength = req.Host, req.Header, req.ContentLength
 	w := httptest.NewRecorder()
 	ts.ServeHTTP(w, in)
-	if down.Err() != nil || !sleep(req.Context(), hop) {
+	if nodeCtx.Err() != nil || !sleep(req.Context(), hop) {
 		return nil, errBroken
 	}
 	res := w.Result()
@@ -221,16 +226,16 @@
 	return res, nil
 }
 
-// toldWorker is the connection of a node to its target.
-type toldWorker struct{ h *toldHost }
+// noticeTargetConn is the transport from a node to its simulated target.
+type noticeTargetConn struct{ h *noticeHost }
 
 // RoundTrip implements http.RoundTripper.
-func (x toldWorker) RoundTrip(req *http.Request) (*http.Response, error) {
+func (x noticeTargetConn) RoundTrip(req *http.Request) (*http.Response, error) {
 	if tr := httptrace.ContextClientTrace(req.Context()); tr != nil {
 		tr.GotConn(httptrace.GotConnInfo{})
 	}
-	app := x.h.arrive(req.Header.Get(target.HeaderTrace))
-	ok := sleep(req.Context(), time.Duration(float64(toldWork)*(0.5+x.h.m.float())))
+	app := x.h.recordArrival(req.Header.Get(target.HeaderTrace))
+	ok := sleep(req.Context(), time.Duration(float64(noticeWork)*(0.5+x.h.m.float())))
 	x.h.mu.Lock()
 	defer x.h.mu.Unlock()
 	app.running--
@@ -238,7 +243,7 @@
 		return nil, req.Context().Err()
 	}
 	res := answerOf(req, http.StatusOK, kind.RanYes)
-	text := fmt.Sprintf("%d %d %s %v", x.h.n, app.born, app.rate, app.leaving)
+	text := fmt.Sprintf("%d %d %s %v", x.h.n, app.startedAt, app.rate, app.leaving)
 	res.Body, res.ContentLength = io.NopCloser(strings.NewReader(text)), int64(len(text))
 	if app.rate != "" {
 		res.Header.Set(target.HeaderRate, app.rate)
@@ -249,59 +254,62 @@
 	return res, nil
 }
 
-// arrive notes a request by its trace: the entry node, and when its caller sent it.
-func (h *toldHost) arrive(trace string) *toldApp {
+// recordArrival records a request: its entry node and the time when its caller sent it
+// are in its trace ID.
+func (h *noticeHost) recordArrival(trace string) *noticeTarget {
 	var entry int
 	var sent int64
 	_, _ = fmt.Sscanf(trace, "%d-%d", &entry, &sent)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.app.arrived = append(h.app.arrived, toldArrival{time.Now(), time.Unix(0, sent), entry})
-	if h.app.running++; h.app.running > toldSlots {
+	h.app.arrivals = append(h.app.arrivals, noticeArrival{time.Now(), time.Unix(0, sent), entry})
+	if h.app.running++; h.app.running > noticeSlots {
 		h.m.mu.Lock()
-		h.m.over++
+		h.m.overSlots++
 		h.m.mu.Unlock()
 	}
 	return h.app
 }
 
-func (m *toldMesh) float() float64 {
+func (m *noticeMesh) float() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.rng.Float64()
 }
 
-// ask sends one request at a host and notes what its answer told the host's node.
-func (h *toldHost) ask() {
+// sendRequest sends one request to the node of the host and records what its answer
+// reports.
+func (h *noticeHost) sendRequest() {
 	req := httptest.NewRequest(http.MethodGet, "http://told.example/", nil)
 	req.Header.Set(target.HeaderTrace, fmt.Sprintf("%d-%d", h.n, time.Now().UnixNano()))
-	req.Header.Set(target.HeaderDeadline, strconv.FormatInt(toldDeadline.Milliseconds(), 10))
+	req.Header.Set(target.HeaderDeadline, strconv.FormatInt(noticeDeadline.Milliseconds(), 10))
 	w := httptest.NewRecorder()
 	h.proxy.ServeHTTP(w, req)
 	h.m.mu.Lock()
 	h.m.calls++
 	if w.Code == http.StatusOK {
-		h.m.answers++
+		h.m.answered++
 	}
 	h.m.mu.Unlock()
 	if w.Code == http.StatusOK {
-		h.told(strings.Split(w.Body.String(), " "))
+		h.recordAnswer(strings.Split(w.Body.String(), " "))
 	}
 }
 
-// told notes an answer's target, its process, its rate and whether it leaves.
-func (h *toldHost) told(words []string) {
+// recordAnswer records when the host's node first passed on a rate or leaving. words are
+// the answer's target, its process, its rate and whether it is leaving.
+func (h *noticeHost) recordAnswer(words []string) {
 	n, _ := strconv.Atoi(words[0])
-	by := h.m.hosts[n]
-	by.mu.Lock()
-	defer by.mu.Unlock()
-	if strconv.FormatInt(by.app.born, 10) != words[1] {
+	server := h.m.hosts[n]
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	if strconv.FormatInt(server.app.startedAt, 10) != words[1] {
 		return
 	}
-	if _, ok := by.app.ratedAt[h.n]; !ok && words[2] != "" {
-		by.app.ratedAt[h.n] = time.Now()
+	if _, ok := server.app.rateSeenAt[h.n]; !ok && words[2] != "" {
+		server.app.rateSeenAt[h.n] = time.Now()
 	}
-	if _, ok := by.app.leavingAt[h.n]; !ok && words[3] == "true" {
-		by.app.leavingAt[h.n] = time.Now()
+	if _, ok := server.app.leavingSeenAt[h.n]; !ok && words[3] == "true" {
+		server.app.leavingSeenAt[h.n] = time.Now()
 	}
 }
--- a/briarrockd/caller/told_test.go
+++ b/briarrockd/caller/told_test.go
@@ -13,21 +13,23 @@
 	"briarrock.example/briarrockd/target"
 )
 
-// Bounds of the users' platform on what a target gets after it has told of itself.
+// Bounds of the users' platform on the requests that a target may get after it has
+// reported a rate limit or that it is leaving.
 const (
-	toldContact = 3 * time.Second
-	toldWindow  = 4 * time.Second
-	toldFactor  = 1.5
-	toldSlack   = 5
-	toldKnown   = 500 * time.Millisecond
-	toldDrain   = 2500 * time.Millisecond
-	// toldAttempts is the most attempts at targets' nodes for a hundred calls.
-	toldAttempts = 130
+	noticeRateGrace    = 3 * time.Second
+	noticeRateWindow   = 4 * time.Second
+	noticeRateFactor   = 1.5
+	noticeRateSlack    = 5
+	noticeNodeGrace    = 500 * time.Millisecond
+	noticeLeavingGrace = 2500 * time.Millisecond
+	// noticeMaxAttempts bounds the attempts at targets' nodes for a hundred calls.
+	noticeMaxAttempts = 130
 )
 
-// play sends load requests a second for some seconds, while the steps of a script happen,
-// one a line: the second, what, which target, and a value.
-func (m *toldMesh) play(c *qt.C, load, seconds int, script string) {
+// run sends load requests per second for some seconds, while it executes the steps of a
+// script. Each line of that has the second, the action, the number of the target, and a
+// value.
+func (m *noticeMesh) run(c *qt.C, load, seconds int, script string) {
 	began := time.Now()
 	for line := range strings.Lines(script) {
 		words := strings.Fields(line)
@@ -41,7 +43,7 @@
 		}
 		m.wg.Go(func() {
 			time.Sleep(time.Duration(at * float64(time.Second)))
-			m.hosts[n].happen(c, words[1], value)
+			m.hosts[n].apply(c, words[1], value)
 		})
 	}
 	gap := float64(time.Second) / float64(load)
@@ -50,19 +52,19 @@
 		pause, h := time.Duration(m.rng.ExpFloat64()*gap), m.hosts[m.rng.IntN(len(m.hosts))]
 		m.mu.Unlock()
 		time.Sleep(pause)
-		m.wg.Go(h.ask)
+		m.wg.Go(h.sendRequest)
 	}
 	m.wg.Wait()
 }
 
-func (h *toldHost) happen(c *qt.C, what, value string) {
+func (h *noticeHost) apply(c *qt.C, what, value string) {
 	switch what {
 	case "rate":
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.app.rate = strings.Trim(value, "-")
 		if r, err := target.ParseRate(h.app.rate); err == nil || h.app.rate == "" {
-			h.app.named = append(h.app.named, toldRate{time.Now(), r})
+			h.app.rates = append(h.app.rates, noticeRate{time.Now(), r})
 		}
 	case "leaves":
 		h.mu.Lock()
@@ -74,7 +76,7 @@
 		h.restart()
 	case "replaced":
 		h.mu.Lock()
-		h.app = newToldApp(h.app.born + 10000)
+		h.app = newNoticeTarget(h.app.startedAt + 10000)
 		h.mu.Unlock()
 		h.announce(1)
 	case "frozen":
@@ -82,66 +84,66 @@
 		c.Assert(err, qt.IsNil)
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.frozen = time.Now().Add(d)
+		h.frozenUntil = time.Now().Add(d)
 	default:
 		c.Fatalf("no step %q", what)
 	}
 }
 
-// allowed is the most that a target may get in a window that begins at from, and whether
-// it named a rate in all of it.
-func (a *toldApp) allowed(from time.Time) (float64, bool) {
-	most, bounded := 0.0, false
-	for i, x := range a.named {
-		ends := i+1 < len(a.named) && !a.named[i+1].at.After(from)
-		if ends || x.at.After(from.Add(toldWindow)) {
+// allowedRequests returns how many requests a target may get in the window that begins at
+// from, and whether it reported a rate limit for all of the window.
+func (a *noticeTarget) allowedRequests(from time.Time) (float64, bool) {
+	maxRate, bounded := 0.0, false
+	for i, x := range a.rates {
+		ends := i+1 < len(a.rates) && !a.rates[i+1].at.After(from)
+		if ends || x.at.After(from.Add(noticeRateWindow)) {
 			continue
 		}
 		n, ok := x.rate.PerSecond()
 		if !ok || x.at.After(from) && !bounded {
 			return 0, false
 		}
-		most, bounded = max(most, n), true
+		maxRate, bounded = max(maxRate, n), true
 	}
-	return toldFactor*most*toldWindow.Seconds() + toldSlack, bounded
+	return noticeRateFactor*maxRate*noticeRateWindow.Seconds() + noticeRateSlack, bounded
 }
 
-// overRate is the most that a target got in some window beyond what its rates allowed,
-// from entry nodes that had passed a rate on, and how much of the rates it got in all,
-// from any node.
-func (a *toldApp) overRate() (over, used float64) {
-	if len(a.named) == 0 {
+// overRate returns the highest number of requests by which a target exceeded the allowed
+// ones in a window, counting those from entry nodes that had passed a rate on. It also
+// returns the share of the allowed rates that the target got in total, from any node.
+func (a *noticeTarget) overRate() (excess, used float64) {
+	if len(a.rates) == 0 {
 		return 0, 1
 	}
-	first := a.named[0].at.Add(toldContact)
-	got, due := 0, 0.0
-	for i, x := range a.arrived {
-		most, bounded := a.allowed(x.at)
-		if x.at.Before(first) || !bounded || a.arrived[len(a.arrived)-1].at.Sub(x.at) < toldWindow {
+	first := a.rates[0].at.Add(noticeRateGrace)
+	got, allowance := 0, 0.0
+	for i, x := range a.arrivals {
+		limit, bounded := a.allowedRequests(x.at)
+		if x.at.Before(first) || !bounded || a.arrivals[len(a.arrivals)-1].at.Sub(x.at) < noticeRateWindow {
 			continue
 		}
 		n := 0
-		for _, y := range a.arrived[i:] {
-			if y.at.Sub(x.at) >= toldWindow {
+		for _, y := range a.arrivals[i:] {
+			if y.at.Sub(x.at) >= noticeRateWindow {
 				break
 			}
 			got++
-			if at, ok := a.ratedAt[y.entry]; ok && y.at.Sub(at) >= toldKnown {
+			if at, ok := a.rateSeenAt[y.entry]; ok && y.at.Sub(at) >= noticeNodeGrace {
 				n++
 			}
 		}
-		over = max(over, float64(n)-most)
-		due += (most - toldSlack) / toldFactor
+		excess = max(excess, float64(n)-limit)
+		allowance += (limit - noticeRateSlack) / noticeRateFactor
 	}
-	if due == 0 {
-		return over, 1
+	if allowance == 0 {
+		return excess, 1
 	}
-	return over, float64(got) / due
+	return excess, float64(got) / allowance
 }
 
-// TestNamedRate guards against a target that gets more requests a second than it names in
-// its answers, summed over all nodes, also while its own node is killed or frozen, and
-// against other targets that stay idle meanwhile.
+// TestNamedRate guards against a target that gets more requests per second, summed over
+// all nodes, than the rate limit in its answers, also while its own node is killed or
+// frozen. It also guards against other targets that stay idle meanwhile.
 func TestNamedRate(t *testing.T) {
 	datadriven.RunTest(t, "testdata/rate", func(t *testing.T, d *datadriven.TestData) string {
 		c := qt.New(t)
@@ -153,18 +155,18 @@
 		d.ScanArgs(t, "served", &served)
 		d.ScanArgs(t, "used", &used)
 		synctest.Test(t, func(*testing.T) {
-			m := newToldMesh(hosts, targets)
-			m.play(c, load, seconds, d.Input)
+			m := newNoticeMesh(hosts, targets)
+			m.run(c, load, seconds, d.Input)
 			m.close()
-			share, asked := float64(m.answers)/float64(m.calls), float64(m.asked)/float64(m.calls)
-			t.Logf("%.3f of %d calls served, %.2f attempts each", share, m.calls, asked)
+			share, attempts := float64(m.answered)/float64(m.calls), float64(m.attempts)/float64(m.calls)
+			t.Logf("%.3f of %d calls served, %.2f attempts per call", share, m.calls, attempts)
 			c.Check(share*100 >= float64(served), qt.IsTrue, qt.Commentf("%.3f of the calls are served", share))
-			c.Check(asked*100 <= toldAttempts, qt.IsTrue, qt.Commentf("%.2f attempts a call", asked))
-			c.Check(m.over, qt.Equals, 0, qt.Commentf("runs beyond a target's slots"))
+			c.Check(attempts*100 <= noticeMaxAttempts, qt.IsTrue, qt.Commentf("%.2f attempts per call", attempts))
+			c.Check(m.overSlots, qt.Equals, 0, qt.Commentf("runs in excess of a target's slots"))
 			for _, h := range m.hosts[:targets] {
-				over, use := h.app.overRate()
-				t.Logf("target %d: %d requests, %.0f beyond the most allowed in a window, %.2f of its rate used; served %.3f", h.n, len(h.app.arrived), over, use, share)
-				c.Check(over <= 0, qt.IsTrue, qt.Commentf("target %d got %.0f too many in a window", h.n, over))
+				excess, use := h.app.overRate()
+				t.Logf("target %d: %d requests, at most %.0f in excess of those allowed in a window, %.2f of its rate used; served %.3f", h.n, len(h.app.arrivals), excess, use, share)
+				c.Check(excess <= 0, qt.IsTrue, qt.Commentf("target %d got %.0f requests too many in a window", h.n, excess))
 				c.Check(use*100 >= float64(used), qt.IsTrue, qt.Commentf("target %d got %.2f of its rate", h.n, use))
 			}
 		})
@@ -172,22 +174,23 @@
 	})
 }
 
-// afterLeaving counts the requests that reached a target from nodes which had passed its
-// leaving on too long before.
-func (a *toldApp) afterLeaving() int {
+// requestsAfterLeaving counts the requests that were sent too long after their entry node
+// had passed on that the target is leaving.
+func (a *noticeTarget) requestsAfterLeaving() int {
 	n := 0
-	for _, x := range a.arrived {
-		if at, ok := a.leavingAt[x.entry]; ok && x.sent.Sub(at) > toldDrain {
+	for _, x := range a.arrivals {
+		if at, ok := a.leavingSeenAt[x.entry]; ok && x.sent.Sub(at) > noticeLeavingGrace {
 			n++
 		}
 	}
 	return n
 }
 
-// TestSaidLeaving guards against requests for a target that has said in its answers that
-// it leaves, also while its announcements still say that it is up and its node has been
-// replaced since, and against a leaving that binds the next process at its address.
-func TestSaidLeaving(t *testing.T) {
+// TestLeavingNotice guards against requests for a target that has reported in its answers
+// that it is leaving, also while its announcements still say that it is up and its node
+// has been replaced since. It also guards against a leaving report that is applied to the
+// next process at the target's address.
+func TestLeavingNotice(t *testing.T) {
 	datadriven.RunTest(t, "testdata/leaving", func(t *testing.T, d *datadriven.TestData) string {
 		c := qt.New(t)
 		var hosts, load, seconds, served int
@@ -196,16 +199,16 @@
 		d.ScanArgs(t, "for", &seconds)
 		d.ScanArgs(t, "served", &served)
 		synctest.Test(t, func(*testing.T) {
-			m := newToldMesh(hosts, toldDomains)
+			m := newNoticeMesh(hosts, noticeDomains)
 			old := m.hosts[0].app
-			m.play(c, load, seconds, d.Input)
+			m.run(c, load, seconds, d.Input)
 			m.close()
-			share := float64(m.answers) / float64(m.calls)
-			t.Logf("%d of %d requests came too late, served %.3f", old.afterLeaving(), len(old.arrived), share)
-			c.Check(old.afterLeaving(), qt.Equals, 0)
+			share := float64(m.answered) / float64(m.calls)
+			t.Logf("%d of %d requests were sent too late, served %.3f", old.requestsAfterLeaving(), len(old.arrivals), share)
+			c.Check(old.requestsAfterLeaving(), qt.Equals, 0)
 			c.Check(share*100 >= float64(served), qt.IsTrue, qt.Commentf("%.3f of the calls are served", share))
 			if now := m.hosts[0].app; now != old {
-				c.Check(len(now.arrived) > 0, qt.IsTrue, qt.Commentf("the next process gets nothing"))
+				c.Check(len(now.arrivals) > 0, qt.IsTrue, qt.Commentf("the next process gets nothing"))
 			}
 		})
 		return "ok\n"
--- a/briarrockd/heap/heap_test.go
+++ b/briarrockd/heap/heap_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestAdjust guards against collections that take the processor from calls, and
-// against a setting that swings each second between two loads.
+// TestAdjust guards against collections that delay calls under load, and against a
+// setting that alternates each second between two loads.
 func TestAdjust(t *testing.T) {
 	c := qt.New(t)
 	for _, x := range []struct {
