--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -178,7 +178,7 @@
 }
 
 // process simulates the work for a request. Half way through it, the target may make
-// calls of its own.
+// calls of its own. It returns false if one of them fails or the context ends.
 func (h *chainHost) process(ctx context.Context, r *chainRoute, trace string) bool {
 	work := time.Duration(float64(r.work) * h.slowdown * math.Exp(r.spread*h.ch.norm()-r.spread*r.spread/2))
 	if !sleep(ctx, work/2) {
--- a/briarrockd/caller/chain_test.go
+++ b/briarrockd/caller/chain_test.go
@@ -21,8 +21,8 @@
 )
 
 // A simulation of a chain of services whose targets call the next service. It uses the
-// real Proxies, Balancers, Budgets, Targets and Gates of all hosts on a simulated clock.
-// Only the network and the targets' work are simulated.
+// real Proxies, Balancers, Budgets, Targets and Gates of all hosts on the clock of
+// testing/synctest. Only the network and the targets' work are simulated.
 
 // chainRoute is one kind of request and the work that it takes.
 type chainRoute struct {
@@ -35,7 +35,7 @@
 	spread    float64 // standard deviation of the logarithm of the work
 	aim       time.Duration
 	deadline  time.Duration // of the route
-	timeout   time.Duration // timeout of the caller
+	timeout   time.Duration // of the caller
 	value     float64       // of an answer within the aim
 	calls     string        // the route that its targets call, if any
 	callCount int
--- a/briarrockd/caller/choose.go
+++ b/briarrockd/caller/choose.go
@@ -110,9 +110,9 @@
 	states  []*state // nil for an upstream without recorded state
 }
 
-func (c *Balancer) view(now time.Time, service string, set []upstream) *view {
+func (b *Balancer) view(now time.Time, service string, set []upstream) *view {
 	v := &view{now: now, service: service, set: set, states: make([]*state, len(set))}
-	byHost := c.states[service]
+	byHost := b.states[service]
 	for i := range set {
 		v.states[i] = byHost[set[i].host]
 	}
@@ -122,22 +122,22 @@
 // pick chooses an upstream that is not in tried, and counts an attempt in flight to it.
 // If there is none it returns false and the reason. The reason is found under the same
 // lock, because a moment later it could be a different one.
-func (c *Balancer) pick(now time.Time, service string, set []upstream, tried []string, priority snapshot.Priority) (upstream, refusal, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	v := c.view(now, service, set)
-	best, found := c.best(v, tried, priority)
+func (b *Balancer) pick(now time.Time, service string, set []upstream, tried []string, priority snapshot.Priority) (upstream, refusal, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	v := b.view(now, service, set)
+	best, found := b.best(v, tried, priority)
 	if !found {
 		return upstream{}, v.refusalReason(priority), false
 	}
-	s := c.state(service, best.host)
+	s := b.state(service, best.host)
 	if s.inFlight == 0 {
 		s.stalledSince = now
 	}
 	s.inFlight++
 	s.picksSinceReport++
 	best.notices = s.notices
-	best.otherRegion = c.tier(&best) == tierCount-1
+	best.otherRegion = b.tier(&best) == tierCount-1
 	s.otherRegion, s.slots, s.incarnation = best.otherRegion, best.slots, best.incarnation
 	return best, refusal{}, true
 }
@@ -145,18 +145,18 @@
 // tierCount is the number of tiers, by distance: own domain, own region, other regions.
 const tierCount = 3
 
-func (c *Balancer) tier(u *upstream) int {
+func (b *Balancer) tier(u *upstream) int {
 	switch {
-	case u.domain == c.domain:
+	case u.domain == b.domain:
 		return 0
-	case u.region == c.region:
+	case u.region == b.region:
 		return 1
 	default:
 		return 2
 	}
 }
 
-func (c *Balancer) best(v *view, tried []string, priority snapshot.Priority) (upstream, bool) {
+func (b *Balancer) best(v *view, tried []string, priority snapshot.Priority) (upstream, bool) {
 	usable := v.usable(tried, priority)
 	typicalLatency := v.typicalLatency(usable)
 	samples, overloaded := normalSamples, v.anyOverloaded()
@@ -165,12 +165,12 @@
 	}
 	var tiers [tierCount][]int
 	for _, i := range usable {
-		t := c.tier(&v.set[i])
+		t := b.tier(&v.set[i])
 		tiers[t] = append(tiers[t], i)
 	}
 	best, found, lowest := 0, false, 0.0
 	for t, list := range tiers {
-		for _, i := range c.sample(list, samples) {
+		for _, i := range b.sample(list, samples) {
 			cost := v.cost(i, typicalLatency) + [tierCount]float64{0, otherDomainCost, otherRegionCost}[t]
 			if !found || cost < lowest {
 				best, found, lowest = i, true, cost
@@ -202,13 +202,13 @@
 }
 
 // sample returns up to n different elements of a list, chosen at random.
-func (c *Balancer) sample(list []int, n int) []int {
+func (b *Balancer) sample(list []int, n int) []int {
 	if len(list) <= n {
 		return list
 	}
 	out := slices.Clone(list)
 	for i := range n {
-		j := i + c.rng.IntN(len(out)-i)
+		j := i + b.rng.IntN(len(out)-i)
 		out[i], out[j] = out[j], out[i]
 	}
 	return out[:n]
@@ -283,44 +283,44 @@
 	return loadCostBelowKnee*load + loadCostAboveKnee*max(0, load-loadKnee)
 }
 
-func (c *Balancer) state(service, host string) *state {
-	byHost := c.states[service]
+func (b *Balancer) state(service, host string) *state {
+	byHost := b.states[service]
 	if s := byHost[host]; s != nil {
 		return s
 	}
-	if c.stateCount >= maxStates {
-		c.evictIdle()
+	if b.stateCount >= maxStates {
+		b.evictIdle()
 	}
-	if byHost = c.states[service]; byHost == nil {
+	if byHost = b.states[service]; byHost == nil {
 		byHost = make(map[string]*state)
-		c.states[service] = byHost
+		b.states[service] = byHost
 	}
 	s := new(state)
 	byHost[host] = s
-	c.stateCount++
+	b.stateCount++
 	return s
 }
 
 // evictIdle removes the states of upstreams without attempts in flight.
-func (c *Balancer) evictIdle() {
-	for service, byHost := range c.states {
+func (b *Balancer) evictIdle() {
+	for service, byHost := range b.states {
 		for host, s := range byHost {
 			if s.inFlight == 0 {
 				delete(byHost, host)
-				c.stateCount--
+				b.stateCount--
 			}
 		}
 		if len(byHost) == 0 {
-			delete(c.states, service)
+			delete(b.states, service)
 		}
 	}
 }
 
 // done records the feedback of an attempt that pick counted.
-func (c *Balancer) done(now time.Time, service, host string, f Feedback) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := c.state(service, host)
+func (b *Balancer) done(now time.Time, service, host string, f Feedback) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	s := b.state(service, host)
 	s.inFlight = max(0, s.inFlight-1)
 	s.observeFeedback(now, f)
 	if f.Leaving {
@@ -353,10 +353,10 @@
 }
 
 // overloaded returns whether an upstream of a set was full within overloadWindow.
-func (c *Balancer) overloaded(now time.Time, service string, set []upstream) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.view(now, service, set).anyOverloaded()
+func (b *Balancer) overloaded(now time.Time, service string, set []upstream) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.view(now, service, set).anyOverloaded()
 }
 
 func (v *view) anyOverloaded() bool {
@@ -368,11 +368,11 @@
 }
 
 // Ejected returns the number of upstreams that are ejected at now.
-func (c *Balancer) Ejected(now time.Time) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (b *Balancer) Ejected(now time.Time) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	n := 0
-	for _, byHost := range c.states {
+	for _, byHost := range b.states {
 		for _, s := range byHost {
 			if s.ejectedUntil.After(now) {
 				n++
--- a/briarrockd/caller/choose_test.go
+++ b/briarrockd/caller/choose_test.go
@@ -38,16 +38,16 @@
 }
 
 // picksByDomain picks n times and returns the number of picks of each domain.
-func picksByDomain(ch *Balancer, set []upstream, n int, now time.Time, f Feedback) map[string]int {
+func picksByDomain(b *Balancer, set []upstream, n int, now time.Time, f Feedback) map[string]int {
 	out := make(map[string]int)
 	for range n {
-		u, _, ok := ch.pick(now, "orderdesk", set, nil, 0)
+		u, _, ok := b.pick(now, "orderdesk", set, nil, 0)
 		if !ok {
 			out["none"]++
 			continue
 		}
 		out[u.domain]++
-		ch.done(now, "orderdesk", u.host, f)
+		b.done(now, "orderdesk", u.host, f)
 	}
 	return out
 }
@@ -80,15 +80,15 @@
 func TestNearFirst(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"]
-	ch := NewBalancer("northgate", "north-line", 1)
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
-	c.Check(picksByDomain(ch, set, 100, now, Feedback{}), qt.DeepEquals, map[string]int{"northgate": 100})
+	c.Check(picksByDomain(b, set, 100, now, Feedback{}), qt.DeepEquals, map[string]int{"northgate": 100})
 	// All targets of the own domain report a load of 2: calls go to the other domain of
 	// the region, and not over the billed link to the other region.
 	for i := range 4 {
-		ch.done(now, "orderdesk", fmt.Sprintf("northgate-%d", i), Feedback{Load: 2})
+		b.done(now, "orderdesk", fmt.Sprintf("northgate-%d", i), Feedback{Load: 2})
 	}
-	got := picksByDomain(ch, set, 100, now, Feedback{Load: -1})
+	got := picksByDomain(b, set, 100, now, Feedback{Load: -1})
 	c.Check(got["millbank"], qt.Equals, 100, qt.Commentf("%v", got))
 }
 
@@ -98,26 +98,26 @@
 func TestEjection(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"]
-	ch := NewBalancer("northgate", "north-line", 1)
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	for range ejectAfterFailures {
-		ch.done(now, "orderdesk", "northgate-0", Feedback{Load: -1, Failed: true})
+		b.done(now, "orderdesk", "northgate-0", Feedback{Load: -1, Failed: true})
 	}
-	c.Check(ch.Ejected(now), qt.Equals, 1)
+	c.Check(b.Ejected(now), qt.Equals, 1)
 	for range 200 {
-		u, _, ok := ch.pick(now, "orderdesk", set, nil, 0)
+		u, _, ok := b.pick(now, "orderdesk", set, nil, 0)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(u.host, qt.Not(qt.Equals), "northgate-0")
-		ch.done(now, "orderdesk", u.host, Feedback{})
+		b.done(now, "orderdesk", u.host, Feedback{})
 	}
 	for _, u := range set {
 		for range ejectAfterFailures {
-			ch.done(now, "orderdesk", u.host, Feedback{Load: -1, Failed: true})
+			b.done(now, "orderdesk", u.host, Feedback{Load: -1, Failed: true})
 		}
 	}
-	_, _, ok := ch.pick(now, "orderdesk", set, nil, 0)
+	_, _, ok := b.pick(now, "orderdesk", set, nil, 0)
 	c.Check(ok, qt.IsTrue)
-	c.Check(ch.Ejected(now.Add(maxEjection)), qt.Equals, 0)
+	c.Check(b.Ejected(now.Add(maxEjection)), qt.Equals, 0)
 }
 
 // TestLeaving checks that an upstream that reported that it is leaving is not picked, and
@@ -125,15 +125,15 @@
 func TestLeaving(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"][:2]
-	ch := NewBalancer("northgate", "north-line", 1)
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
-	ch.done(now, "orderdesk", set[0].host, Feedback{Load: -1, Leaving: true})
+	b.done(now, "orderdesk", set[0].host, Feedback{Load: -1, Leaving: true})
 	for range 50 {
-		u, _, ok := ch.pick(now, "orderdesk", set, nil, 0)
+		u, _, ok := b.pick(now, "orderdesk", set, nil, 0)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(u.host, qt.Equals, set[1].host)
 	}
-	_, _, ok := ch.pick(now, "orderdesk", set, []string{set[1].host}, 0)
+	_, _, ok := b.pick(now, "orderdesk", set, []string{set[1].host}, 0)
 	c.Check(ok, qt.IsFalse)
 }
 
--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -73,7 +73,7 @@
 // fleetStats counts the outcomes of the calls of a simulation.
 type fleetStats struct {
 	calls, inAim, late, refused, refusedIdle int
-	maxLoadShare                             float64
+	maxRelativeLoad                          float64 // most calls started at a target, relative to the mean
 }
 
 func (t fleetStats) inAimShare() float64 { return float64(t.inAim) / float64(t.calls) }
@@ -148,32 +148,32 @@
 	total := 0
 	for _, s := range f.servers {
 		total += s.starts
-		f.stats.maxLoadShare = max(f.stats.maxLoadShare, float64(s.starts)*fleetTargets)
+		f.stats.maxRelativeLoad = max(f.stats.maxRelativeLoad, float64(s.starts)*fleetTargets)
 	}
-	f.stats.maxLoadShare /= float64(total)
+	f.stats.maxRelativeLoad /= float64(total)
 	return f.stats
 }
 
 // fleetCall is a call in progress.
 type fleetCall struct {
 	f        *fleet
-	ch       *Balancer
+	b        *Balancer
 	began    time.Time
 	work     time.Duration
 	tried    []string
 	reroutes int
 }
 
-func (f *fleet) call(ch *Balancer) {
+func (f *fleet) call(b *Balancer) {
 	work := time.Duration(float64(fleetWork) * math.Exp(fleetSpread*f.rng.NormFloat64()-fleetSpread*fleetSpread/2))
-	(&fleetCall{f: f, ch: ch, began: f.now, work: work}).sendAttempt()
+	(&fleetCall{f: f, b: b, began: f.now, work: work}).sendAttempt()
 }
 
 func (c *fleetCall) sendAttempt() {
 	f := c.f
-	u, _, ok := c.ch.pick(f.now, fleetService, f.set, c.tried, snapshot.Normal)
+	u, _, ok := c.b.pick(f.now, fleetService, f.set, c.tried, snapshot.Normal)
 	if f.policy == "oracle" {
-		u, ok = f.bestUpstream(c.ch, c.tried), true
+		u, ok = f.bestUpstream(c.b, c.tried), true
 	}
 	if !ok {
 		c.record(false)
@@ -189,7 +189,7 @@
 
 // bestUpstream returns the target that would end a call first, among those that were not
 // tried.
-func (f *fleet) bestUpstream(ch *Balancer, tried []string) upstream {
+func (f *fleet) bestUpstream(b *Balancer, tried []string) upstream {
 	var best upstream
 	lowest := math.Inf(1)
 	for _, u := range f.set {
@@ -198,7 +198,7 @@
 		if slices.Contains(tried, u.host) {
 			continue
 		}
-		u.otherRegion = ch.tier(&u) == tierCount-1
+		u.otherRegion = b.tier(&u) == tierCount-1
 		if u.otherRegion {
 			cost += otherRegionCost
 		}
@@ -253,7 +253,7 @@
 	f.step(s, target.Ended{ID: id, Route: "view", Took: took})
 	fb := f.feedback(s)
 	f.schedule(f.now.Add(hop), func() {
-		c.ch.done(f.now, fleetService, u.host, fb)
+		c.b.done(f.now, fleetService, u.host, fb)
 		c.record(true)
 	})
 }
@@ -263,7 +263,7 @@
 	fb := f.feedback(s)
 	fb.Full, fb.RetryAfter = r.Kind == kind.Full, r.Wait
 	f.schedule(f.now.Add(hop), func() {
-		c.ch.done(f.now, fleetService, u.host, fb)
+		c.b.done(f.now, fleetService, u.host, fb)
 		if c.reroutes++; c.reroutes > maxReroutes {
 			c.record(false)
 			return
@@ -317,12 +317,12 @@
 		wg.Wait()
 		for i, policy := range policies {
 			t.Logf("%d nodes at %d %%: %-8s %.4f in aim, highest relative load %.2f, late %d, refused %d, of these %d while slots were free",
-				nodes, load, policy, got[i].inAimShare(), got[i].maxLoadShare, got[i].late, got[i].refused, got[i].refusedIdle)
+				nodes, load, policy, got[i].inAimShare(), got[i].maxRelativeLoad, got[i].late, got[i].refused, got[i].refusedIdle)
 		}
 		reported := got[0]
 		c.Check(reported.refusedIdle*100 <= reported.calls, qt.IsTrue)
 		// At a load above 100 % the Gates enforce the slots.
-		c.Check(load > 100 || reported.maxLoadShare*float64(load)/100*slices.Min(fleetSlowdowns) <= 1, qt.IsTrue, qt.Commentf("a target got more calls than its slots can process"))
+		c.Check(load > 100 || reported.maxRelativeLoad*float64(load)/100*slices.Min(fleetSlowdowns) <= 1, qt.IsTrue, qt.Commentf("a target got more calls than its slots can process"))
 		return "ok\n"
 	})
 }
--- a/briarrockd/caller/full_test.go
+++ b/briarrockd/caller/full_test.go
@@ -32,8 +32,8 @@
 }
 
 // TestFullNotEmpty guards against calls to a full service that are refused as if it had
-// no targets. This happened when an upstream's full mark expired between the pick and the
-// look for the reason.
+// no targets. This happens if an upstream stops counting as full between the pick and the
+// lookup of the reason.
 func TestFullNotEmpty(t *testing.T) {
 	c := qt.New(t)
 	const callers, calls = 64, 500
--- a/briarrockd/caller/held_test.go
+++ b/briarrockd/caller/held_test.go
@@ -46,8 +46,8 @@
 		ran                           kind.Ran
 	}{
 		"no overload":                  {false, true, false, kind.RanUnknown},
-		"overload, body asked for":     {true, true, true, kind.RanUnknown},
-		"overload, body not asked for": {true, false, true, kind.RanNo},
+		"overload, body requested":     {true, true, true, kind.RanUnknown},
+		"overload, body not requested": {true, false, true, kind.RanNo},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/briarrockd/caller/overload_test.go
+++ b/briarrockd/caller/overload_test.go
@@ -19,22 +19,22 @@
 func TestBothRegionsFull(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"]
-	ch := NewBalancer("northgate", "north-line", 1)
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	attempts, retryAfter := 0, time.Second
 	pickUntilRefused := func() {
 		for {
-			u, _, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
+			u, _, ok := b.pick(now, "orderdesk", set, nil, snapshot.Normal)
 			if !ok {
 				return
 			}
 			attempts++
-			ch.done(now, "orderdesk", u.host, Feedback{Load: 1, Full: true, Priority: snapshot.Normal, RetryAfter: retryAfter})
+			b.done(now, "orderdesk", u.host, Feedback{Load: 1, Full: true, Priority: snapshot.Normal, RetryAfter: retryAfter})
 		}
 	}
 	pickUntilRefused()
 	c.Check(attempts, qt.Equals, len(set))
-	_, ref, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
+	_, ref, ok := b.pick(now, "orderdesk", set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsFalse)
 	c.Check(ref.kind, qt.Equals, kind.Full)
 	now = now.Add(maxFullTTL)
@@ -57,7 +57,7 @@
 func TestRegionLost(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"]
-	ch := NewBalancer("riverside", "south-line", 1)
+	b := NewBalancer("riverside", "south-line", 1)
 	now := time.Unix(100, 0)
 	var north, south []upstream
 	for _, u := range set {
@@ -67,8 +67,8 @@
 			south = append(south, u)
 		}
 	}
-	c.Check(picksByDomain(ch, north, 10, now, Feedback{})["none"], qt.Equals, 0)
-	c.Check(picksByDomain(ch, append(north, south[0]), 10, now, Feedback{}), qt.DeepEquals, map[string]int{"riverside": 10})
+	c.Check(picksByDomain(b, north, 10, now, Feedback{})["none"], qt.Equals, 0)
+	c.Check(picksByDomain(b, append(north, south[0]), 10, now, Feedback{}), qt.DeepEquals, map[string]int{"riverside": 10})
 }
 
 // TestFullByPriority has an upstream that refuses a call of low priority: more urgent
@@ -76,18 +76,18 @@
 func TestFullByPriority(t *testing.T) {
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"][:1]
-	ch := NewBalancer("northgate", "north-line", 1)
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
-	ch.done(now, "orderdesk", set[0].host, Feedback{Load: 1, Full: true, Priority: snapshot.Bulk})
-	_, _, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Bulk)
+	b.done(now, "orderdesk", set[0].host, Feedback{Load: 1, Full: true, Priority: snapshot.Bulk})
+	_, _, ok := b.pick(now, "orderdesk", set, nil, snapshot.Bulk)
 	c.Check(ok, qt.IsFalse)
-	_, _, ok = ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
+	_, _, ok = b.pick(now, "orderdesk", set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsTrue)
 	// The more urgent call is refused too, and after it one of lower priority: the first
 	// refusal still counts.
-	ch.done(now, "orderdesk", set[0].host, Feedback{Load: 1, Full: true, Priority: snapshot.Normal})
-	ch.done(now, "orderdesk", set[0].host, Feedback{Load: 1, Full: true, Priority: snapshot.Bulk})
-	_, _, ok = ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
+	b.done(now, "orderdesk", set[0].host, Feedback{Load: 1, Full: true, Priority: snapshot.Normal})
+	b.done(now, "orderdesk", set[0].host, Feedback{Load: 1, Full: true, Priority: snapshot.Bulk})
+	_, _, ok = b.pick(now, "orderdesk", set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsFalse)
 }
 
@@ -98,27 +98,27 @@
 	c := qt.New(t)
 	set := table(members()).upstreams["orderdesk"][:4] // of one domain
 	share := func(full bool) int {
-		ch := NewBalancer("northgate", "north-line", 1)
+		b := NewBalancer("northgate", "north-line", 1)
 		now := time.Unix(100, 0)
 		for i, u := range set {
 			usual := 100 * time.Millisecond
 			if i == 0 {
 				usual /= 2
 			}
-			ch.done(now, "orderdesk", u.host, Feedback{TypicalLatency: usual})
+			b.done(now, "orderdesk", u.host, Feedback{TypicalLatency: usual})
 		}
 		if full {
-			ch.done(now, "orderdesk", set[1].host, Feedback{Load: -1, Full: true})
+			b.done(now, "orderdesk", set[1].host, Feedback{Load: -1, Full: true})
 			now = now.Add(maxFullTTL)
 		}
 		fastest := 0
 		for range 200 {
-			u, _, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
+			u, _, ok := b.pick(now, "orderdesk", set, nil, snapshot.Normal)
 			c.Assert(ok, qt.IsTrue)
 			if u.host == set[0].host {
 				fastest++
 			}
-			ch.done(now, "orderdesk", u.host, Feedback{})
+			b.done(now, "orderdesk", u.host, Feedback{})
 		}
 		return fastest
 	}
@@ -136,18 +136,18 @@
 func TestRestartedNode(t *testing.T) {
 	c := qt.New(t)
 	ms := members()
-	ch := NewBalancer("northgate", "north-line", 1)
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	set := table(ms).upstreams["orderdesk"]
 	for range set {
-		u, _, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
+		u, _, ok := b.pick(now, "orderdesk", set, nil, snapshot.Normal)
 		c.Assert(ok, qt.IsTrue)
-		ch.done(now, "orderdesk", u.host, Feedback{Load: -1, Leaving: true})
+		b.done(now, "orderdesk", u.host, Feedback{Load: -1, Leaving: true})
 	}
-	_, _, ok := ch.pick(now, "orderdesk", set, nil, snapshot.Normal)
+	_, _, ok := b.pick(now, "orderdesk", set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsFalse)
 	ms[5].Incarnation++
-	u, _, ok := ch.pick(now, "orderdesk", table(ms).upstreams["orderdesk"], nil, snapshot.Normal)
+	u, _, ok := b.pick(now, "orderdesk", table(ms).upstreams["orderdesk"], nil, snapshot.Normal)
 	c.Check(ok, qt.IsTrue)
 	c.Check(u.host, qt.Equals, ms[5].Host)
 }
--- a/briarrockd/caller/paced_test.go
+++ b/briarrockd/caller/paced_test.go
@@ -17,23 +17,23 @@
 	c := qt.New(t)
 	const service = "orderdesk"
 	set := table(members()).upstreams[service]
-	ch := NewBalancer("northgate", "north-line", 1)
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	for i := range set {
-		u, _, ok := ch.pick(now, service, set, nil, snapshot.Normal)
+		u, _, ok := b.pick(now, service, set, nil, snapshot.Normal)
 		c.Assert(ok, qt.IsTrue)
 		retryAfter := 300*time.Millisecond + time.Duration(i)*time.Millisecond
-		ch.done(now, service, u.host, Feedback{Load: 1, Full: true, RateLimited: true, Priority: snapshot.Normal, RetryAfter: retryAfter})
+		b.done(now, service, u.host, Feedback{Load: 1, Full: true, RateLimited: true, Priority: snapshot.Normal, RetryAfter: retryAfter})
 	}
-	_, ref, ok := ch.pick(now, service, set, nil, snapshot.Normal)
+	_, ref, ok := b.pick(now, service, set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsFalse)
 	c.Check(ref, qt.Equals, refusal{kind.Rate, 300 * time.Millisecond})
-	_, _, ok = ch.pick(now, service, set, nil, snapshot.Urgent)
+	_, _, ok = b.pick(now, service, set, nil, snapshot.Urgent)
 	c.Check(ok, qt.IsTrue, qt.Commentf("more urgent calls may be allowed by the rate limit"))
-	c.Check(ch.overloaded(now, service, set), qt.IsFalse)
-	c.Check(ch.Ejected(now), qt.Equals, 0)
+	c.Check(b.overloaded(now, service, set), qt.IsFalse)
+	c.Check(b.Ejected(now), qt.Equals, 0)
 	now = now.Add(ref.retryAfter)
-	_, _, ok = ch.pick(now, service, set, nil, snapshot.Normal)
+	_, _, ok = b.pick(now, service, set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsTrue)
 }
 
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -23,8 +23,8 @@
 )
 
 // A simulation of a mesh whose targets report rate limits and leaving in their answers.
-// It uses the real Proxies and Targets of all hosts on a simulated clock. The network and
-// the targets' work are simulated.
+// It uses the real Proxies and Targets of all hosts on the clock of testing/synctest. The
+// network and the targets' work are simulated.
 const (
 	noticeService  = "ledger"
 	noticeSlots    = 18
@@ -58,8 +58,8 @@
 
 	mu      sync.Mutex
 	targets *target.Targets
-	// down is cancelled when the node's process is killed. frozenUntil is until when that
-	// process is frozen.
+	// nodeCtx is cancelled when the node's process is killed. frozenUntil is until when
+	// that process is frozen.
 	nodeCtx     context.Context
 	kill        context.CancelFunc
 	frozenUntil time.Time
--- a/briarrockd/caller/told_test.go
+++ b/briarrockd/caller/told_test.go
@@ -27,8 +27,8 @@
 )
 
 // run sends load requests per second for some seconds, while it executes the steps of a
-// script. Each line of that has the second, the action, the number of the target, and a
-// value.
+// script. Each line of the script has the second, the action, the number of the target,
+// and a value.
 func (m *noticeMesh) run(c *qt.C, load, seconds int, script string) {
 	began := time.Now()
 	for line := range strings.Lines(script) {
@@ -86,7 +86,7 @@
 		defer h.mu.Unlock()
 		h.frozenUntil = time.Now().Add(d)
 	default:
-		c.Fatalf("no step %q", what)
+		c.Fatalf("unknown action %q in the script", what)
 	}
 }
 
@@ -208,7 +208,7 @@
 			c.Check(old.requestsAfterLeaving(), qt.Equals, 0)
 			c.Check(share*100 >= float64(served), qt.IsTrue, qt.Commentf("%.3f of the calls are served", share))
 			if now := m.hosts[0].app; now != old {
-				c.Check(len(now.arrivals) > 0, qt.IsTrue, qt.Commentf("the next process gets nothing"))
+				c.Check(len(now.arrivals) > 0, qt.IsTrue, qt.Commentf("the next process gets no requests"))
 			}
 		})
 		return "ok\n"
