--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -21,7 +21,7 @@
 const deadlineSlack = 50 * time.Millisecond
 
 // expectContinueBytes is the body length above which a request is sent with "Expect:
-// 100-continue" and its body is withheld until the target's node asks for it. A shorter
+// 100-continue" and its body is withheld until the target's node requests it. A shorter
 // body is sent in less time than that round trip takes.
 const expectContinueBytes = 16 << 10
 
@@ -121,9 +121,9 @@
 // estimates how long a call takes from earlier calls with the same name.
 func (c *call) routeName() string { return cmp.Or(c.entryName, c.route.Name()) }
 
-// withholdsBody returns whether a call's body is withheld until the target's node asks
-// for it. In an overload a body of any length is withheld: most calls are refused, and
-// their bodies would use up the bandwidth between the nodes.
+// withholdsBody returns whether a call's body is withheld until the target's node
+// requests it. In an overload a body of any length is withheld: most calls are refused,
+// and their bodies would use up the bandwidth between the nodes.
 func (c *call) withholdsBody(u upstream) bool {
 	n := c.r.ContentLength
 	return n < 0 || n > expectContinueBytes || n > 0 && u.overloaded
