--- a/bench/calls.go
+++ b/bench/calls.go
@@ -69,7 +69,7 @@
 	}
 	return errors.Wrap(local.Until(joinWithin, func() bool {
 		for _, n := range m.Nodes {
-			if n.Upstreams(callService) < len(m.Nodes)/len(m.Spec.Services) {
+			if n.LiveTargets(callService) < len(m.Nodes)/len(m.Spec.Services) {
 				return false
 			}
 		}
@@ -235,9 +235,9 @@
 		var near, far []string
 		for _, n := range m.Nodes {
 			if n.Target.Service() == callService {
-				near = append(near, n.Cfg.Caller)
+				near = append(near, n.Cfg.CallerAddr)
 			} else {
-				far = append(far, n.Cfg.Caller)
+				far = append(far, n.Cfg.CallerAddr)
 			}
 		}
 		ways = append(ways, way{"entry is the target's node, " + name, near}, way{"two nodes, " + name, far})
--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -52,10 +52,10 @@
 	body, length := c.payload()
 	withheld := c.withholdsBody(u)
 	res, out := relay.Send(ctx, relay.Call{
-		In: c.r, URL: relay.Toward(&url.URL{Scheme: p.deps.Scheme, Host: u.addr}, c.r), Host: c.r.Host,
-		Add: c.nodeHeaders(u, withheld), Body: body, Length: length, Transport: p.deps.Transport, Stall: p.deps.StallTimeout,
+		In: c.r, URL: relay.RebaseURL(&url.URL{Scheme: p.deps.Scheme, Host: u.addr}, c.r), Host: c.r.Host,
+		ExtraHeader: c.nodeHeaders(u, withheld), Body: body, ContentLength: length, Transport: p.deps.Transport, StallTimeout: p.deps.StallTimeout,
 		Deadline: c.deadline.Add(deadlineSlack), Streamed: c.streamed,
-		Once: c.route.Mode == snapshot.Once, Withheld: withheld && !c.streamed,
+		Once: c.route.Mode == snapshot.Once, ForwardAfterBody: withheld && !c.streamed,
 	})
 	a := attempt{res: res, host: u.host, kind: out.Kind, err: out.Err}
 	if res != nil {
@@ -84,12 +84,12 @@
 func (a *attempt) readResponse(res *http.Response, streamed bool) {
 	a.ran = kind.ParseRan(res.Header.Get(kind.HeaderRan))
 	a.kind = kind.Kind(res.Header.Get(kind.HeaderKind))
-	a.retryAfter = relay.After(res.Header)
+	a.retryAfter = relay.RetryAfter(res.Header)
 	a.reachedTarget = a.kind == kind.None || a.kind == kind.Shed || a.ran != kind.RanNo
 	if a.kind != kind.None || (streamed && res.ContentLength < 0) {
 		return
 	}
-	if relay.Whole(res, relay.KeepAnswer) != nil {
+	if relay.BufferResponse(res, relay.MaxBufferedResponse) != nil {
 		a.res, a.kind, a.ran = nil, kind.Broken, kind.RanUnknown
 	}
 }
@@ -106,7 +106,7 @@
 	if load, err := strconv.ParseFloat(h.Get(target.HeaderLoad), 64); err == nil {
 		f.Load = load
 	}
-	if ms, err := strconv.ParseInt(h.Get(target.HeaderUsual), 10, 64); err == nil {
+	if ms, err := strconv.ParseInt(h.Get(target.HeaderMeanDuration), 10, 64); err == nil {
 		f.TypicalLatency = time.Duration(ms) * time.Millisecond
 	}
 	f.Failed = a.kind == kind.Refused || a.kind == kind.Broken || a.kind == kind.Late
@@ -135,19 +135,19 @@
 	h.Set(target.HeaderDeadline, strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 0), 10))
 	h.Set(target.HeaderPriority, strconv.Itoa(int(c.route.Priority)))
 	h.Set(target.HeaderRoute, c.routeName())
-	h.Set(target.HeaderPrint, strconv.FormatUint(c.fingerprint, 16))
+	h.Set(target.HeaderFingerprint, strconv.FormatUint(c.fingerprint, 16))
 	h.Set(target.HeaderTrace, c.trace)
 	if c.route.Mode == snapshot.Once {
-		h.Set(target.HeaderOnce, "yes")
+		h.Set(target.HeaderAtMostOnce, "yes")
 	}
 	if u.otherRegion {
-		h.Set(target.HeaderFar, "yes")
+		h.Set(target.HeaderCrossRegion, "yes")
 	}
 	if !c.aim.IsZero() {
 		h.Set(target.HeaderAim, strconv.FormatInt(time.Until(c.aim).Milliseconds(), 10))
 	}
 	if withheld {
-		h.Set("Expect", http1.Continue)
+		h.Set("Expect", http1.ExpectContinue)
 		h.Set(http1.HeaderHeld, "yes")
 	}
 	if c.caller != "" {
--- a/briarrockd/caller/attempts.go
+++ b/briarrockd/caller/attempts.go
@@ -291,7 +291,7 @@
 	if rec != nil {
 		a.res.Body = rec.wrap(a.res.Body)
 	}
-	out := relay.Answer(w, a.res, p.deps.StallTimeout)
+	out := relay.CopyResponse(w, a.res, p.deps.StallTimeout)
 	if out.Kind != kind.None {
 		panic(http.ErrAbortHandler)
 	}
--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -179,7 +179,7 @@
 		return
 	}
 	defer p.inFlight.Add(-1)
-	relay.Duplex(w, r)
+	relay.EnableFullDuplex(w, r)
 	began := time.Now()
 	defer p.duration.UpdateDuration(began)
 	p.waitAtStartup(r)
@@ -245,7 +245,7 @@
 	if k := p.readBody(c); k != kind.None {
 		return c, refusal{kind: k}
 	}
-	c.fingerprint = claim.Print(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
+	c.fingerprint = claim.Fingerprint(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
 	if p.deps.CrashCount(c.fingerprint) >= peer.HoldAt {
 		return c, refusal{kind: kind.Held}
 	}
@@ -257,7 +257,7 @@
 // call is lost. A trace ID alone does not qualify: the outer call that it names must be
 // running on this host now.
 func (p *Proxy) promoteNested(c *call) {
-	parent, ok := target.Parent(c.trace)
+	parent, ok := target.ParentTrace(c.trace)
 	if !ok || p.deps.IsRunning == nil || !p.deps.IsRunning(parent) {
 		return
 	}
@@ -392,5 +392,5 @@
 	}
 	p.logCall(c, k, ran, k.Answer().Status, retryAfter)
 	w.Header().Set(target.HeaderTrace, c.trace)
-	relay.FailAfter(w, k, ran, retryAfter)
+	relay.WriteFailureWithRetryAfter(w, k, ran, retryAfter)
 }
--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -51,15 +51,15 @@
 func (h *chainHost) start(s *snapshot.Snapshot, self peer.Member, seed uint64) {
 	log := event.New(io.Discard, true, logrus.ErrorLevel, h.name)
 	h.targets = target.New(target.Deps{
-		Changed: func([]peer.Target) {}, Crashed: func(peer.Crashed) {}, Suspicion: func(uint64) int { return 0 },
-		Log: log, Stall: time.Minute, Silent: time.Hour, NoTurns: true,
-		Dialect: func(http.RoundTripper) http.RoundTripper { return chainTarget{h} },
+		OnChange: func([]peer.Target) {}, OnCrash: func(peer.Crashed) {}, CrashCount: func(uint64) int { return 0 },
+		Log: log, Stall: time.Minute, AnnouncementTimeout: time.Hour, NoFairQueueing: true,
+		WrapTransport: func(http.RoundTripper) http.RoundTripper { return chainTarget{h} },
 	})
 	h.targets.Configure(s)
-	h.targets.Heard(target.Announcement{Service: h.service, Addr: "127.0.0.1:1", Slots: chainSlots, Connections: 500, State: target.StateUp})
+	h.targets.HandleAnnouncement(target.Announcement{Service: h.service, Addr: "127.0.0.1:1", Slots: chainSlots, Connections: 500, State: target.StateUp})
 	h.proxy = New(Deps{
 		Balancer: NewBalancer(self.Domain, self.Region, seed), Budget: NewBudget(), Transport: chainNet{h}, Scheme: "http",
-		CrashCount: func(uint64) int { return 0 }, IsRunning: h.targets.Runs,
+		CrashCount: func(uint64) int { return 0 }, IsRunning: h.targets.IsRunning,
 		Authenticate: func(http.Header) (string, bool) { return h.service, true },
 		Log:          log, StallTimeout: time.Minute, Hedge: true,
 	})
--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -225,7 +225,7 @@
 			c.refused(u, s, cmd, hop)
 		}
 	}
-	f.step(s, target.Arrive{ID: id, Route: "view", Priority: snapshot.Normal, Deadline: c.began.Add(fleetTimeout), Aim: c.began.Add(fleetAim), Far: u.otherRegion})
+	f.step(s, target.Arrival{ID: id, Route: "view", Priority: snapshot.Normal, Deadline: c.began.Add(fleetTimeout), Aim: c.began.Add(fleetAim), CrossRegion: u.otherRegion})
 }
 
 // step passes a message to a Gate and executes the commands that it returns.
@@ -245,12 +245,12 @@
 }
 
 func (f *fleet) feedback(s *server) Feedback {
-	return Feedback{Load: s.gate.Load(f.now), TypicalLatency: s.gate.Usual(), Priority: snapshot.Normal}
+	return Feedback{Load: s.gate.Load(f.now), TypicalLatency: s.gate.MeanDuration(), Priority: snapshot.Normal}
 }
 
 func (c *fleetCall) finish(u upstream, s *server, id target.CallID, took, hop time.Duration) {
 	f := c.f
-	f.step(s, target.Ended{ID: id, Route: "view", Took: took})
+	f.step(s, target.Completed{ID: id, Route: "view", Duration: took})
 	fb := f.feedback(s)
 	f.schedule(f.now.Add(hop), func() {
 		c.b.done(f.now, fleetService, u.host, fb)
@@ -261,7 +261,7 @@
 func (c *fleetCall) refused(u upstream, s *server, r target.Refuse, hop time.Duration) {
 	f := c.f
 	fb := f.feedback(s)
-	fb.Full, fb.RetryAfter = r.Kind == kind.Full, r.Wait
+	fb.Full, fb.RetryAfter = r.Kind == kind.Full, r.RetryAfter
 	f.schedule(f.now.Add(hop), func() {
 		c.b.done(f.now, fleetService, u.host, fb)
 		if c.reroutes++; c.reroutes > maxReroutes {
--- a/briarrockd/caller/header_test.go
+++ b/briarrockd/caller/header_test.go
@@ -56,7 +56,7 @@
 		if len(traceID(r)) > 64 {
 			t.Fatal("trace is too long")
 		}
-		if claim.Print("s", "POST", path, 1, []byte(key)) == 0 {
+		if claim.Fingerprint("s", "POST", path, 1, []byte(key)) == 0 {
 			t.Fatal("fingerprint is zero")
 		}
 	})
@@ -83,7 +83,7 @@
 	base := *r.URL
 	base.Scheme, base.Host = "http", srv.Listener.Addr().String()
 	res, out := relay.Send(t.Context(), relay.Call{
-		In: r, URL: relay.Toward(&base, r), Transport: http.DefaultTransport, Deadline: time.Now().Add(time.Minute),
+		In: r, URL: relay.RebaseURL(&base, r), Transport: http.DefaultTransport, Deadline: time.Now().Add(time.Minute),
 	})
 	c.Assert(out.Err, qt.IsNil)
 	c.Check(res.Request.URL.EscapedPath(), qt.Equals, "/a%2Fb")
@@ -93,7 +93,7 @@
 		c.Check(h.Get(name), qt.Equals, "", qt.Commentf("%s", name))
 	}
 	w := httptest.NewRecorder()
-	relay.Answer(w, res, time.Minute)
+	relay.CopyResponse(w, res, time.Minute)
 	c.Check(w.Header().Get("Briarrock-Ran"), qt.Equals, "")
 	c.Check(w.Header().Get("X-Hop"), qt.Equals, "")
 	c.Check(w.Header().Get("X-End"), qt.Equals, "1")
--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -12,18 +12,18 @@
 // serveOnce serves a call that may run at most once and carries an idempotency key.
 func (p *Proxy) serveOnce(w http.ResponseWriter, c *call) {
 	key := c.r.Header.Get(HeaderKey)
-	if len(key) > claim.MaxKey || len(c.r.Header[HeaderKey]) != 1 {
+	if len(key) > claim.MaxKeyBytes || len(c.r.Header[HeaderKey]) != 1 {
 		p.fail(w, c, kind.Key, kind.RanNo, 0)
 		return
 	}
-	d := p.deps.Claims.Begin(c.r.Context(), claim.Request{Service: c.service.Name, Key: key, Print: c.fingerprint})
+	d := p.deps.Claims.Begin(c.r.Context(), claim.Request{Service: c.service.Name, Key: key, Fingerprint: c.fingerprint})
 	switch d.Verdict {
 	case claim.Run:
 		c.claim = d.Claim
 		p.runOnce(w, c)
 	case claim.Replay:
 		p.replay(w, c, d.Outcome)
-	case claim.Repeat:
+	case claim.OutcomeUnknown:
 		p.fail(w, c, kind.Repeat, kind.RanUnknown, 0)
 	case claim.Conflict:
 		p.fail(w, c, kind.Conflict, kind.RanNo, 0)
@@ -52,8 +52,8 @@
 	h.Set(target.HeaderTrace, c.trace)
 	h.Set(kind.HeaderRan, kind.RanYes.String())
 	h.Set(HeaderReplay, "yes")
-	if o.Type != "" {
-		h.Set("Content-Type", o.Type)
+	if o.ContentType != "" {
+		h.Set("Content-Type", o.ContentType)
 	}
 	w.WriteHeader(o.Status)
 	_, _ = w.Write(o.Body)
@@ -79,7 +79,7 @@
 // Read implements io.Reader.
 func (b *recordedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	if len(b.rec.body)+n > claim.MaxBody {
+	if len(b.rec.body)+n > claim.MaxBodyBytes {
 		b.rec.truncated = true
 		b.rec.body = nil
 	}
@@ -90,5 +90,5 @@
 }
 
 func (rec *answerRecorder) outcome() claim.Outcome {
-	return claim.Outcome{Status: rec.status, Type: rec.contentType, Body: rec.body, Cut: rec.truncated}
+	return claim.Outcome{Status: rec.status, ContentType: rec.contentType, Body: rec.body, BodyOmitted: rec.truncated}
 }
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -137,9 +137,9 @@
 	h.mu.Lock()
 	h.nodeCtx, h.kill = context.WithCancel(context.Background())
 	h.targets = target.New(target.Deps{
-		Changed: func([]peer.Target) {}, Crashed: func(peer.Crashed) {}, Suspicion: func(uint64) int { return 0 },
-		Log: discardLog(), Stall: time.Minute, Silent: time.Hour, NoTurns: true,
-		Dialect: func(http.RoundTripper) http.RoundTripper { return noticeTargetConn{h} },
+		OnChange: func([]peer.Target) {}, OnCrash: func(peer.Crashed) {}, CrashCount: func(uint64) int { return 0 },
+		Log: discardLog(), Stall: time.Minute, AnnouncementTimeout: time.Hour, NoFairQueueing: true,
+		WrapTransport: func(http.RoundTripper) http.RoundTripper { return noticeTargetConn{h} },
 	})
 	h.targets.Configure(h.m.snap)
 	h.mu.Unlock()
@@ -152,7 +152,7 @@
 	h.mu.Lock()
 	ts, startedAt := h.targets, h.app.startedAt
 	h.mu.Unlock()
-	ts.Heard(target.Announcement{ID: fmt.Sprint("i-", h.n), Service: noticeService, Addr: "127.0.0.1:1", Slots: noticeSlots, Connections: 500, State: target.StateUp, Born: startedAt, Seq: seq})
+	ts.HandleAnnouncement(target.Announcement{ID: fmt.Sprint("i-", h.n), Service: noticeService, Addr: "127.0.0.1:1", Slots: noticeSlots, Connections: 500, State: target.StateUp, StartMillis: startedAt, Seq: seq})
 }
 
 // restart kills the node on a target's host and starts it again.
--- a/briarrockd/target/bodies.go
+++ b/briarrockd/target/bodies.go
@@ -37,24 +37,24 @@
 	flowAt time.Time
 }
 
-func (b *bodies) long(a *Arrive) bool {
-	return b.link > 0 && (a.Body < 0 || a.Body > longBody)
+func (b *bodies) long(a *Arrival) bool {
+	return b.link > 0 && (a.BodyBytes < 0 || a.BodyBytes > longBody)
 }
 
-func (b *bodies) size(a *Arrive) int64 {
-	if a.Body < 0 {
+func (b *bodies) size(a *Arrival) int64 {
+	if a.BodyBytes < 0 {
 		return unknownBody
 	}
-	return a.Body
+	return a.BodyBytes
 }
 
 // most is how many long bodies may come in at once.
 func (b *bodies) most() int { return max(leastBodies, int(b.link/eachAtLeast)) }
 
 // room tells whether a call's body may come in now.
-func (b *bodies) room(a *Arrive) bool { return !b.long(a) || len(b.coming) < b.most() }
+func (b *bodies) room(a *Arrival) bool { return !b.long(a) || len(b.coming) < b.most() }
 
-func (b *bodies) begin(now time.Time, a *Arrive) {
+func (b *bodies) begin(now time.Time, a *Arrival) {
 	if !b.long(a) {
 		return
 	}
--- a/briarrockd/target/observe_test.go
+++ b/briarrockd/target/observe_test.go
@@ -104,7 +104,7 @@
 		x := ts.list()[0]
 		c.Check(kindOf(send(ts, Notice{Process: "another/0", Rate: NewRate(1)})), qt.Equals, kind.None)
 		ts.drop(x, "test")
-		ts.Heard(Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp})
+		ts.HandleAnnouncement(Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp})
 		report := Notice{Process: x.process, Rate: NewRate(1), At: time.Now()}
 		c.Check(kindOf(send(ts, report)), qt.Equals, kind.Rate)
 		time.Sleep(time.Second)
@@ -117,7 +117,7 @@
 // to a health check, that it leaves, against announcements that take that back, and
 // against a word that is no answer to the question.
 func TestLeavingInAnswer(t *testing.T) {
-	up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", Born: 7, Seq: 9}
+	up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", StartMillis: 7, Seq: 9}
 	for _, x := range []struct {
 		value  string
 		leaves bool
@@ -133,20 +133,20 @@
 			tr := newTelling(http.StatusOK, http.Header{})
 			ts := newBodyHost(tr)
 			defer ts.Close()
-			ts.Heard(up)
+			ts.HandleAnnouncement(up)
 			time.Sleep(time.Second) // its health check
 			tr.head.Store(&http.Header{HeaderLeaving: {x.value}})
 			x.tell(ts)
 			tr.head.Store(&http.Header{})
-			ts.Heard(up)
+			ts.HandleAnnouncement(up)
 			want := kind.None
 			if x.leaves {
 				want = kind.Drain
 			}
 			c.Check(kindOf(send(ts)), qt.Equals, want, qt.Commentf("%s", x.value))
 			next := up
-			next.Born += 10000
-			ts.Heard(next)
+			next.StartMillis += 10000
+			ts.HandleAnnouncement(next)
 			time.Sleep(time.Second)
 			c.Check(kindOf(send(ts)), qt.Equals, kind.None)
 		})
@@ -161,15 +161,15 @@
 		tr := newTelling(http.StatusOK, http.Header{HeaderRate: {"1"}})
 		ts := newBodyHost(tr)
 		defer ts.Close()
-		up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", Born: 7, Seq: 1}
-		ts.Heard(up)
+		up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", StartMillis: 7, Seq: 1}
+		ts.HandleAnnouncement(up)
 		time.Sleep(time.Second) // its health check
 		c.Check(kindOf(send(ts)), qt.Equals, kind.None)
 		c.Check(kindOf(send(ts)), qt.Equals, kind.Rate)
 		tr.head.Store(&http.Header{}) // a health check names none
 		stray := up
-		stray.Born = 0
-		ts.Heard(stray)
+		stray.StartMillis = 0
+		ts.HandleAnnouncement(stray)
 		time.Sleep(100 * time.Millisecond)
 		c.Check(kindOf(send(ts)), qt.Equals, kind.Rate)
 	})
@@ -206,10 +206,10 @@
 		ts := newBodyHost(newTelling(http.StatusOK, http.Header{}))
 		defer ts.Close()
 		other := Announcement{Service: "posting", Addr: "10.0.0.7:81", Slots: 1, State: StateUp}
-		ts.Heard(other)
+		ts.HandleAnnouncement(other)
 		for _, leaves := range []string{address, other.Addr} {
-			ts.Heard(Announcement{Service: "posting", Addr: address, Slots: 1, State: stateIf(leaves == address)})
-			ts.Heard(Announcement{Service: "posting", Addr: other.Addr, Slots: 1, State: stateIf(leaves == other.Addr)})
+			ts.HandleAnnouncement(Announcement{Service: "posting", Addr: address, Slots: 1, State: stateIf(leaves == address)})
+			ts.HandleAnnouncement(Announcement{Service: "posting", Addr: other.Addr, Slots: 1, State: stateIf(leaves == other.Addr)})
 			for range 4 {
 				c.Check(kindOf(send(ts)), qt.Equals, kind.None, qt.Commentf("%s leaves", leaves))
 			}
@@ -239,9 +239,9 @@
 				first := ts.list()[0]
 				send(ts)
 				time.Sleep(2 * shedWindow)
-				ts.Heard(Announcement{Service: "posting", Addr: "10.0.0.7:81", Slots: 4, State: StateUp})
+				ts.HandleAnnouncement(Announcement{Service: "posting", Addr: "10.0.0.7:81", Slots: 4, State: StateUp})
 				second := ts.list()[1]
-				second.step(Arrive{ID: 1, Deadline: time.Now().Add(time.Minute)})
+				second.step(Arrival{ID: 1, Deadline: time.Now().Add(time.Minute)})
 				c.Check(ts.find("posting"), qt.Equals, first)
 			})
 		})
