--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -15,74 +15,77 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// deadlineSlack leaves the target's node the time to say itself that the
-// deadline has passed, since it knows whether the request was sent.
+// deadlineSlack is how much longer than a call's deadline a node waits for the target's
+// node. The target's node reports an expired deadline itself, because it knows whether
+// the request was sent to the target.
 const deadlineSlack = 50 * time.Millisecond
 
-// expectAbove is the length in bytes of a body that is held back until the
-// target's node asks for it. A shorter one is on its way in less time than the
-// question takes.
-const expectAbove = 16 << 10
+// expectContinueBytes is the body length above which a request is sent with "Expect:
+// 100-continue" and its body is withheld until the target's node requests it. A shorter
+// body is sent in less time than that round trip takes.
+const expectContinueBytes = 16 << 10
 
-// attempt is what one try at a target told.
+// attempt is the result of one attempt to send a call to a target.
 type attempt struct {
-	res   *http.Response
-	kind  kind.Kind
-	ran   kind.Ran
-	after time.Duration
-	host  string
-	// reached is set when the request got to the target, whatever came of it.
-	reached bool
-	cancel  context.CancelFunc
-	// err is why there is no answer, for the log.
+	res        *http.Response
+	kind       kind.Kind
+	ran        kind.Ran
+	retryAfter time.Duration
+	host       string
+	// reachedTarget is set when the request reached the target, whatever the outcome.
+	reachedTarget bool
+	cancel        context.CancelFunc
+	// err is why there is no answer. It is only logged.
 	err error
 }
 
-// failure tells whether the target answered that it failed.
-func (a *attempt) failure() bool {
+// targetFailed returns whether the target itself answered with a 5xx status.
+func (a *attempt) targetFailed() bool {
 	return a.kind == kind.None && a.res != nil && a.res.StatusCode >= http.StatusInternalServerError
 }
 
-// try sends a call to one upstream. A nil res comes with a kind; an answer of
-// a target's node that it is a failure comes with both, its body unread.
-func (p *Proxy) try(ctx context.Context, c *call, u upstream) attempt {
+// sendAttempt sends a call to one upstream. If no answer arrives, res is nil and kind is
+// set. If the target's node answers with a failure, both are set and the body of res is
+// unread.
+func (p *Proxy) sendAttempt(ctx context.Context, c *call, u upstream) attempt {
 	p.attempts.Inc()
 	body, length := c.payload()
-	held := c.holdsBody(u)
+	withheld := c.withholdsBody(u)
 	res, out := relay.Send(ctx, relay.Call{
 		In: c.r, URL: relay.RebaseURL(&url.URL{Scheme: p.deps.Scheme, Host: u.addr}, c.r), Host: c.r.Host,
-		ExtraHeader: c.towardsNode(u, held), Body: body, ContentLength: length, Transport: p.deps.Transport, StallTimeout: p.deps.StallTimeout,
+		ExtraHeader: c.nodeHeaders(u, withheld), Body: body, ContentLength: length, Transport: p.deps.Transport, StallTimeout: p.deps.StallTimeout,
 		Deadline: c.deadline.Add(deadlineSlack), Streamed: c.streamed,
-		Once: c.route.Mode == snapshot.Once, ForwardAfterBody: held && !c.streamed,
+		Once: c.route.Mode == snapshot.Once, ForwardAfterBody: withheld && !c.streamed,
 	})
 	a := attempt{res: res, host: u.host, kind: out.Kind, err: out.Err}
 	if res != nil {
-		a.read(res, c.streamed)
+		a.readResponse(res, c.streamed)
 	} else {
-		a.reached = out.Sent
+		a.reachedTarget = out.Sent
 		a.ran = out.Kind.Answer().Ran
 		if !out.Sent {
 			a.ran = kind.RanNo
 		}
 	}
-	if u.far {
+	if u.otherRegion {
 		bytes := int64(0)
 		if a.res != nil {
 			bytes = a.res.ContentLength
 		}
-		p.counts.crossed(c.routeName(), bytes)
+		p.counters.crossedRegions(c.routeName(), bytes)
 	}
 	p.deps.Balancer.done(time.Now(), c.service.Name, u.host, a.feedback(c, out))
 	return a
 }
 
-// read takes an answer's head, and its body if that is short. The answer to a
-// streamed request may begin before that has ended, and so is streamed as well.
-func (a *attempt) read(res *http.Response, streamed bool) {
+// readResponse reads the head of an answer, and its body if that is short. The answer to
+// a streamed request may begin before the request has ended, so its body is streamed as
+// well.
+func (a *attempt) readResponse(res *http.Response, streamed bool) {
 	a.ran = kind.ParseRan(res.Header.Get(kind.HeaderRan))
 	a.kind = kind.Kind(res.Header.Get(kind.HeaderKind))
-	a.after = relay.RetryAfter(res.Header)
-	a.reached = a.kind == kind.None || a.kind == kind.Shed || a.ran != kind.RanNo
+	a.retryAfter = relay.RetryAfter(res.Header)
+	a.reachedTarget = a.kind == kind.None || a.kind == kind.Shed || a.ran != kind.RanNo
 	if a.kind != kind.None || (streamed && res.ContentLength < 0) {
 		return
 	}
@@ -91,12 +94,12 @@
 	}
 }
 
-// feedback is what the attempt tells about the upstream.
+// feedback returns what the attempt showed about the upstream.
 func (a *attempt) feedback(c *call, out relay.Outcome) Feedback {
 	f := Feedback{Load: -1, Priority: c.route.Priority}
 	if a.res == nil {
 		f.Failed = out.Kind != kind.Cancel
-		f.Unreached = out.Kind == kind.Refused
+		f.Unreachable = out.Kind == kind.Refused
 		return f
 	}
 	h := a.res.Header
@@ -104,46 +107,46 @@
 		f.Load = load
 	}
 	if ms, err := strconv.ParseInt(h.Get(target.HeaderMeanDuration), 10, 64); err == nil {
-		f.Usual = time.Duration(ms) * time.Millisecond
+		f.TypicalLatency = time.Duration(ms) * time.Millisecond
 	}
 	f.Failed = a.kind == kind.Refused || a.kind == kind.Broken || a.kind == kind.Late
-	f.TargetFailed = a.kind == kind.Shed || a.failure()
+	f.TargetFailed = a.kind == kind.Shed || a.targetFailed()
 	f.Leaving = a.kind == kind.Drain
-	f.Full, f.Paced, f.Again = a.kind == kind.Full || a.kind == kind.Rate, a.kind == kind.Rate, a.after
+	f.Full, f.RateLimited, f.RetryAfter = a.kind == kind.Full || a.kind == kind.Rate, a.kind == kind.Rate, a.retryAfter
 	f.Notices = target.ReadNotices(h, time.Now())
 	return f
 }
 
-// routeName names the route among those of its service: calls of one route take
-// about the same time.
-func (c *call) routeName() string { return cmp.Or(c.entry, c.route.Name()) }
+// routeName identifies the call's route among those of its service. The target's node
+// estimates how long a call takes from earlier calls with the same name.
+func (c *call) routeName() string { return cmp.Or(c.entryName, c.route.Name()) }
 
-// holdsBody tells whether a call's body is held back until the target's node asks for
-// it. In an overload a body of any length is: most calls are refused, and their bodies
-// would take up the links.
-func (c *call) holdsBody(u upstream) bool {
+// withholdsBody returns whether a call's body is withheld until the target's node
+// requests it. In an overload a body of any length is withheld: most calls are refused,
+// and their bodies would use up the bandwidth between the nodes.
+func (c *call) withholdsBody(u upstream) bool {
 	n := c.r.ContentLength
-	return n < 0 || n > expectAbove || n > 0 && u.overloaded
+	return n < 0 || n > expectContinueBytes || n > 0 && u.overloaded
 }
 
-func (c *call) towardsNode(u upstream, held bool) http.Header {
+func (c *call) nodeHeaders(u upstream, withheld bool) http.Header {
 	h := make(http.Header, 6)
 	h.Set(target.HeaderService, c.service.Name)
 	h.Set(target.HeaderDeadline, strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 0), 10))
 	h.Set(target.HeaderPriority, strconv.Itoa(int(c.route.Priority)))
 	h.Set(target.HeaderRoute, c.routeName())
-	h.Set(target.HeaderFingerprint, strconv.FormatUint(c.print, 16))
+	h.Set(target.HeaderFingerprint, strconv.FormatUint(c.fingerprint, 16))
 	h.Set(target.HeaderTrace, c.trace)
 	if c.route.Mode == snapshot.Once {
 		h.Set(target.HeaderAtMostOnce, "yes")
 	}
-	if u.far {
+	if u.otherRegion {
 		h.Set(target.HeaderCrossRegion, "yes")
 	}
 	if !c.aim.IsZero() {
 		h.Set(target.HeaderAim, strconv.FormatInt(time.Until(c.aim).Milliseconds(), 10))
 	}
-	if held {
+	if withheld {
 		h.Set("Expect", http1.ExpectContinue)
 		h.Set(http1.HeaderHeld, "yes")
 	}
--- a/briarrockd/caller/choose_test.go
+++ b/briarrockd/caller/choose_test.go
@@ -37,17 +37,17 @@
 	return NewTable(7, s, members)
 }
 
-// count picks n times and returns how the picks fall on domains.
-func count(ch *Balancer, set []upstream, n int, now time.Time, f Feedback) map[string]int {
+// picksByDomain picks n times and returns the number of picks of each domain.
+func picksByDomain(b *Balancer, set []upstream, n int, now time.Time, f Feedback) map[string]int {
 	out := make(map[string]int)
 	for range n {
-		u, _, ok := ch.pick(now, "orderdesk", set, nil, 0)
+		u, _, ok := b.pick(now, "orderdesk", set, nil, 0)
 		if !ok {
 			out["none"]++
 			continue
 		}
 		out[u.domain]++
-		ch.done(now, "orderdesk", u.host, f)
+		b.done(now, "orderdesk", u.host, f)
 	}
 	return out
 }
@@ -59,9 +59,9 @@
 	ms[1].Targets[0].Draining = true
 	ms = append(ms, peer.Member{Host: "x", Targets: []peer.Target{{Service: "unknown"}}})
 	tab := table(ms)
-	c.Check(tab.sets["orderdesk"], qt.HasLen, 10)
-	// A service without any target has an empty set, not none.
-	c.Check(tab.sets["ledgerline"], qt.Not(qt.IsNil))
+	c.Check(tab.upstreams["orderdesk"], qt.HasLen, 10)
+	// A service without any target has an empty set, not a nil one.
+	c.Check(tab.upstreams["ledgerline"], qt.Not(qt.IsNil))
 	for _, x := range []struct {
 		method, path, want string
 	}{
@@ -79,86 +79,85 @@
 
 func TestNearFirst(t *testing.T) {
 	c := qt.New(t)
-	set := table(members()).sets["orderdesk"]
-	ch := NewBalancer("northgate", "north-line", 1)
+	set := table(members()).upstreams["orderdesk"]
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
-	c.Check(count(ch, set, 100, now, Feedback{}), qt.DeepEquals, map[string]int{"northgate": 100})
-	// The own domain says that it is full: work goes to the next one, and
-	// only a part of it over the paid link.
+	c.Check(picksByDomain(b, set, 100, now, Feedback{}), qt.DeepEquals, map[string]int{"northgate": 100})
+	// All targets of the own domain report a load of 2: calls go to the other domain of
+	// the region, and not over the billed link to the other region.
 	for i := range 4 {
-		ch.done(now, "orderdesk", fmt.Sprintf("northgate-%d", i), Feedback{Load: 2})
+		b.done(now, "orderdesk", fmt.Sprintf("northgate-%d", i), Feedback{Load: 2})
 	}
-	got := count(ch, set, 100, now, Feedback{Load: -1})
+	got := picksByDomain(b, set, 100, now, Feedback{Load: -1})
 	c.Check(got["millbank"], qt.Equals, 100, qt.Commentf("%v", got))
 }
 
-// TestEjection lets all targets of a set fail.
-//
-// Health that misleads must not empty a set: callers would be refused by a
-// mesh whose targets are all well. At least half of it stays in use.
+// TestEjection guards against ejection that empties a set: misleading failures would
+// refuse all callers although the targets are healthy. At least half of the set must stay
+// in use.
 func TestEjection(t *testing.T) {
 	c := qt.New(t)
-	set := table(members()).sets["orderdesk"]
-	ch := NewBalancer("northgate", "north-line", 1)
+	set := table(members()).upstreams["orderdesk"]
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
-	for range ejectAfter {
-		ch.done(now, "orderdesk", "northgate-0", Feedback{Load: -1, Failed: true})
+	for range ejectAfterFailures {
+		b.done(now, "orderdesk", "northgate-0", Feedback{Load: -1, Failed: true})
 	}
-	c.Check(ch.Ejected(now), qt.Equals, 1)
+	c.Check(b.Ejected(now), qt.Equals, 1)
 	for range 200 {
-		u, _, ok := ch.pick(now, "orderdesk", set, nil, 0)
+		u, _, ok := b.pick(now, "orderdesk", set, nil, 0)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(u.host, qt.Not(qt.Equals), "northgate-0")
-		ch.done(now, "orderdesk", u.host, Feedback{})
+		b.done(now, "orderdesk", u.host, Feedback{})
 	}
 	for _, u := range set {
-		for range ejectAfter {
-			ch.done(now, "orderdesk", u.host, Feedback{Load: -1, Failed: true})
+		for range ejectAfterFailures {
+			b.done(now, "orderdesk", u.host, Feedback{Load: -1, Failed: true})
 		}
 	}
-	_, _, ok := ch.pick(now, "orderdesk", set, nil, 0)
+	_, _, ok := b.pick(now, "orderdesk", set, nil, 0)
 	c.Check(ok, qt.IsTrue)
-	c.Check(ch.Ejected(now.Add(maxEjection)), qt.Equals, 0)
+	c.Check(b.Ejected(now.Add(maxEjection)), qt.Equals, 0)
 }
 
-// TestLeaving checks that an upstream which said that it leaves gets nothing
-// more, and that a set of only such ones is empty.
+// TestLeaving checks that an upstream that reported that it is leaving is not picked, and
+// that a set of only such upstreams counts as empty.
 func TestLeaving(t *testing.T) {
 	c := qt.New(t)
-	set := table(members()).sets["orderdesk"][:2]
-	ch := NewBalancer("northgate", "north-line", 1)
+	set := table(members()).upstreams["orderdesk"][:2]
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
-	ch.done(now, "orderdesk", set[0].host, Feedback{Load: -1, Leaving: true})
+	b.done(now, "orderdesk", set[0].host, Feedback{Load: -1, Leaving: true})
 	for range 50 {
-		u, _, ok := ch.pick(now, "orderdesk", set, nil, 0)
+		u, _, ok := b.pick(now, "orderdesk", set, nil, 0)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(u.host, qt.Equals, set[1].host)
 	}
-	_, _, ok := ch.pick(now, "orderdesk", set, []string{set[1].host}, 0)
+	_, _, ok := b.pick(now, "orderdesk", set, []string{set[1].host}, 0)
 	c.Check(ok, qt.IsFalse)
 }
 
-// TestBudget takes a whole service down: the attempts must stay within 1.1
-// times the calls, beside the one retry that is in hand at the start.
+// TestBudget simulates a service that is down: the attempts must stay within 1.1 times
+// the calls, plus the one retry that the budget has at the start.
 func TestBudget(t *testing.T) {
 	c := qt.New(t)
 	b := NewBudget()
 	const calls = 1000
 	retries := 0
 	for range calls {
-		b.call("orderdesk")
+		b.addCall("orderdesk")
 		for range 3 {
-			if b.retry("orderdesk") {
+			if b.takeRetry("orderdesk") {
 				retries++
 			}
 		}
 	}
 	c.Check(retries <= calls/10+1, qt.IsTrue, qt.Commentf("%d", retries))
-	c.Check(b.retry("another"), qt.IsFalse)
+	c.Check(b.takeRetry("another"), qt.IsFalse)
 }
 
-// TestMayRetry goes through every kind: a request that may have run is sent
-// again only if its route says that it may be repeated.
+// TestMayRetry checks every kind of failure: a request that may have run is sent again
+// only if its route allows repeats.
 func TestMayRetry(t *testing.T) {
 	c := qt.New(t)
 	for _, k := range append(kind.All(), kind.None) {
--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -9,14 +9,14 @@
 	"briarrock.example/mesh/kind"
 )
 
-// once runs a call that may run at most once and carries a key.
-func (p *Proxy) once(w http.ResponseWriter, c *call) {
+// serveOnce serves a call that may run at most once and carries an idempotency key.
+func (p *Proxy) serveOnce(w http.ResponseWriter, c *call) {
 	key := c.r.Header.Get(HeaderKey)
 	if len(key) > claim.MaxKeyBytes || len(c.r.Header[HeaderKey]) != 1 {
 		p.fail(w, c, kind.Key, kind.RanNo, 0)
 		return
 	}
-	d := p.deps.Claims.Begin(c.r.Context(), claim.Request{Service: c.service.Name, Key: key, Fingerprint: c.print})
+	d := p.deps.Claims.Begin(c.r.Context(), claim.Request{Service: c.service.Name, Key: key, Fingerprint: c.fingerprint})
 	switch d.Verdict {
 	case claim.Run:
 		c.claim = d.Claim
@@ -33,18 +33,18 @@
 }
 
 func (p *Proxy) runOnce(w http.ResponseWriter, c *call) {
-	a := p.attemptAll(c)
-	defer a.done()
+	a := p.runAttempts(c)
+	defer a.release()
 	if a.res == nil {
 		if a.ran == kind.RanNo {
 			p.deps.Claims.Release(c.claim)
 		}
-		p.fail(w, c, a.kind, a.ran, a.after)
+		p.fail(w, c, a.kind, a.ran, a.retryAfter)
 		return
 	}
-	keep := &keeper{status: a.res.StatusCode, mime: a.res.Header.Get("Content-Type")}
-	p.answer(w, c, a, keep)
-	p.deps.Claims.Finish(c.claim, keep.outcome())
+	rec := &answerRecorder{status: a.res.StatusCode, contentType: a.res.Header.Get("Content-Type")}
+	p.writeAnswer(w, c, a, rec)
+	p.deps.Claims.Finish(c.claim, rec.outcome())
 }
 
 func (p *Proxy) replay(w http.ResponseWriter, c *call, o claim.Outcome) {
@@ -59,35 +59,36 @@
 	_, _ = w.Write(o.Body)
 }
 
-// keeper copies an answer as it passes, up to the bound of a replay.
-type keeper struct {
-	status int
-	mime   string
-	body   []byte
-	cut    bool
+// answerRecorder copies an answer while it is sent to the caller, up to the size limit of
+// replays.
+type answerRecorder struct {
+	status      int
+	contentType string
+	body        []byte
+	truncated   bool
 }
 
-// kept is a body that a keeper copies.
-type kept struct {
+// recordedBody is an answer's body that an answerRecorder copies as it is read.
+type recordedBody struct {
 	io.ReadCloser
-	k *keeper
+	rec *answerRecorder
 }
 
-func (k *keeper) wrap(b io.ReadCloser) io.ReadCloser { return &kept{b, k} }
+func (rec *answerRecorder) wrap(b io.ReadCloser) io.ReadCloser { return &recordedBody{b, rec} }
 
 // Read implements io.Reader.
-func (b *kept) Read(p []byte) (int, error) {
+func (b *recordedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	if len(b.k.body)+n > claim.MaxBodyBytes {
-		b.k.cut = true
-		b.k.body = nil
+	if len(b.rec.body)+n > claim.MaxBodyBytes {
+		b.rec.truncated = true
+		b.rec.body = nil
 	}
-	if !b.k.cut {
-		b.k.body = append(b.k.body, p[:n]...)
+	if !b.rec.truncated {
+		b.rec.body = append(b.rec.body, p[:n]...)
 	}
 	return n, err //nolint:wrapcheck // io.EOF must pass as it is
 }
 
-func (k *keeper) outcome() claim.Outcome {
-	return claim.Outcome{Status: k.status, ContentType: k.mime, Body: k.body, BodyOmitted: k.cut}
+func (rec *answerRecorder) outcome() claim.Outcome {
+	return claim.Outcome{Status: rec.status, ContentType: rec.contentType, Body: rec.body, BodyOmitted: rec.truncated}
 }
--- a/briarrockd/caller/paced_test.go
+++ b/briarrockd/caller/paced_test.go
@@ -11,34 +11,34 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// TestPaced guards against upstreams that are asked in vain while their targets' rates are
-// used up, and against refusals for rate that count as overload or as failures.
-func TestPaced(t *testing.T) {
+// TestRateLimited guards against attempts at upstreams whose targets' rate limits are
+// used up, and against refusals due to rate limits that count as overload or as failures.
+func TestRateLimited(t *testing.T) {
 	c := qt.New(t)
 	const service = "orderdesk"
-	set := table(members()).sets[service]
-	ch := NewBalancer("northgate", "north-line", 1)
+	set := table(members()).upstreams[service]
+	b := NewBalancer("northgate", "north-line", 1)
 	now := time.Unix(100, 0)
 	for i := range set {
-		u, _, ok := ch.pick(now, service, set, nil, snapshot.Normal)
+		u, _, ok := b.pick(now, service, set, nil, snapshot.Normal)
 		c.Assert(ok, qt.IsTrue)
-		again := 300*time.Millisecond + time.Duration(i)*time.Millisecond
-		ch.done(now, service, u.host, Feedback{Load: 1, Full: true, Paced: true, Priority: snapshot.Normal, Again: again})
+		retryAfter := 300*time.Millisecond + time.Duration(i)*time.Millisecond
+		b.done(now, service, u.host, Feedback{Load: 1, Full: true, RateLimited: true, Priority: snapshot.Normal, RetryAfter: retryAfter})
 	}
-	_, none, ok := ch.pick(now, service, set, nil, snapshot.Normal)
+	_, ref, ok := b.pick(now, service, set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsFalse)
-	c.Check(none, qt.Equals, refusal{kind.Rate, 300 * time.Millisecond})
-	_, _, ok = ch.pick(now, service, set, nil, snapshot.Urgent)
-	c.Check(ok, qt.IsTrue, qt.Commentf("more urgent calls may have a turn"))
-	c.Check(ch.overloaded(now, service, set), qt.IsFalse)
-	c.Check(ch.Ejected(now), qt.Equals, 0)
-	now = now.Add(none.after)
-	_, _, ok = ch.pick(now, service, set, nil, snapshot.Normal)
+	c.Check(ref, qt.Equals, refusal{kind.Rate, 300 * time.Millisecond})
+	_, _, ok = b.pick(now, service, set, nil, snapshot.Urgent)
+	c.Check(ok, qt.IsTrue, qt.Commentf("more urgent calls may be allowed by the rate limit"))
+	c.Check(b.overloaded(now, service, set), qt.IsFalse)
+	c.Check(b.Ejected(now), qt.Equals, 0)
+	now = now.Add(ref.retryAfter)
+	_, _, ok = b.pick(now, service, set, nil, snapshot.Normal)
 	c.Check(ok, qt.IsTrue)
 }
 
-// TestNoticesKept guards against a leaving that a later notice of the same process takes
-// back, an older rate that replaces a newer one, and notices without a bound.
+// TestNoticesKept guards against a later notice of a process that revokes its leaving, an
+// older rate that replaces a newer one, and an unbounded number of notices.
 func TestNoticesKept(t *testing.T) {
 	c := qt.New(t)
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
@@ -53,6 +53,6 @@
 	for _, process := range []string{"c/1", "d/1", "e/1"} {
 		s.observeNotice(target.Notice{Process: process, At: at(4)})
 	}
-	c.Check(s.notices, qt.HasLen, maxTold)
-	c.Check(s.notices[maxTold-1].Process, qt.Equals, "e/1")
+	c.Check(s.notices, qt.HasLen, maxNotices)
+	c.Check(s.notices[maxNotices-1].Process, qt.Equals, "e/1")
 }
--- a/briarrockd/caller/patience.go
+++ b/briarrockd/caller/patience.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// patienceSpread is the part of the longest deadline that callers of one entry
-// have at least when they first ask: below it a request has come back.
-const patienceSpread = 0.85
+// retryTimeoutShare is the share of an entry's longest caller timeout that a first
+// request has at least. A request with less is taken for a retry.
+const retryTimeoutShare = 0.85
 
-// maxPatience bounds the entries that are remembered.
-const maxPatience = 4096
+// maxTrackedEntries bounds the entries whose longest timeout is kept.
+const maxTrackedEntries = 4096
 
-// patience knows how long the callers of each entry are ready to wait at most. A
-// caller who was refused and comes back has less time left than one who asks for the
-// first time.
-type patience struct {
+// callerTimeouts records the longest timeout that callers have sent for each entry. A
+// caller that retries after a refusal has less time left, and sends a shorter timeout,
+// than with its first request.
+type callerTimeouts struct {
 	mu      sync.Mutex
 	longest map[string]time.Duration
 }
 
-// returns takes the time that a caller of an entry has left, and tells whether it
-// seems to have asked before.
-func (p *patience) returns(entry string, left time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.longest == nil || len(p.longest) >= maxPatience {
-		p.longest = make(map[string]time.Duration)
+// observe records the timeout that a caller sent for an entry, and returns whether the
+// request appears to be a retry.
+func (t *callerTimeouts) observe(entry string, timeout time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.longest == nil || len(t.longest) >= maxTrackedEntries {
+		t.longest = make(map[string]time.Duration)
 	}
-	longest := max(p.longest[entry], left)
-	p.longest[entry] = longest
-	return float64(left) < patienceSpread*float64(longest)
+	longest := max(t.longest[entry], timeout)
+	t.longest[entry] = longest
+	return float64(timeout) < retryTimeoutShare*float64(longest)
 }
