--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -238,7 +238,7 @@
 		return c, refusal{kind: k}
 	}
 	c.print = claim.Print(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
-	if p.deps.Suspicion(c.print) >= peer.HoldAt {
+	if p.deps.Suspicion(c.print) >= peer.HoldThreshold {
 		return c, refusal{kind: kind.Held}
 	}
 	return c, refusal{}
--- a/briarrockd/peer/hold.go
+++ b/briarrockd/peer/hold.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// HoldAt is how many crashes make a request one that is held back, here and
+	// HoldThreshold is how many crashes make a request one that is held back, here and
 	// wherever calls are admitted.
-	HoldAt = 2
+	HoldThreshold = 2
 	// holdFor is how long a request is held back after its last crash, and
 	// how long a first crash is remembered.
 	holdFor = 10 * time.Minute
@@ -65,7 +65,7 @@
 		p = &held{service: f.Service, seen: make(map[uint64]bool)}
 		h.holds.prints[f.Print] = p
 	}
-	if p.seen[f.ID] || len(p.seen) >= maxReports || (f.Clear && p.crashes >= HoldAt) {
+	if p.seen[f.ID] || len(p.seen) >= maxReports || (f.Clear && p.crashes >= HoldThreshold) {
 		return
 	}
 	p.seen[f.ID] = true
@@ -76,7 +76,7 @@
 		p.crashes++
 	}
 	h.do(Held{f.Print, p.service, p.crashes})
-	if p.crashes == HoldAt && !f.Clear {
+	if p.crashes == HoldThreshold && !f.Clear {
 		h.log(event.RequestHeld, event.Fields{event.Subject: f.Service, "print": f.Print})
 	}
 	h.relayHold(from, f)
@@ -107,7 +107,7 @@
 func (h *holds) list() []Held {
 	var out []Held
 	for mark, p := range h.prints {
-		if p.crashes >= HoldAt {
+		if p.crashes >= HoldThreshold {
 			out = append(out, Held{mark, p.service, p.crashes})
 		}
 	}
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -97,7 +97,7 @@
 		t.refuse(w, c, nil, Refuse{Kind: kind.Drain})
 		return
 	}
-	if c.mark != 0 && t.deps.Suspicion(c.mark) >= peer.HoldAt {
+	if c.mark != 0 && t.deps.Suspicion(c.mark) >= peer.HoldThreshold {
 		t.refuse(w, c, x, Refuse{Kind: kind.Held})
 		return
 	}
