--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -192,7 +192,7 @@
 	n.follow = newFollow(n.tell, n.log)
 	n.peers = peer.NewLinks(n.peerConfig(), peer.Deps{
 		Store: st, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
-		Dial: d.Dial, Claims: n.claims.Serve,
+		Dial: d.Dial, CommitClaims: n.claims.Serve,
 		Hooks: peer.Hooks{Use: n.use, Publish: n.publish, Held: n.held, Watch: n.follow.set},
 	})
 	n.operators = operator.New(operator.Deps{
@@ -234,8 +234,8 @@
 
 // handClaims passes claims on to the node that gathers those of the domain.
 func (n *Node) handClaims(ctx context.Context, orders []byte) ([]byte, error) {
-	b, err := n.peers.HandClaims(ctx, orders)
-	if errors.Is(err, peer.ErrNoRoot) {
+	b, err := n.peers.ForwardClaims(ctx, orders)
+	if errors.Is(err, peer.ErrNotForwarded) {
 		return nil, claim.ErrHere
 	}
 	return b, errors.WithStack(err)
--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -14,9 +14,9 @@
 // enough, and a hop less is worth more.
 const gatherFrom = 8
 
-// ErrNoRoot says that there is nobody to hand claims to: this node is to
+// ErrNotForwarded says that there is nobody to hand claims to: this node is to
 // commit them, or the one that gathers could not be connected to.
-var ErrNoRoot = errors.New("peer: no node gathers")
+var ErrNotForwarded = errors.New("peer: no node gathers")
 
 // rootConn is a lasting connection to the first node of the domain. A drpc
 // connection carries one call at a time, and there is one batch at a time.
@@ -53,19 +53,19 @@
 	return r.Peer, n
 }
 
-// HandClaims sends claims to the node that gathers them. Its error is
-// ErrNoRoot if nothing was sent.
-func (s *Links) HandClaims(ctx context.Context, orders []byte) ([]byte, error) {
+// ForwardClaims sends claims to the node that gathers them. Its error is
+// ErrNotForwarded if nothing was sent.
+func (s *Links) ForwardClaims(ctx context.Context, orders []byte) ([]byte, error) {
 	addr := ""
 	s.Ask(func(h *Core) { addr, _ = h.Committers() })
 	if addr == "" {
-		return nil, ErrNoRoot
+		return nil, ErrNotForwarded
 	}
 	s.root.mu.Lock()
 	defer s.root.mu.Unlock()
 	rpc, err := s.rootRPC(ctx, addr)
 	if err != nil {
-		return nil, ErrNoRoot
+		return nil, ErrNotForwarded
 	}
 	out := new(blob)
 	if err := rpc.Invoke(ctx, rpcClaims, encoding{}, &blob{orders}, out); err != nil {
@@ -111,7 +111,7 @@
 		return errors.Wrap(err, "peer: claims")
 	}
 	if s.claims == nil {
-		return ErrNoRoot
+		return ErrNotForwarded
 	}
 	out, err := s.claims(rpc.Context(), in.bytes)
 	if err != nil {
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -106,7 +106,7 @@
 	// Dial opens connections; nil for the usual way.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	// Claims commits the claims of other nodes of the domain.
-	Claims func(ctx context.Context, orders []byte) ([]byte, error)
+	CommitClaims func(ctx context.Context, orders []byte) ([]byte, error)
 }
 
 // NewLinks starts a Core with its shell. Close stops it.
@@ -122,7 +122,7 @@
 		hooks:   d.Hooks,
 		keys:    d.Keys,
 		domain:  cfg.Self.Domain,
-		claims:  d.Claims,
+		claims:  d.CommitClaims,
 		inbox:   make(chan Msg, inboxSize),
 		asks:    make(chan func(*Core)),
 		ctx:     ctx,
