--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -251,7 +251,7 @@
 // tell passes a message to the Core; before there is one, nothing can happen.
 func (n *Node) tell(m peer.Msg) {
 	if n.peers != nil {
-		n.peers.Tell(m)
+		n.peers.Post(m)
 	}
 }
 
--- a/briarrockd/node/stop.go
+++ b/briarrockd/node/stop.go
@@ -34,7 +34,7 @@
 	}
 	platform.Pause(ctx, max(lame, n.platform.Lame)-handOver)
 	n.targets.Drain()
-	n.peers.Tell(peer.Leave{})
+	n.peers.Post(peer.Leave{})
 	platform.Pause(ctx, handOver)
 	if end, ok := ctx.Deadline(); ok {
 		n.proxy.LeaveBy(end)
--- a/briarrockd/operator/apply.go
+++ b/briarrockd/operator/apply.go
@@ -160,7 +160,7 @@
 	res.Outcome, res.Version, res.Text = api.Accepted, a.Version, "accepted"
 	hash, err := snapshot.ParseHash(a.Hash)
 	if err == nil {
-		e.o.deps.Peers.Tell(peer.Committed{Version: a.Version, Hash: hash, Content: e.bytes})
+		e.o.deps.Peers.Post(peer.Committed{Version: a.Version, Hash: hash, Content: e.bytes})
 	}
 	e.o.deps.Log.Emit(event.EditAccepted, event.Fields{"version": a.Version, "who": e.who, "write": e.in.Write})
 	e.o.wg.Go(func() { e.o.watchConverge(a) })
--- a/briarrockd/operator/operator.go
+++ b/briarrockd/operator/operator.go
@@ -36,7 +36,7 @@
 // Peers is what the rest of the node tells an operator.
 type Peers interface {
 	Status(ctx context.Context) peer.Status
-	Tell(m peer.Msg) bool
+	Post(m peer.Msg) bool
 	Content(hash snapshot.Hash) ([]byte, bool)
 }
 
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -149,7 +149,7 @@
 }
 
 // Tell gives the Core a message. It returns false when Links is closed.
-func (s *Links) Tell(m Msg) bool {
+func (s *Links) Post(m Msg) bool {
 	select {
 	case s.inbox <- m:
 		return true
@@ -231,22 +231,22 @@
 	defer cancel()
 	row, err := s.store.Get(ctx, platform.HeadKey)
 	if errors.Is(err, platform.ErrMissing) {
-		s.Tell(HeadRead{})
+		s.Post(HeadRead{})
 		return
 	}
 	if err != nil {
-		s.Tell(HeadRead{Err: err})
+		s.Post(HeadRead{Err: err})
 		return
 	}
 	head, hash, err := platform.ParseHead(row.Value)
-	s.Tell(HeadRead{Version: head.Version, Hash: hash, Err: err})
+	s.Post(HeadRead{Version: head.Version, Hash: hash, Err: err})
 }
 
 func (s *Links) readObject(hash snapshot.Hash) {
 	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
 	defer cancel()
 	b, err := platform.GetContent(ctx, s.store, hash)
-	s.Tell(ObjectRead{Hash: hash, Content: b, Err: err})
+	s.Post(ObjectRead{Hash: hash, Content: b, Err: err})
 }
 
 // contactsPrefix begins the key of each domain's row of contacts.
@@ -270,7 +270,7 @@
 			m.Near = len(some)
 		}
 	}
-	s.Tell(m)
+	s.Post(m)
 }
 
 // writeContacts leaves the addresses without a condition: whichever root of a
--- a/briarrockd/peer/stream.go
+++ b/briarrockd/peer/stream.go
@@ -120,14 +120,14 @@
 	defer cancel()
 	conn, err := s.connect(ctx, c.Addr)
 	if err != nil {
-		s.Tell(DialFailed{Addr: c.Addr, Refused: errors.Is(err, syscall.ECONNREFUSED)})
+		s.Post(DialFailed{Addr: c.Addr, Refused: errors.Is(err, syscall.ECONNREFUSED)})
 		return
 	}
 	rpc := drpcconn.New(conn)
 	st, hello, err := s.open(rpc, conn, c.Hello)
 	if err != nil {
 		_ = conn.Close()
-		s.Tell(DialFailed{Addr: c.Addr})
+		s.Post(DialFailed{Addr: c.Addr})
 		return
 	}
 	s.wg.Go(func() {
@@ -217,14 +217,14 @@
 	stop := context.AfterFunc(s.ctx, st.close)
 	defer stop()
 	s.wg.Go(func() { s.write(st) })
-	if s.Tell(up) {
+	if s.Post(up) {
 		s.read(st)
 	}
 	st.close()
 	s.mu.Lock()
 	delete(s.streams, st.id)
 	s.mu.Unlock()
-	s.Tell(LinkDown{st.id})
+	s.Post(LinkDown{st.id})
 }
 
 func (s *Links) read(st *stream) {
@@ -238,7 +238,7 @@
 			s.log.Emit(event.PeerGarbage, event.Fields{event.Subject: st.conn.RemoteAddr().String()})
 			return
 		}
-		if !s.Tell(Received{st.id, f}) {
+		if !s.Post(Received{st.id, f}) {
 			return
 		}
 	}
