--- a/briarrock/local/call_test.go
+++ b/briarrock/local/call_test.go
@@ -345,7 +345,7 @@
 	putInForce(c, m, meshText, 9)
 	root := -1
 	for i, n := range m.Nodes {
-		n.Peers().Ask(func(h *peer.Core) {
+		n.Peers().WithCore(func(h *peer.Core) {
 			if addr, _ := h.Committers(); addr == "" {
 				root = i
 			}
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -244,7 +244,7 @@
 // shareClaims gives the claims their part of what the platform can do.
 func (n *Node) shareClaims() {
 	committers := 1
-	n.peers.Ask(func(h *peer.Core) { _, committers = h.Committers() })
+	n.peers.WithCore(func(h *peer.Core) { _, committers = h.Committers() })
 	n.claims.Share(committers)
 }
 
@@ -384,7 +384,7 @@
 		}
 		next = time.Now().Add(sweepEvery)
 		leads := false
-		n.peers.Ask(func(h *peer.Core) { leads = h.Leads() })
+		n.peers.WithCore(func(h *peer.Core) { leads = h.Leads() })
 		if leads {
 			_, _ = n.claims.Sweep(n.ctx, time.Now()) // what is left is for the next time
 		}
--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -57,7 +57,7 @@
 // ErrNotForwarded if nothing was sent.
 func (s *Links) ForwardClaims(ctx context.Context, orders []byte) ([]byte, error) {
 	addr := ""
-	s.Ask(func(h *Core) { addr, _ = h.Committers() })
+	s.WithCore(func(h *Core) { addr, _ = h.Committers() })
 	if addr == "" {
 		return nil, ErrNotForwarded
 	}
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -159,7 +159,7 @@
 }
 
 // Ask runs f with the Core, between two steps.
-func (s *Links) Ask(f func(*Core)) bool {
+func (s *Links) WithCore(f func(*Core)) bool {
 	done := make(chan struct{})
 	select {
 	case s.asks <- func(h *Core) { f(h); close(done) }:
@@ -318,7 +318,7 @@
 // Content returns a version's bytes if this node holds them.
 func (s *Links) Content(hash snapshot.Hash) ([]byte, bool) {
 	var b []byte
-	s.Ask(func(h *Core) { b = h.version.content[hash] })
+	s.WithCore(func(h *Core) { b = h.version.content[hash] })
 	return b, b != nil
 }
 
@@ -327,7 +327,7 @@
 func (s *Links) Status(ctx context.Context) Status {
 	var st Status
 	var root string
-	s.Ask(func(h *Core) { st, root = h.Status(time.Now()) })
+	s.WithCore(func(h *Core) { st, root = h.Status(time.Now()) })
 	if root == "" {
 		return st
 	}
@@ -379,7 +379,7 @@
 		return errors.Wrap(err, "peer: status")
 	}
 	var st Status
-	s.Ask(func(h *Core) { st, _ = h.Status(time.Now()) })
+	s.WithCore(func(h *Core) { st, _ = h.Status(time.Now()) })
 	b, err := codec.Encode(st)
 	if err != nil {
 		return errors.Wrap(err, "peer: status")
