--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -64,7 +64,7 @@
 	metrics *metrics.Set
 	keys    *keys.Keys
 
-	peers     *peer.Links
+	peers     *peer.Transport
 	targets   *target.Targets
 	proxy     *caller.Proxy
 	claims    *claim.Claims
@@ -190,7 +190,7 @@
 		Hedge: d.Platform != nil,
 	})
 	n.follow = newFollow(n.tell, n.log)
-	n.peers = peer.NewLinks(n.peerConfig(), peer.Deps{
+	n.peers = peer.NewTransport(n.peerConfig(), peer.Deps{
 		Store: st, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
 		Dial: d.Dial, CommitClaims: n.claims.Serve,
 		Hooks: peer.Hooks{Use: n.use, Publish: n.publish, Held: n.held, Watch: n.follow.set},
@@ -347,7 +347,7 @@
 func (n *Node) Settings() settings.Settings { return n.cfg }
 
 // Peers returns the node's side towards its peers.
-func (n *Node) Peers() *peer.Links { return n.peers }
+func (n *Node) Peers() *peer.Transport { return n.peers }
 
 // Metrics returns the node's metrics.
 func (n *Node) Metrics() *metrics.Set { return n.metrics }
--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -55,7 +55,7 @@
 
 // ForwardClaims sends claims to the node that gathers them. Its error is
 // ErrNotForwarded if nothing was sent.
-func (s *Links) ForwardClaims(ctx context.Context, orders []byte) ([]byte, error) {
+func (s *Transport) ForwardClaims(ctx context.Context, orders []byte) ([]byte, error) {
 	addr := ""
 	s.WithCore(func(h *Core) { addr, _ = h.Committers() })
 	if addr == "" {
@@ -78,7 +78,7 @@
 
 // rootRPC returns the lasting connection, opened anew if the first node is
 // another one or the connection has ended.
-func (s *Links) rootRPC(ctx context.Context, addr string) (*drpcconn.Conn, error) {
+func (s *Transport) rootRPC(ctx context.Context, addr string) (*drpcconn.Conn, error) {
 	c := &s.root
 	if c.rpc != nil && c.addr == addr && !isClosed(c.rpc) {
 		return c.rpc, nil
@@ -105,7 +105,7 @@
 	}
 }
 
-func (s *Links) serveClaims(rpc drpc.Stream) error {
+func (s *Transport) serveClaims(rpc drpc.Stream) error {
 	var in blob
 	if err := rpc.MsgRecv(&in, encoding{}); err != nil {
 		return errors.Wrap(err, "peer: claims")
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -59,7 +59,7 @@
 
 // Links is the shell around a Core: it owns the goroutines and sockets. Make
 // one with New.
-type Links struct {
+type Transport struct {
 	heart  *Core
 	store  platform.Store
 	log    *event.Log
@@ -109,13 +109,13 @@
 	CommitClaims func(ctx context.Context, orders []byte) ([]byte, error)
 }
 
-// NewLinks starts a Core with its shell. Close stops it.
-func NewLinks(cfg Config, d Deps) *Links {
+// NewTransport starts a Core with its shell. Close stops it.
+func NewTransport(cfg Config, d Deps) *Transport {
 	if d.Metrics == nil {
 		d.Metrics = metrics.NewSet()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Links{
+	s := &Transport{
 		heart:   New(cfg, rand.New(rand.NewPCG(d.Seed, score(cfg.Self.Host))), time.Now()),
 		store:   d.Store,
 		log:     d.Log,
@@ -142,14 +142,14 @@
 }
 
 // Close ends all links and waits for the goroutines. Say Leave first.
-func (s *Links) Close() {
+func (s *Transport) Close() {
 	s.cancel()
 	s.wg.Wait()
 	s.root.close()
 }
 
 // Tell gives the Core a message. It returns false when Links is closed.
-func (s *Links) Post(m Msg) bool {
+func (s *Transport) Post(m Msg) bool {
 	select {
 	case s.inbox <- m:
 		return true
@@ -159,7 +159,7 @@
 }
 
 // Ask runs f with the Core, between two steps.
-func (s *Links) WithCore(f func(*Core)) bool {
+func (s *Transport) WithCore(f func(*Core)) bool {
 	done := make(chan struct{})
 	select {
 	case s.asks <- func(h *Core) { f(h); close(done) }:
@@ -171,7 +171,7 @@
 }
 
 // run is the only goroutine that touches the Core.
-func (s *Links) run() {
+func (s *Transport) run() {
 	tick := time.NewTicker(TickEvery)
 	defer tick.Stop()
 	s.step(Tick{})
@@ -189,13 +189,13 @@
 	}
 }
 
-func (s *Links) step(m Msg) {
+func (s *Transport) step(m Msg) {
 	for _, c := range s.heart.Step(time.Now(), m) {
 		s.carryOut(c)
 	}
 }
 
-func (s *Links) carryOut(c Cmd) {
+func (s *Transport) carryOut(c Cmd) {
 	switch c := c.(type) {
 	case Dial:
 		s.wg.Go(func() { s.dial(c) })
@@ -226,7 +226,7 @@
 	}
 }
 
-func (s *Links) readHead() {
+func (s *Transport) readHead() {
 	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
 	defer cancel()
 	row, err := s.store.Get(ctx, platform.HeadKey)
@@ -242,7 +242,7 @@
 	s.Post(HeadRead{Version: head.Version, Hash: hash, Err: err})
 }
 
-func (s *Links) readObject(hash snapshot.Hash) {
+func (s *Transport) readObject(hash snapshot.Hash) {
 	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
 	defer cancel()
 	b, err := platform.GetContent(ctx, s.store, hash)
@@ -252,7 +252,7 @@
 // contactsPrefix begins the key of each domain's row of contacts.
 const contactsPrefix = "contacts/"
 
-func (s *Links) readContacts() {
+func (s *Transport) readContacts() {
 	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
 	defer cancel()
 	rows, err := s.store.List(ctx, platform.Scan{Prefix: contactsPrefix, Limit: maxDomains})
@@ -275,7 +275,7 @@
 
 // writeContacts leaves the addresses without a condition: whichever root of a
 // domain writes last, they are addresses of its members.
-func (s *Links) writeContacts(addrs []string) {
+func (s *Transport) writeContacts(addrs []string) {
 	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
 	defer cancel()
 	b, err := json.Marshal(addrs)
@@ -288,7 +288,7 @@
 
 // send puts a frame in a link's outbox. A full one means that the peer has
 // stopped reading: the link is given up, so that memory stays bounded.
-func (s *Links) send(id LinkID, f Frame) {
+func (s *Transport) send(id LinkID, f Frame) {
 	s.mu.Lock()
 	st := s.streams[id]
 	s.mu.Unlock()
@@ -306,7 +306,7 @@
 	}
 }
 
-func (s *Links) closeLink(id LinkID) {
+func (s *Transport) closeLink(id LinkID) {
 	s.mu.Lock()
 	st := s.streams[id]
 	s.mu.Unlock()
@@ -316,7 +316,7 @@
 }
 
 // Content returns a version's bytes if this node holds them.
-func (s *Links) Content(hash snapshot.Hash) ([]byte, bool) {
+func (s *Transport) Content(hash snapshot.Hash) ([]byte, bool) {
 	var b []byte
 	s.WithCore(func(h *Core) { b = h.version.content[hash] })
 	return b, b != nil
@@ -324,7 +324,7 @@
 
 // Status answers for the whole mesh: from this node's Core if it is the root
 // of its domain, or else by asking the root.
-func (s *Links) Status(ctx context.Context) Status {
+func (s *Transport) Status(ctx context.Context) Status {
 	var st Status
 	var root string
 	s.WithCore(func(h *Core) { st, root = h.Status(time.Now()) })
@@ -339,7 +339,7 @@
 	return whole
 }
 
-func (s *Links) askStatus(ctx context.Context, addr string) (Status, error) {
+func (s *Transport) askStatus(ctx context.Context, addr string) (Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloWithin)
 	defer cancel()
 	conn, err := s.connect(ctx, addr)
@@ -360,7 +360,7 @@
 }
 
 // HandleRPC implements drpc.Handler.
-func (s *Links) HandleRPC(rpc drpc.Stream, name string) error {
+func (s *Transport) HandleRPC(rpc drpc.Stream, name string) error {
 	switch name {
 	case rpcLink:
 		return s.serveLink(rpc)
@@ -373,7 +373,7 @@
 	}
 }
 
-func (s *Links) serveStatus(rpc drpc.Stream) error {
+func (s *Transport) serveStatus(rpc drpc.Stream) error {
 	var in blob
 	if err := rpc.MsgRecv(&in, encoding{}); err != nil {
 		return errors.Wrap(err, "peer: status")
@@ -388,7 +388,7 @@
 }
 
 // accept takes connections from peers, a bounded number at a time.
-func (s *Links) accept(l net.Listener) {
+func (s *Transport) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -410,7 +410,7 @@
 	}
 }
 
-func (s *Links) serveConn(conn net.Conn) {
+func (s *Transport) serveConn(conn net.Conn) {
 	stop := context.AfterFunc(s.ctx, func() { _ = conn.Close() })
 	defer stop()
 	secured, name, err := s.secureServer(conn)
--- a/briarrockd/peer/stream.go
+++ b/briarrockd/peer/stream.go
@@ -76,21 +76,21 @@
 	return context.WithValue(ctx, peerKey{}, p)
 }
 
-func (s *Links) secureServer(conn net.Conn) (net.Conn, string, error) {
+func (s *Transport) secureServer(conn net.Conn) (net.Conn, string, error) {
 	if s.keys.Server == nil {
 		return conn, "", nil
 	}
 	return s.shake(tls.Server(conn, s.keys.Server()))
 }
 
-func (s *Links) secureClient(conn net.Conn) (net.Conn, string, error) {
+func (s *Transport) secureClient(conn net.Conn) (net.Conn, string, error) {
 	if s.keys.Client == nil {
 		return conn, "", nil
 	}
 	return s.shake(tls.Client(conn, s.keys.Client()))
 }
 
-func (s *Links) shake(c *tls.Conn) (net.Conn, string, error) {
+func (s *Transport) shake(c *tls.Conn) (net.Conn, string, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, helloWithin)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
@@ -101,7 +101,7 @@
 }
 
 // connect opens a connection to a peer.
-func (s *Links) connect(ctx context.Context, addr string) (*countedConn, error) {
+func (s *Transport) connect(ctx context.Context, addr string) (*countedConn, error) {
 	conn, err := s.dialTCP(ctx, "tcp", addr)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -115,7 +115,7 @@
 }
 
 // dial opens a link and reports how it went.
-func (s *Links) dial(c Dial) {
+func (s *Transport) dial(c Dial) {
 	ctx, cancel := context.WithTimeout(s.ctx, helloWithin)
 	defer cancel()
 	conn, err := s.connect(ctx, c.Addr)
@@ -137,7 +137,7 @@
 }
 
 // open starts the stream of an outbound link and exchanges hellos.
-func (s *Links) open(rpc *drpcconn.Conn, conn *countedConn, hi Hello) (*stream, Hello, error) {
+func (s *Transport) open(rpc *drpcconn.Conn, conn *countedConn, hi Hello) (*stream, Hello, error) {
 	_ = conn.SetDeadline(time.Now().Add(helloWithin))
 	st, err := rpc.NewStream(s.ctx, rpcLink, encoding{})
 	if err != nil {
@@ -175,7 +175,7 @@
 	return hello, nil
 }
 
-func (s *Links) newStream(rpc drpc.Stream, conn *countedConn) *stream {
+func (s *Transport) newStream(rpc drpc.Stream, conn *countedConn) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastID++
@@ -189,7 +189,7 @@
 
 // serveLink takes a link that a peer opens. The peer's name in its
 // certificate must be the host that it says it is.
-func (s *Links) serveLink(rpc drpc.Stream) error {
+func (s *Transport) serveLink(rpc drpc.Stream) error {
 	p, _ := rpc.Context().Value(peerKey{}).(*inboundPeer)
 	if p == nil {
 		return errors.New("peer: connection without identity")
@@ -213,7 +213,7 @@
 }
 
 // converse runs an open link until either side ends it.
-func (s *Links) converse(st *stream, up LinkUp) {
+func (s *Transport) converse(st *stream, up LinkUp) {
 	stop := context.AfterFunc(s.ctx, st.close)
 	defer stop()
 	s.wg.Go(func() { s.write(st) })
@@ -227,7 +227,7 @@
 	s.Post(LinkDown{st.id})
 }
 
-func (s *Links) read(st *stream) {
+func (s *Transport) read(st *stream) {
 	for {
 		var m blob
 		if err := st.rpc.MsgRecv(&m, encoding{}); err != nil {
@@ -244,7 +244,7 @@
 	}
 }
 
-func (s *Links) write(st *stream) {
+func (s *Transport) write(st *stream) {
 	defer st.close()
 	for {
 		select {
