--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -384,7 +384,7 @@
 		}
 		next = time.Now().Add(sweepEvery)
 		leads := false
-		n.peers.WithCore(func(h *peer.Core) { leads = h.Leads() })
+		n.peers.WithCore(func(h *peer.Core) { leads = h.IsLeader() })
 		if leads {
 			_, _ = n.claims.Sweep(n.ctx, time.Now()) // what is left is for the next time
 		}
--- a/briarrockd/peer/watch.go
+++ b/briarrockd/peer/watch.go
@@ -134,7 +134,7 @@
 
 // Leads tells whether this node is the one that reads the head as a rule, and
 // does the mesh's other small regular work at the platform.
-func (h *Core) Leads() bool { return h.isRoot() && h.leads() }
+func (h *Core) IsLeader() bool { return h.isRoot() && h.leads() }
 
 // leads tells whether this node's domain is the first of all, those in the
 // store's region before the others.
