--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -193,7 +193,7 @@
 	n.peers = peer.NewTransport(n.peerConfig(), peer.Deps{
 		Store: st, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
 		Dial: d.Dial, CommitClaims: n.claims.Serve,
-		Hooks: peer.Hooks{Use: n.use, Publish: n.publish, Held: n.held, Watch: n.follow.set},
+		Hooks: peer.Hooks{Use: n.use, Publish: n.publish, HeldRequest: n.held, Watch: n.follow.set},
 	})
 	n.operators = operator.New(operator.Deps{
 		Host: n.cfg.Host, Store: st, Peers: n.peers, Log: n.log, Metrics: n.metrics,
@@ -305,7 +305,7 @@
 	n.proxy.Use(caller.NewTable(n.version, n.snap, n.members))
 }
 
-func (n *Node) held(h peer.Held) {
+func (n *Node) held(h peer.HeldRequest) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h.Crashes == 0 {
--- a/briarrockd/peer/hold.go
+++ b/briarrockd/peer/hold.go
@@ -75,7 +75,7 @@
 	} else {
 		p.crashes++
 	}
-	h.do(Held{f.Print, p.service, p.crashes})
+	h.do(HeldRequest{f.Print, p.service, p.crashes})
 	if p.crashes == HoldThreshold && !f.Clear {
 		h.log(event.RequestHeld, event.Fields{event.Subject: f.Service, "print": f.Print})
 	}
@@ -98,17 +98,17 @@
 		}
 		if h.now.Sub(p.at) > kept {
 			delete(h.holds.prints, mark)
-			h.do(Held{mark, p.service, 0})
+			h.do(HeldRequest{mark, p.service, 0})
 		}
 	}
 }
 
 // list returns what is held back now.
-func (h *holds) list() []Held {
-	var out []Held
+func (h *holds) list() []HeldRequest {
+	var out []HeldRequest
 	for mark, p := range h.prints {
 		if p.crashes >= HoldThreshold {
-			out = append(out, Held{mark, p.service, p.crashes})
+			out = append(out, HeldRequest{mark, p.service, p.crashes})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Print < out[j].Print })
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -181,7 +181,7 @@
 type Publish struct{ Members []Member }
 
 // Held says what to hold back: requests with this print crash targets.
-type Held struct {
+type HeldRequest struct {
 	Print   uint64
 	Service string
 	Crashes int
@@ -204,5 +204,5 @@
 func (WriteContacts) cmd() {}
 func (Use) cmd()           {}
 func (Publish) cmd()       {}
-func (Held) cmd()          {}
+func (HeldRequest) cmd()   {}
 func (Log) cmd()           {}
--- a/briarrockd/peer/report.go
+++ b/briarrockd/peer/report.go
@@ -299,7 +299,7 @@
 	// never.
 	Store int64 `json:"store"`
 	// Held are requests that are held back because they crash targets.
-	Held []Held `json:"held,omitempty"`
+	Held []HeldRequest `json:"held,omitempty"`
 }
 
 // Status returns what this node knows of the mesh, and the address of the
