--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -64,7 +64,7 @@
 
 func (s *slopeNode) step(m peer.Msg) {
 	for _, c := range s.heart.Step(s.now, m) {
-		if p, ok := c.(peer.Publish); ok {
+		if p, ok := c.(peer.PublishMembers); ok {
 			s.members = p.Members
 		}
 	}
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -193,7 +193,7 @@
 	n.peers = peer.NewTransport(n.peerConfig(), peer.Deps{
 		Store: st, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
 		Dial: d.Dial, CommitClaims: n.claims.Serve,
-		Hooks: peer.Hooks{Use: n.use, Publish: n.publish, HeldRequest: n.held, Watch: n.follow.set},
+		Hooks: peer.Hooks{Use: n.use, PublishMembers: n.publish, HeldRequest: n.held, Watch: n.follow.set},
 	})
 	n.operators = operator.New(operator.Deps{
 		Host: n.cfg.Host, Store: st, Peers: n.peers, Log: n.log, Metrics: n.metrics,
@@ -283,7 +283,7 @@
 }
 
 // publish takes the members from the Core.
-func (n *Node) publish(p peer.Publish) {
+func (n *Node) publish(p peer.PublishMembers) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.members = p.Members
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -50,9 +50,9 @@
 // Hooks are what the rest of the node does with a Core's decisions. They are
 // called one after the other and must return soon.
 type Hooks struct {
-	Use         func(Use)
-	Publish     func(Publish)
-	HeldRequest func(HeldRequest)
+	Use            func(Use)
+	PublishMembers func(PublishMembers)
+	HeldRequest    func(HeldRequest)
 	// Watch may be nil where the Core reads the head itself.
 	Watch func(Watch)
 }
@@ -215,8 +215,8 @@
 		s.wg.Go(func() { s.writeContacts(c.Addrs) })
 	case Use:
 		s.hooks.Use(c)
-	case Publish:
-		s.hooks.Publish(c)
+	case PublishMembers:
+		s.hooks.PublishMembers(c)
 	case HeldRequest:
 		s.hooks.HeldRequest(c)
 	case Watch:
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -178,7 +178,7 @@
 }
 
 // Publish says that the members changed. The slice is never changed again.
-type Publish struct{ Members []Member }
+type PublishMembers struct{ Members []Member }
 
 // Held says what to hold back: requests with this print crash targets.
 type HeldRequest struct {
@@ -193,16 +193,16 @@
 	Fields event.Fields
 }
 
-func (Dial) cmd()          {}
-func (Greet) cmd()         {}
-func (Close) cmd()         {}
-func (Send) cmd()          {}
-func (ReadHead) cmd()      {}
-func (Watch) cmd()         {}
-func (ReadObject) cmd()    {}
-func (ReadContacts) cmd()  {}
-func (WriteContacts) cmd() {}
-func (Use) cmd()           {}
-func (Publish) cmd()       {}
-func (HeldRequest) cmd()   {}
-func (Log) cmd()           {}
+func (Dial) cmd()           {}
+func (Greet) cmd()          {}
+func (Close) cmd()          {}
+func (Send) cmd()           {}
+func (ReadHead) cmd()       {}
+func (Watch) cmd()          {}
+func (ReadObject) cmd()     {}
+func (ReadContacts) cmd()   {}
+func (WriteContacts) cmd()  {}
+func (Use) cmd()            {}
+func (PublishMembers) cmd() {}
+func (HeldRequest) cmd()    {}
+func (Log) cmd()            {}
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -249,7 +249,7 @@
 	h.tickHolds()
 	if h.changed {
 		h.changed = false
-		h.do(Publish{h.members()})
+		h.do(PublishMembers{h.members()})
 	}
 }
 
