--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -110,7 +110,7 @@
 		Self:     peer.Member{Host: name, Domain: "elsewhere", Region: "elsewhere", Peer: l.Addr().String(), Call: "127.0.0.1:1", Incarnation: 1},
 		Contacts: []string{addr},
 	}, peer.Deps{Store: noStore{}, Keys: p, Listener: l, Hooks: peer.Hooks{
-		Use: func(peer.Use) {}, PublishMembers: func(peer.PublishMembers) {}, HeldRequest: func(peer.HeldRequest) {},
+		ServeVersion: func(peer.ServeVersion) {}, PublishMembers: func(peer.PublishMembers) {}, HeldRequest: func(peer.HeldRequest) {},
 	}})
 	defer links.Close()
 	linked := func() bool {
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -193,7 +193,7 @@
 	n.peers = peer.NewTransport(n.peerConfig(), peer.Deps{
 		Store: st, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
 		Dial: d.Dial, CommitClaims: n.claims.Serve,
-		Hooks: peer.Hooks{Use: n.use, PublishMembers: n.publish, HeldRequest: n.held, Watch: n.follow.set},
+		Hooks: peer.Hooks{ServeVersion: n.use, PublishMembers: n.publish, HeldRequest: n.held, Watch: n.follow.set},
 	})
 	n.operators = operator.New(operator.Deps{
 		Host: n.cfg.Host, Store: st, Peers: n.peers, Log: n.log, Metrics: n.metrics,
@@ -271,7 +271,7 @@
 }
 
 // use takes a version from the Core.
-func (n *Node) use(u peer.Use) {
+func (n *Node) use(u peer.ServeVersion) {
 	n.targets.Configure(u.Snapshot)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -306,7 +306,7 @@
 		f.readHead(x, back)
 	case ReadObject:
 		f.readObject(x, c.Hash, back)
-	case Use:
+	case ServeVersion:
 		f.use(x, c)
 	case Watch:
 		f.watched(x, c)
@@ -561,7 +561,7 @@
 }
 
 // use checks what must hold whenever a host starts to serve a version.
-func (f *fabric) use(x *fake, u Use) {
+func (f *fabric) use(x *fake, u ServeVersion) {
 	f.seen("use", x)
 	if u.Version < x.used && f.remembered(x.used) {
 		f.violate("%s goes back from version %d to %d", x.cfg.Self.Host, x.used, u.Version)
--- a/briarrockd/peer/floor.go
+++ b/briarrockd/peer/floor.go
@@ -95,7 +95,7 @@
 	if !h.confirmed() {
 		return
 	}
-	h.do(Use{v.number, v.hash, v.staged})
+	h.do(ServeVersion{v.number, v.hash, v.staged})
 	h.log(event.VersionInUse, event.Fields{event.Subject: v.hash.Short(), "version": v.number})
 	v.staged = nil
 }
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -50,7 +50,7 @@
 // Hooks are what the rest of the node does with a Core's decisions. They are
 // called one after the other and must return soon.
 type Hooks struct {
-	Use            func(Use)
+	ServeVersion   func(ServeVersion)
 	PublishMembers func(PublishMembers)
 	HeldRequest    func(HeldRequest)
 	// Watch may be nil where the Core reads the head itself.
@@ -213,8 +213,8 @@
 		s.wg.Go(s.readContacts)
 	case WriteContacts:
 		s.wg.Go(func() { s.writeContacts(c.Addrs) })
-	case Use:
-		s.hooks.Use(c)
+	case ServeVersion:
+		s.hooks.ServeVersion(c)
 	case PublishMembers:
 		s.hooks.PublishMembers(c)
 	case HeldRequest:
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -171,7 +171,7 @@
 type WriteContacts struct{ Addrs []string }
 
 // Use says that a version is whole and verified: serve it from now on.
-type Use struct {
+type ServeVersion struct {
 	Version  uint64
 	Hash     snapshot.Hash
 	Snapshot *snapshot.Snapshot
@@ -202,7 +202,7 @@
 func (ReadObject) cmd()     {}
 func (ReadContacts) cmd()   {}
 func (WriteContacts) cmd()  {}
-func (Use) cmd()            {}
+func (ServeVersion) cmd()   {}
 func (PublishMembers) cmd() {}
 func (HeldRequest) cmd()    {}
 func (Log) cmd()            {}
--- a/briarrockd/peer/rules_test.go
+++ b/briarrockd/peer/rules_test.go
@@ -40,7 +40,7 @@
 func used(cmds []Cmd) []uint64 {
 	var out []uint64
 	for _, c := range cmds {
-		if u, ok := c.(Use); ok {
+		if u, ok := c.(ServeVersion); ok {
 			out = append(out, u.Version)
 		}
 	}
@@ -187,7 +187,7 @@
 				h.Step(now, DialFailed{Addr: cmd.Addr, Refused: true})
 			case ReadHead:
 				h.Step(now, HeadRead{Err: errDown})
-			case Use:
+			case ServeVersion:
 				t.Fatal("serves something")
 			}
 		}
