--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -87,7 +87,7 @@
 	f.turn = w
 	close(f.changed)
 	f.changed = make(chan struct{})
-	f.log.Emit(event.WatchTurn, event.Fields{"on": w.On, "spare": w.Spare, "seen": w.Seen, "wait": w.Wait.Milliseconds()})
+	f.log.Emit(event.WatchTurn, event.Fields{"on": w.On, "spare": w.Spare, "seen": w.Cursor, "wait": w.Wait.Milliseconds()})
 }
 
 // Turn waits until this node is to look at the platform, and says how. It
@@ -117,7 +117,7 @@
 		f.log.Emit(event.VersionRefused, event.Fields{event.Subject: "platform", "version": v.Number, "error": err.Error()})
 		return
 	}
-	f.tell(peer.Committed{Version: v.Number, Hash: snapshot.Sum(b), Content: b, Seen: v.Seen, At: v.At})
+	f.tell(peer.Committed{Version: v.Number, Hash: snapshot.Sum(b), Content: b, Cursor: v.Seen, At: v.At})
 }
 
 // Failed says that a look had no answer.
--- a/briarrockd/peer/frame.go
+++ b/briarrockd/peer/frame.go
@@ -35,7 +35,7 @@
 	Lazy bool `cbor:"7,keyasint,omitempty"`
 	// Seen is the position in the platform's record of changes up to which the
 	// sender's version is the newest; 0 if it doesn't know.
-	Seen uint64 `cbor:"9,keyasint,omitempty"`
+	Cursor uint64 `cbor:"9,keyasint,omitempty"`
 	// Outside is the highest version that other domains are known to remember as one
 	// that the sender's domain uses.
 	Outside uint64 `cbor:"10,keyasint,omitempty"`
@@ -49,7 +49,7 @@
 	Root    uint64 `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint,omitempty"`
 	Fresh   uint64 `cbor:"3,keyasint,omitempty"`
-	Seen    uint64 `cbor:"4,keyasint,omitempty"`
+	Cursor  uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Fresh floods through the mesh: one poll of the platform, how long ago it was,
@@ -57,7 +57,7 @@
 // that each node passes it on once.
 type Fresh struct {
 	Version     uint64 `cbor:"1,keyasint,omitempty"`
-	Seen        uint64 `cbor:"2,keyasint,omitempty"` // as in Hello
+	Cursor      uint64 `cbor:"2,keyasint,omitempty"` // as in Hello
 	Age         uint64 `cbor:"3,keyasint"`           // milliseconds
 	Host        string `cbor:"4,keyasint"`
 	Incarnation uint64 `cbor:"5,keyasint"`
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -153,7 +153,7 @@
 }
 
 func (h *Core) beat(l *link, f Beat) {
-	h.heardFresh(poll{version: f.Version, seen: f.Seen, at: h.ago(f.Fresh)})
+	h.heardFresh(poll{version: f.Version, seen: f.Cursor, at: h.ago(f.Fresh)})
 	h.sawUse(l, f.Version)
 	h.remoteFloor(l, f.Version)
 	l.version = max(l.version, f.Version)
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -78,15 +78,15 @@
 	Content []byte
 	// Seen and At are those of the poll that found it, as in Polled; 0 if this
 	// node has put it there.
-	Seen uint64
-	At   time.Time
+	Cursor uint64
+	At     time.Time
 }
 
 // Polled says that this node's watch has found nothing newer than it has told.
 type Polled struct {
 	// Seen is the position in the platform's record of changes up to which
 	// there was nothing else.
-	Seen uint64
+	Cursor uint64
 	// At is the time for which that holds.
 	At time.Time
 	// Delay is the way to the platform and back; 0 where it could not be told from
@@ -153,7 +153,7 @@
 	On bool
 	// Seen is the position in the platform's record of changes up to which this
 	// node holds everything; 0 if it doesn't know.
-	Seen uint64
+	Cursor uint64
 	// Wait is how long one poll waits for a change; 0 for an answer at once.
 	Wait time.Duration
 	// Spare is set where this node polls only since nobody else seems to.
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -313,7 +313,7 @@
 		Version: h.version.number,
 		Hash:    h.version.hash,
 		Fresh:   age(h.now, h.watch.freshAt),
-		Seen:    h.watch.seen,
+		Cursor:  h.watch.seen,
 		Outside: h.version.outside,
 		Members: h.Members(),
 	}
--- a/briarrockd/peer/polls_test.go
+++ b/briarrockd/peer/polls_test.go
@@ -97,7 +97,7 @@
 		case f.newest() > p.told:
 			f.found(x, p)
 		default:
-			f.tellProcess(x, p, Polled{Seen: f.newest(), At: time.Now().Add(-delay), Delay: delay})
+			f.tellProcess(x, p, Polled{Cursor: f.newest(), At: time.Now().Add(-delay), Delay: delay})
 			f.next(x, p)
 		}
 	})
@@ -108,7 +108,7 @@
 func (f *fedFabric) found(x *fake, p *poller) {
 	n := f.newest()
 	b, hash := bytesOf(f.c, int(n))
-	f.tellProcess(x, p, Committed{Version: n, Hash: hash, Content: b, Seen: n, At: time.Now().Add(-f.storeDelay(x))})
+	f.tellProcess(x, p, Committed{Version: n, Hash: hash, Content: b, Cursor: n, At: time.Now().Add(-f.storeDelay(x))})
 	p.told = n
 	f.next(x, p)
 }
--- a/briarrockd/peer/topology.go
+++ b/briarrockd/peer/topology.go
@@ -385,7 +385,7 @@
 func (h *Core) greeted(l *link, hi Hello) {
 	h.reincarnate(hi.Known)
 	h.merge(l.id, hi.Member)
-	h.heardFresh(poll{version: hi.Version, seen: hi.Seen, at: h.ago(hi.Fresh)})
+	h.heardFresh(poll{version: hi.Version, seen: hi.Cursor, at: h.ago(hi.Fresh)})
 	h.raiseFloor(hi.Floor)
 	h.raiseFloor(hi.Domain)
 	h.sawUse(l, hi.Version)
@@ -445,7 +445,7 @@
 			continue
 		}
 		l.beatAt = h.now.Add(beatEvery)
-		h.send(l, Beat{Root: h.table.digestRoot(), Version: h.version.number, Fresh: age(h.now, h.watch.freshAt), Seen: h.watch.seen})
+		h.send(l, Beat{Root: h.table.digestRoot(), Version: h.version.number, Fresh: age(h.now, h.watch.freshAt), Cursor: h.watch.seen})
 	}
 }
 
--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -335,9 +335,9 @@
 	if at.IsZero() {
 		at = h.now
 	}
-	h.watch.seen = max(h.watch.seen, m.Seen)
+	h.watch.seen = max(h.watch.seen, m.Cursor)
 	h.headIs(m.Version, at)
-	if m.Seen > 0 {
+	if m.Cursor > 0 {
 		h.broadcastPoll(at)
 	}
 }
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -146,7 +146,7 @@
 }
 
 func (h *Core) watchRole() Watch {
-	w := Watch{On: true, Seen: h.watch.seen}
+	w := Watch{On: true, Cursor: h.watch.seen}
 	switch {
 	case !h.version.ready:
 		w.On = h.readsAtStart()
@@ -223,7 +223,7 @@
 // polled takes this node's own poll of the platform, which found nothing newer
 // than what it has told.
 func (h *Core) polled(m Polled) {
-	h.watch.seen = max(h.watch.seen, m.Seen)
+	h.watch.seen = max(h.watch.seen, m.Cursor)
 	h.watch.role.measured(m.Delay)
 	h.headIs(h.version.number, m.At)
 	h.broadcastPoll(m.At)
@@ -252,7 +252,7 @@
 	}
 	d.announcedAt = h.now
 	f := h.ownNotice()
-	f.Version, f.Seen, f.Age = h.version.number, h.watch.seen, age(h.now, at)
+	f.Version, f.Cursor, f.Age = h.version.number, h.watch.seen, age(h.now, at)
 	f.Delay = uint64(d.delay.Milliseconds())
 	h.floodFresh(0, f)
 }
@@ -303,7 +303,7 @@
 	if f.Try {
 		h.tried()
 	} else {
-		h.heardFresh(poll{version: f.Version, seen: f.Seen, at: h.ago(f.Age), told: h.now})
+		h.heardFresh(poll{version: f.Version, seen: f.Cursor, at: h.ago(f.Age), told: h.now})
 	}
 	h.floodFresh(l.id, f)
 }
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -32,7 +32,7 @@
 		h.Step(now, Received{1, Records{[]Member{member(host)}}})
 	}
 	b, hash := bytesOf(c, 1)
-	h.Step(now, Committed{Version: 1, Hash: hash, Content: b, Seen: 10, At: now})
+	h.Step(now, Committed{Version: 1, Hash: hash, Content: b, Cursor: 10, At: now})
 	c.Assert(h.Members(), qt.Equals, n)
 	return h, now
 }
@@ -52,7 +52,7 @@
 
 // told is word of a poll 20 ms ago by a process that is new each time.
 func told(version, seen uint64) Fresh {
-	return Fresh{Version: version, Seen: seen, Age: 20, Host: "watcher", Incarnation: seen}
+	return Fresh{Version: version, Cursor: seen, Age: 20, Host: "watcher", Incarnation: seen}
 }
 
 func watchOf(cmds []Cmd) (Watch, bool) {
@@ -89,11 +89,11 @@
 		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread, qt.IsTrue)
 	}
 	c.Check(now.Sub(quiet) >= lapseAfter-announceEvery, qt.IsTrue)
-	c.Check(w, qt.Equals, Watch{On: true, Seen: 40, Spare: true})
-	h.Step(now, Polled{Seen: 41, At: now})
+	c.Check(w, qt.Equals, Watch{On: true, Cursor: 40, Spare: true})
+	h.Step(now, Polled{Cursor: 41, At: now})
 	now, cmds = ticks(h, now, TickEvery)
 	w, _ = watchOf(cmds)
-	c.Check(w, qt.Equals, Watch{On: true, Seen: 41, Wait: watchShort, Spare: true})
+	c.Check(w, qt.Equals, Watch{On: true, Cursor: 41, Wait: watchShort, Spare: true})
 
 	_, cmds = beats(h, now, lapseKeep+2*time.Second, told(1, 41))
 	w, ok = watchOf(cmds)
@@ -112,7 +112,7 @@
 	now, cmds := beats(h, now, 4*time.Second, told(2, 50))
 	w, _ := watchOf(cmds)
 	c.Check(w.On, qt.IsTrue)
-	c.Check(w.Seen, qt.Equals, uint64(10))
+	c.Check(w.Cursor, qt.Equals, uint64(10))
 	next := content(c, 2, 2)
 	h.Step(now, Received{1, Notice{2, next.Hash, true}})
 	now, _ = ticks(h, now, hedgeAfter+2*TickEvery)
@@ -152,13 +152,13 @@
 	w, _ := watchOf(cmds)
 	c.Check(w.On, qt.IsFalse)
 	next := content(c, 7, 7)
-	cmds = h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 7, Hash: next.Hash, Seen: 30, Fresh: 100}, Addr: "b:1"})
+	cmds = h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 7, Hash: next.Hash, Cursor: 30, Fresh: 100}, Addr: "b:1"})
 	c.Check(fetches(cmds), qt.Equals, 1)
 	cmds = h.Step(now, Received{1, next})
 	w, _ = watchOf(cmds)
-	c.Check(w, qt.Equals, Watch{On: true, Seen: 30})
+	c.Check(w, qt.Equals, Watch{On: true, Cursor: 30})
 	c.Check(h.Ready(), qt.IsFalse)
-	h.Step(now, Polled{Seen: 31, At: now})
+	h.Step(now, Polled{Cursor: 31, At: now})
 	c.Check(h.Ready(), qt.IsTrue)
 
 	h = New(Config{Self: member("a"), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
