--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -87,7 +87,7 @@
 	f.turn = w
 	close(f.changed)
 	f.changed = make(chan struct{})
-	f.log.Emit(event.WatchTurn, event.Fields{"on": w.On, "spare": w.Spare, "seen": w.Cursor, "wait": w.Wait.Milliseconds()})
+	f.log.Emit(event.WatchTurn, event.Fields{"on": w.On, "spare": w.Fallback, "seen": w.Cursor, "wait": w.Wait.Milliseconds()})
 }
 
 // Turn waits until this node is to look at the platform, and says how. It
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -157,7 +157,7 @@
 	// Wait is how long one poll waits for a change; 0 for an answer at once.
 	Wait time.Duration
 	// Spare is set where this node polls only since nobody else seems to.
-	Spare bool
+	Fallback bool
 }
 
 // ReadObject asks the platform for a snapshot; the answer is ObjectRead.
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -135,10 +135,10 @@
 	w := h.watchRole()
 	h.announce()
 	d := &h.watch.role
-	if d.told && w.On == d.now.On && w.Wait == d.now.Wait && w.Spare == d.now.Spare {
+	if d.told && w.On == d.now.On && w.Wait == d.now.Wait && w.Fallback == d.now.Fallback {
 		return
 	}
-	if w.On && w.Spare && (!d.now.On || !d.now.Spare) {
+	if w.On && w.Fallback && (!d.now.On || !d.now.Fallback) {
 		h.broadcastTry()
 	}
 	d.now, d.told = w, true
@@ -155,7 +155,7 @@
 	case h.watches():
 		w.Wait = watchShort
 	default:
-		w.Spare = true
+		w.Fallback = true
 		w.On = h.lapsed()
 		if h.now.Sub(h.watch.role.ownAt) <= announceFor {
 			// The first poll is answered at once, and spares the others theirs.
@@ -206,7 +206,7 @@
 func (h *Core) pollFailed() {
 	h.watch.fails++
 	d := &h.watch.role
-	if !d.now.Spare {
+	if !d.now.Fallback {
 		return
 	}
 	d.until = time.Time{}
@@ -246,7 +246,7 @@
 // until it knows the others: notices of that would grow with the square of the hosts.
 func (h *Core) broadcastPoll(at time.Time) {
 	d := &h.watch.role
-	forOthers := d.now.Spare || (d.now.Wait > 0 && h.now.Sub(h.watch.startedAt) >= announceAfter)
+	forOthers := d.now.Fallback || (d.now.Wait > 0 && h.now.Sub(h.watch.startedAt) >= announceAfter)
 	if !h.cfg.HeadFed || h.allWatch() || !d.now.On || !forOthers {
 		return
 	}
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -89,11 +89,11 @@
 		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread, qt.IsTrue)
 	}
 	c.Check(now.Sub(quiet) >= lapseAfter-announceEvery, qt.IsTrue)
-	c.Check(w, qt.Equals, Watch{On: true, Cursor: 40, Spare: true})
+	c.Check(w, qt.Equals, Watch{On: true, Cursor: 40, Fallback: true})
 	h.Step(now, Polled{Cursor: 41, At: now})
 	now, cmds = ticks(h, now, TickEvery)
 	w, _ = watchOf(cmds)
-	c.Check(w, qt.Equals, Watch{On: true, Cursor: 41, Wait: watchShort, Spare: true})
+	c.Check(w, qt.Equals, Watch{On: true, Cursor: 41, Wait: watchShort, Fallback: true})
 
 	_, cmds = beats(h, now, lapseKeep+2*time.Second, told(1, 41))
 	w, ok = watchOf(cmds)
@@ -187,7 +187,7 @@
 		var w Watch
 		now, cmds = ticks(h, now, TickEvery)
 		w, _ = watchOf(cmds)
-		on = w.On && w.Spare
+		on = w.On && w.Fallback
 		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread+TickEvery, qt.IsTrue)
 	}
 }
