--- a/briarrockd/peer/frame.go
+++ b/briarrockd/peer/frame.go
@@ -67,7 +67,7 @@
 	// Region is that of the host, and Delay the milliseconds of its way to the
 	// platform and back; 0 if it doesn't know.
 	Region string `cbor:"8,keyasint,omitempty"`
-	Delay  uint64 `cbor:"9,keyasint,omitempty"`
+	RTT    uint64 `cbor:"9,keyasint,omitempty"`
 }
 
 // DomainDigest is the digest of one domain's part of the table.
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -91,7 +91,7 @@
 	At time.Time
 	// Delay is the way to the platform and back; 0 where it could not be told from
 	// the wait for a change.
-	Delay time.Duration
+	RTT time.Duration
 }
 
 // Crashed says that a request was in flight when a target of this node
--- a/briarrockd/peer/polls_test.go
+++ b/briarrockd/peer/polls_test.go
@@ -97,7 +97,7 @@
 		case f.newest() > p.told:
 			f.found(x, p)
 		default:
-			f.tellProcess(x, p, Polled{Cursor: f.newest(), At: time.Now().Add(-delay), Delay: delay})
+			f.tellProcess(x, p, Polled{Cursor: f.newest(), At: time.Now().Add(-delay), RTT: delay})
 			f.next(x, p)
 		}
 	})
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -224,7 +224,7 @@
 // than what it has told.
 func (h *Core) polled(m Polled) {
 	h.watch.seen = max(h.watch.seen, m.Cursor)
-	h.watch.role.measured(m.Delay)
+	h.watch.role.measured(m.RTT)
 	h.headIs(h.version.number, m.At)
 	h.broadcastPoll(m.At)
 }
@@ -253,7 +253,7 @@
 	d.announcedAt = h.now
 	f := h.ownNotice()
 	f.Version, f.Cursor, f.Age = h.version.number, h.watch.seen, age(h.now, at)
-	f.Delay = uint64(d.delay.Milliseconds())
+	f.RTT = uint64(d.delay.Milliseconds())
 	h.floodFresh(0, f)
 }
 
@@ -297,7 +297,7 @@
 		d.pollers = make(map[string]noticeName)
 	}
 	d.pollers[f.Host] = name
-	if f.Region != h.self.Region && f.Delay > 0 && nearer*time.Duration(f.Delay)*time.Millisecond < d.delay {
+	if f.Region != h.self.Region && f.RTT > 0 && nearer*time.Duration(f.RTT)*time.Millisecond < d.delay {
 		d.nearAt = h.now
 	}
 	if f.Try {
