--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -262,11 +262,11 @@
 			Host: n.cfg.Host, Domain: n.cfg.Domain, Region: n.cfg.Region,
 			Peer: addr, Call: call, Incarnation: uint64(time.Now().UnixMilli()),
 		},
-		Contacts:    n.cfg.Contacts,
-		StoreRegion: n.cfg.Platform.Region,
-		Hosts:       n.cfg.Hosts,
-		HeadFed:     n.platform.Watch != nil,
-		Bootstrap:   n.platform.Bootstrap,
+		Contacts:        n.cfg.Contacts,
+		StoreRegion:     n.cfg.Platform.Region,
+		ExpectedHosts:   n.cfg.Hosts,
+		DelegatePolling: n.platform.Watch != nil,
+		Bootstrap:       n.platform.Bootstrap,
 	}
 }
 
--- a/briarrockd/peer/contact.go
+++ b/briarrockd/peer/contact.go
@@ -100,7 +100,7 @@
 // configuration at once, instead of waiting for a peer that has it: after the
 // loss of a whole mesh nobody has.
 func (h *Core) askFirst() bool {
-	return h.cfg.HeadFed && !h.cfg.Bootstrap && !h.version.peered && !h.stored.came
+	return h.cfg.DelegatePolling && !h.cfg.Bootstrap && !h.version.peered && !h.stored.came
 }
 
 // leaveContacts writes the row of this domain, at its root, when the first
@@ -145,7 +145,7 @@
 	if extra := len(h.stored.addrs) - maxContacts; extra > 0 {
 		h.stored.addrs = h.stored.addrs[extra:]
 	}
-	if !h.cfg.HeadFed || len(h.links) > 0 {
+	if !h.cfg.DelegatePolling || len(h.links) > 0 {
 		return
 	}
 	// Callers wait for a node that has just been started, so it doesn't wait for
--- a/briarrockd/peer/contact_test.go
+++ b/briarrockd/peer/contact_test.go
@@ -17,7 +17,7 @@
 func TestStaleContacts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), HeadFed: true, Contacts: []string{"gone:1", "gone:2"}}, rand.New(rand.NewPCG(1, 1)), now)
+	h := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1", "gone:2"}}, rand.New(rand.NewPCG(1, 1)), now)
 	now, cmds := ticks(h, now, isolatedAfter+joinSpread+2*TickEvery)
 	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
 	cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1", "c:1", "d:1"}})
@@ -44,7 +44,7 @@
 	c := qt.New(t)
 	for near, want := range map[int]bool{1: true, wholeDomain: true, keptContacts: false, 0: false} {
 		now := time.Unix(1000, 0)
-		h := New(Config{Self: member("a"), HeadFed: true, Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
+		h := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
 		now, cmds := ticks(h, now, 2*TickEvery)
 		c.Check(count[ReadContacts](cmds), qt.Equals, 1)
 		cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1"}, Near: near})
@@ -76,7 +76,7 @@
 	c := qt.New(t)
 	for _, failed := range []bool{true, false} {
 		now := time.Unix(1000, 0)
-		h := New(Config{Self: member("a"), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
+		h := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 		version := content(c, 4, 4)
 		h.Step(now, Tick{})
 		h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: version.Hash}, Addr: "b:1"})
--- a/briarrockd/peer/fed_test.go
+++ b/briarrockd/peer/fed_test.go
@@ -13,7 +13,7 @@
 // fed is a Core whose node watches the platform itself, with one link.
 func fed(c *qt.C) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
+	h := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
 	c.Assert(h.Links(), qt.Equals, 1)
 	return h, now
@@ -111,7 +111,7 @@
 func TestFirst(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
+	h := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	now, cmds := ticks(h, now, joinSpread+2*TickEvery)
 	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
 	c.Check(count[WriteContacts](cmds), qt.Equals, 0)
@@ -129,7 +129,7 @@
 func TestFirstOfMany(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), HeadFed: true, Bootstrap: true}, rand.New(rand.NewPCG(1, 1)), now)
+	h := New(Config{Self: member("a"), DelegatePolling: true, Bootstrap: true}, rand.New(rand.NewPCG(1, 1)), now)
 	now, cmds := ticks(h, now, bootSpread+2*TickEvery)
 	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
 	cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1"}})
--- a/briarrockd/peer/introduce_test.go
+++ b/briarrockd/peer/introduce_test.go
@@ -35,7 +35,7 @@
 		name := fmt.Sprintf("%s-%02d", domain, i)
 		return Member{Host: name, Domain: domain, Region: region, Peer: name + ":1", Call: name + ":2", Incarnation: 1}
 	}
-	h := New(Config{Self: place("erie-a", "erie", 0), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
+	h := New(Config{Self: place("erie-a", "erie", 0), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	for _, p := range [][2]string{{"erie-a", "erie"}, {"erie-b", "erie"}, {"superior-a", "superior"}, {"superior-b", "superior"}} {
 		for i := range 20 {
 			h.merge(0, place(p[0], p[1], i))
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -89,14 +89,14 @@
 	StoreRegion string
 	// Hosts is about how many nodes the mesh has. A node that starts together
 	// with all the others can't know it otherwise.
-	Hosts int
+	ExpectedHosts int
 	// Bootstrap is set when the whole mesh starts for the first time: nobody is
 	// there yet to be found.
 	Bootstrap bool
-	// HeadFed is set where the platform's adapter does the reading: the Core
+	// DelegatePolling is set where the platform's adapter does the reading: the Core
 	// says who is to poll (Watch) and is told what was found (Committed,
 	// Polled). It then reads nothing itself.
-	HeadFed bool
+	DelegatePolling bool
 }
 
 // Core is everything that a node knows and decides about its peers. Its zero
--- a/briarrockd/peer/polls_test.go
+++ b/briarrockd/peer/polls_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	for _, x := range f.nodes {
-		x.cfg.HeadFed = true
+		x.cfg.DelegatePolling = true
 		x.cfg.StoreRegion = places[0].Region
 	}
 	return f
--- a/briarrockd/peer/push.go
+++ b/briarrockd/peer/push.go
@@ -19,7 +19,7 @@
 	out := h.version.outside >= h.version.number || l.domain != h.self.Domain
 	// Where the platform's adapter reads, the peer may watch as well and be about
 	// to have the version: the notice of it is enough, and who wants it asks.
-	if h.cfg.HeadFed || !h.push(l, number, out) {
+	if h.cfg.DelegatePolling || !h.push(l, number, out) {
 		h.send(l, Notice{h.version.number, h.version.hash, out})
 	}
 	l.told = h.version.number
--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -201,7 +201,7 @@
 		h.send(l, Fetch{w.number, w.hash, have})
 		return
 	}
-	if w.reading || h.cfg.HeadFed {
+	if w.reading || h.cfg.DelegatePolling {
 		return
 	}
 	w.reading = true
--- a/briarrockd/peer/watch.go
+++ b/briarrockd/peer/watch.go
@@ -152,7 +152,7 @@
 // tickWatch reads the head when nobody else seems to.
 func (h *Core) tickWatch() {
 	w := &h.watch
-	if h.cfg.HeadFed || w.reading || h.now.Before(w.nextAt) || h.self.State == Leaving {
+	if h.cfg.DelegatePolling || w.reading || h.now.Before(w.nextAt) || h.self.State == Leaving {
 		return
 	}
 	if h.version.ready && h.now.Sub(w.freshAt) < h.threshold() {
@@ -169,7 +169,7 @@
 // firstRead spreads the first reads of a herd that starts together, by the
 // number of nodes and this node's place among the hosts.
 func (h *Core) firstRead() time.Duration {
-	n := time.Duration(max(h.Members(), h.cfg.Hosts))
+	n := time.Duration(max(h.Members(), h.cfg.ExpectedHosts))
 	whole := firstSpread * n / firstPer
 	return whole * time.Duration(score(h.self.Host)%1000) / 1000
 }
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -129,7 +129,7 @@
 
 // updateWatchRole decides whether this node is to poll the platform, and how.
 func (h *Core) updateWatchRole() {
-	if !h.cfg.HeadFed {
+	if !h.cfg.DelegatePolling {
 		return
 	}
 	w := h.watchRole()
@@ -247,7 +247,7 @@
 func (h *Core) broadcastPoll(at time.Time) {
 	d := &h.watch.role
 	forOthers := d.now.Fallback || (d.now.Wait > 0 && h.now.Sub(h.watch.startedAt) >= announceAfter)
-	if !h.cfg.HeadFed || h.allWatch() || !d.now.On || !forOthers {
+	if !h.cfg.DelegatePolling || h.allWatch() || !d.now.On || !forOthers {
 		return
 	}
 	d.announcedAt = h.now
@@ -319,7 +319,7 @@
 // fetchAt is from when on a version that a peer has may be asked for.
 func (h *Core) fetchAt() time.Time {
 	switch {
-	case !h.cfg.HeadFed || !h.version.ready:
+	case !h.cfg.DelegatePolling || !h.version.ready:
 		return h.now
 	case h.watch.role.now.On:
 		// This node's own watch has most likely seen the version too. A peer is
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -23,7 +23,7 @@
 	}
 	order := probe.members("erie-a")
 	self := order[n-1].Host
-	h := New(Config{Self: member(self), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
+	h := New(Config{Self: member(self), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	for i := range bridges {
 		m := member(order[i].Host)
 		h.Step(now, LinkUp{Link: LinkID(i + 1), Hello: Hello{Member: m}, Addr: m.Peer})
@@ -147,7 +147,7 @@
 func TestDutyStart(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
+	h := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	now, cmds := ticks(h, now, TickEvery)
 	w, _ := watchOf(cmds)
 	c.Check(w.On, qt.IsFalse)
@@ -161,7 +161,7 @@
 	h.Step(now, Polled{Cursor: 31, At: now})
 	c.Check(h.Ready(), qt.IsTrue)
 
-	h = New(Config{Self: member("a"), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
+	h = New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	_, cmds = ticks(h, now, peersFirst+2*TickEvery)
 	w, _ = watchOf(cmds)
 	c.Check(w, qt.Equals, Watch{On: true})
