--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -97,11 +97,11 @@
 // linkAs tries to open a link to a node under a name, and tells whether the
 // node answered its hello.
 func linkAs(c *qt.C, addr string, k *keys.Keys, name string) bool {
-	var p peer.Keys
+	var p peer.Credentials
 	if k != nil {
-		p = peer.Keys{
+		p = peer.Credentials{
 			Client: k.Client, Server: k.Server,
-			Peer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
+			VerifyPeer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,7 +109,7 @@
 	links := peer.NewTransport(peer.Config{
 		Self:     peer.Member{Host: name, Domain: "elsewhere", Region: "elsewhere", Peer: l.Addr().String(), Call: "127.0.0.1:1", Incarnation: 1},
 		Contacts: []string{addr},
-	}, peer.Deps{Store: noStore{}, Keys: p, Listener: l, Hooks: peer.Hooks{
+	}, peer.Deps{Store: noStore{}, Credentials: p, Listener: l, Hooks: peer.Hooks{
 		ServeVersion: func(peer.ServeVersion) {}, PublishMembers: func(peer.PublishMembers) {}, HeldRequest: func(peer.HeldRequest) {},
 	}})
 	defer links.Close()
--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -158,13 +158,13 @@
 	return n.keys.Server()
 }
 
-func (n *Node) peerKeys() peer.Keys {
+func (n *Node) peerKeys() peer.Credentials {
 	if n.keys == nil {
-		return peer.Keys{}
+		return peer.Credentials{}
 	}
-	return peer.Keys{
+	return peer.Credentials{
 		Server: n.keys.Server, Client: n.keys.Client,
-		Peer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
+		VerifyPeer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
 	}
 }
 
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -191,7 +191,7 @@
 	})
 	n.follow = newFollow(n.tell, n.log)
 	n.peers = peer.NewTransport(n.peerConfig(), peer.Deps{
-		Store: st, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
+		Store: st, Log: n.log, Metrics: n.metrics, Credentials: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
 		Dial: d.Dial, CommitClaims: n.claims.Serve,
 		Hooks: peer.Hooks{ServeVersion: n.use, PublishMembers: n.publish, HeldRequest: n.held, Watch: n.follow.set},
 	})
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -64,7 +64,7 @@
 	store  platform.Store
 	log    *event.Log
 	hooks  Hooks
-	keys   Keys
+	keys   Credentials
 	domain string
 	inbox  chan Msg
 	asks   chan func(*Core)
@@ -85,22 +85,22 @@
 }
 
 // Keys give the TLS settings of the moment; nil functions mean plain TCP.
-type Keys struct {
+type Credentials struct {
 	Server func() *tls.Config
 	Client func() *tls.Config
 	// Peer returns the name in the certificate of the other side, or an
 	// error if it may not be a peer.
-	Peer func(tls.ConnectionState) (string, error)
+	VerifyPeer func(tls.ConnectionState) (string, error)
 }
 
 // Deps are what Links needs from outside.
 type Deps struct {
-	Store    platform.Store
-	Log      *event.Log
-	Hooks    Hooks
-	Keys     Keys
-	Metrics  *metrics.Set
-	Listener net.Listener
+	Store       platform.Store
+	Log         *event.Log
+	Hooks       Hooks
+	Credentials Credentials
+	Metrics     *metrics.Set
+	Listener    net.Listener
 	// Seed starts the random numbers of the Core.
 	Seed uint64
 	// Dial opens connections; nil for the usual way.
@@ -120,7 +120,7 @@
 		store:   d.Store,
 		log:     d.Log,
 		hooks:   d.Hooks,
-		keys:    d.Keys,
+		keys:    d.Credentials,
 		domain:  cfg.Self.Domain,
 		claims:  d.CommitClaims,
 		inbox:   make(chan Msg, inboxSize),
--- a/briarrockd/peer/stream.go
+++ b/briarrockd/peer/stream.go
@@ -96,7 +96,7 @@
 	if err := c.HandshakeContext(ctx); err != nil {
 		return nil, "", errors.Wrap(err, "peer: handshake")
 	}
-	name, err := s.keys.Peer(c.ConnectionState())
+	name, err := s.keys.VerifyPeer(c.ConnectionState())
 	return c, name, err
 }
 
