--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -48,7 +48,7 @@
 	d := i % slopeDomains
 	return peer.Member{
 		Host: fmt.Sprintf("host-%04d", i), Domain: fmt.Sprintf("domain-%02d", d), Region: fmt.Sprintf("region-%d", d/4),
-		Peer: fmt.Sprintf("10.%d.%d.%d:7103", d, i/250, i%250), Call: fmt.Sprintf("10.%d.%d.%d:7102", d, i/250, i%250),
+		PeerAddr: fmt.Sprintf("10.%d.%d.%d:7103", d, i/250, i%250), CallAddr: fmt.Sprintf("10.%d.%d.%d:7102", d, i/250, i%250),
 		Incarnation: 1796256000000 + uint64(i), Targets: []peer.Target{{Service: fmt.Sprintf("service-%03d", i%170), Slots: 6}},
 	}
 }
--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -107,7 +107,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	links := peer.NewTransport(peer.Config{
-		Self:     peer.Member{Host: name, Domain: "elsewhere", Region: "elsewhere", Peer: l.Addr().String(), Call: "127.0.0.1:1", Incarnation: 1},
+		Self:     peer.Member{Host: name, Domain: "elsewhere", Region: "elsewhere", PeerAddr: l.Addr().String(), CallAddr: "127.0.0.1:1", Incarnation: 1},
 		Contacts: []string{addr},
 	}, peer.Deps{Store: noStore{}, Credentials: p, Listener: l, Hooks: peer.Hooks{
 		ServeVersion: func(peer.ServeVersion) {}, PublishMembers: func(peer.PublishMembers) {}, HeldRequest: func(peer.HeldRequest) {},
--- a/briarrockd/caller/chain_test.go
+++ b/briarrockd/caller/chain_test.go
@@ -154,7 +154,7 @@
 			ch.hosts[h.name] = h
 			ch.list = append(ch.list, h)
 			members = append(members, peer.Member{
-				Host: h.name, Domain: fmt.Sprint("d", d), Region: h.region, Peer: h.name, Call: h.name + ":1",
+				Host: h.name, Domain: fmt.Sprint("d", d), Region: h.region, PeerAddr: h.name, CallAddr: h.name + ":1",
 				Targets: []peer.Target{{Service: sv.name, Slots: chainSlots}},
 			})
 		}
--- a/briarrockd/caller/choose_test.go
+++ b/briarrockd/caller/choose_test.go
@@ -17,7 +17,7 @@
 	for _, place := range [][2]string{{"northgate", "north-line"}, {"millbank", "north-line"}, {"riverside", "south-line"}} {
 		for i := range 4 {
 			out = append(out, peer.Member{
-				Host: fmt.Sprintf("%s-%d", place[0], i), Domain: place[0], Region: place[1], Call: "x:1",
+				Host: fmt.Sprintf("%s-%d", place[0], i), Domain: place[0], Region: place[1], CallAddr: "x:1",
 				Targets: []peer.Target{{Service: "orderdesk", Slots: 6}},
 			})
 		}
--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -101,7 +101,7 @@
 		domain := i % fleetDomains
 		host := fmt.Sprintf("h%03d", i)
 		members = append(members, peer.Member{
-			Host: host, Domain: fmt.Sprint("d", domain), Region: fmt.Sprint("r", domain%2), Peer: host, Call: host,
+			Host: host, Domain: fmt.Sprint("d", domain), Region: fmt.Sprint("r", domain%2), PeerAddr: host, CallAddr: host,
 			Targets: []peer.Target{{Service: fleetService, Slots: fleetSlots}},
 		})
 		f.servers[host] = &server{
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -108,7 +108,7 @@
 	}
 	ms := members()
 	for i := range ms {
-		ms[i].Call = ms[i].Host + ":1"
+		ms[i].CallAddr = ms[i].Host + ":1"
 	}
 	p.Use(NewTable(1, s, ms))
 	method := http.MethodGet
--- a/briarrockd/caller/table.go
+++ b/briarrockd/caller/table.go
@@ -134,7 +134,7 @@
 			continue
 		}
 		t.sets[x.Service] = append(t.sets[x.Service], upstream{
-			host: m.Host, addr: m.Call, domain: m.Domain, region: m.Region,
+			host: m.Host, addr: m.CallAddr, domain: m.Domain, region: m.Region,
 			slots: min(x.Slots, svc.Slots), process: m.Incarnation,
 		})
 	}
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -99,7 +99,7 @@
 	}
 	for i := range hosts {
 		h := &toldHost{m: m, n: i, region: fmt.Sprint("r", i%2)}
-		member := peer.Member{Host: fmt.Sprint(i), Domain: fmt.Sprint("d", i%toldDomains), Region: h.region, Peer: fmt.Sprint(i), Call: fmt.Sprint(i) + ":1"}
+		member := peer.Member{Host: fmt.Sprint(i), Domain: fmt.Sprint("d", i%toldDomains), Region: h.region, PeerAddr: fmt.Sprint(i), CallAddr: fmt.Sprint(i) + ":1"}
 		if i < targets {
 			h.app = newToldApp(1)
 			h.startTargets()
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -260,7 +260,7 @@
 	return peer.Config{
 		Self: peer.Member{
 			Host: n.cfg.Host, Domain: n.cfg.Domain, Region: n.cfg.Region,
-			Peer: addr, Call: call, Incarnation: uint64(time.Now().UnixMilli()),
+			PeerAddr: addr, CallAddr: call, Incarnation: uint64(time.Now().UnixMilli()),
 		},
 		Contacts:        n.cfg.Contacts,
 		StoreRegion:     n.cfg.Platform.Region,
--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -50,7 +50,7 @@
 	if r == nil || r.Host == h.self.Host || len(h.table.members(h.self.Domain)) < gatherFrom {
 		return "", n
 	}
-	return r.Peer, n
+	return r.PeerAddr, n
 }
 
 // ForwardClaims sends claims to the node that gathers them. Its error is
--- a/briarrockd/peer/contact.go
+++ b/briarrockd/peer/contact.go
@@ -123,7 +123,7 @@
 	var addrs []string
 	for _, r := range h.table.members(h.self.Domain) {
 		if len(addrs) < keptContacts {
-			addrs = append(addrs, r.Peer)
+			addrs = append(addrs, r.PeerAddr)
 		}
 	}
 	if slices.Equal(addrs, c.written) {
@@ -138,7 +138,7 @@
 	h.stored.came = true
 	h.stored.small = m.Near > 0 && m.Near <= wholeDomain
 	for _, a := range addrs[:min(len(addrs), maxContacts)] {
-		if len(a) <= maxNameSize && a != h.self.Peer {
+		if len(a) <= maxNameSize && a != h.self.PeerAddr {
 			h.stored.addrs = append(h.stored.addrs, a)
 		}
 	}
--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -126,7 +126,7 @@
 		for _, p := range places {
 			name := fmt.Sprintf("%s-%d", p.Domain, i)
 			cfg := Config{
-				Self:        Member{Host: name, Domain: p.Domain, Region: p.Region, Peer: name + ":peer", Call: name + ":call"},
+				Self:        Member{Host: name, Domain: p.Domain, Region: p.Region, PeerAddr: name + ":peer", CallAddr: name + ":call"},
 				StoreRegion: places[0].Region,
 			}
 			for _, q := range places {
@@ -134,7 +134,7 @@
 			}
 			x := &fake{cfg: cfg}
 			f.nodes = append(f.nodes, x)
-			f.byAddr[cfg.Self.Peer] = x
+			f.byAddr[cfg.Self.PeerAddr] = x
 		}
 	}
 	return f
@@ -353,9 +353,9 @@
 		switch {
 		case dialer.started != process:
 		case w.closed:
-			f.tell(dialer, DialFailed{Addr: x.cfg.Self.Peer})
+			f.tell(dialer, DialFailed{Addr: x.cfg.Self.PeerAddr})
 		default:
-			f.tell(dialer, LinkUp{Link: w.ids[0], Hello: c.Hello, Addr: x.cfg.Self.Peer})
+			f.tell(dialer, LinkUp{Link: w.ids[0], Hello: c.Hello, Addr: x.cfg.Self.PeerAddr})
 		}
 	})
 }
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -313,7 +313,7 @@
 		if h.now.Sub(since) > reverseAfter {
 			// The other side should dial, but may have just been started by
 			// contacts that know nobody: it can't know that it should.
-			h.dial(r.Peer, r.Host, false)
+			h.dial(r.PeerAddr, r.Host, false)
 		}
 		if h.now.Sub(since) > suspectAfter && r.State == Alive && h.now.Sub(r.since) > suspectAfter {
 			h.suspect(r)
--- a/briarrockd/peer/introduce_test.go
+++ b/briarrockd/peer/introduce_test.go
@@ -33,7 +33,7 @@
 	now := time.Unix(1000, 0)
 	place := func(domain, region string, i int) Member {
 		name := fmt.Sprintf("%s-%02d", domain, i)
-		return Member{Host: name, Domain: domain, Region: region, Peer: name + ":1", Call: name + ":2", Incarnation: 1}
+		return Member{Host: name, Domain: domain, Region: region, PeerAddr: name + ":1", CallAddr: name + ":2", Incarnation: 1}
 	}
 	h := New(Config{Self: place("erie-a", "erie", 0), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	for _, p := range [][2]string{{"erie-a", "erie"}, {"erie-b", "erie"}, {"superior-a", "superior"}, {"superior-b", "superior"}} {
--- a/briarrockd/peer/member.go
+++ b/briarrockd/peer/member.go
@@ -58,8 +58,8 @@
 	Domain string `cbor:"2,keyasint"`
 	Region string `cbor:"3,keyasint"`
 	// Peer and Call are the addresses for peers and for calls.
-	Peer string `cbor:"4,keyasint"`
-	Call string `cbor:"5,keyasint"`
+	PeerAddr string `cbor:"4,keyasint"`
+	CallAddr string `cbor:"5,keyasint"`
 	// Incarnation grows with each start of the node's process, Seq with each
 	// change of its record within one incarnation.
 	Incarnation uint64   `cbor:"6,keyasint"`
@@ -74,7 +74,7 @@
 
 // valid bounds what a peer may put into the table.
 func (m *Member) valid() bool {
-	for _, s := range []string{m.Host, m.Domain, m.Region, m.Peer, m.Call} {
+	for _, s := range []string{m.Host, m.Domain, m.Region, m.PeerAddr, m.CallAddr} {
 		if s == "" || len(s) > maxNameSize {
 			return false
 		}
--- a/briarrockd/peer/report.go
+++ b/briarrockd/peer/report.go
@@ -328,7 +328,7 @@
 	}
 	sort.Slice(s.Domains, func(i, j int) bool { return s.Domains[i].Domain < s.Domains[j].Domain })
 	if r := h.root(); r != nil && !s.Whole {
-		return s, r.Peer
+		return s, r.PeerAddr
 	}
 	return s, ""
 }
--- a/briarrockd/peer/rules_test.go
+++ b/briarrockd/peer/rules_test.go
@@ -12,7 +12,7 @@
 )
 
 func member(host string) Member {
-	return Member{Host: host, Domain: "erie-a", Region: "erie", Peer: host + ":1", Call: host + ":2", Incarnation: 1}
+	return Member{Host: host, Domain: "erie-a", Region: "erie", PeerAddr: host + ":1", CallAddr: host + ":2", Incarnation: 1}
 }
 
 // lone is a Core with one link, to a peer of its domain.
@@ -408,17 +408,17 @@
 	now := time.Unix(1000, 0)
 	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	old, fresh := member("old"), member("new")
-	fresh.Peer = old.Peer
+	fresh.PeerAddr = old.PeerAddr
 	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
 	h.Step(now, Received{1, Records{[]Member{old, fresh}}})
 	dials, id := 0, LinkID(1)
 	for range 30 {
 		now = now.Add(TickEvery)
 		for _, cmd := range h.Step(now, Tick{}) {
-			if d, ok := cmd.(Dial); ok && d.Addr == old.Peer {
+			if d, ok := cmd.(Dial); ok && d.Addr == old.PeerAddr {
 				dials++
 				id++
-				h.Step(now, LinkUp{Link: id, Hello: Hello{Member: fresh}, Addr: old.Peer})
+				h.Step(now, LinkUp{Link: id, Hello: Hello{Member: fresh}, Addr: old.PeerAddr})
 			}
 		}
 	}
--- a/briarrockd/peer/topology.go
+++ b/briarrockd/peer/topology.go
@@ -82,9 +82,9 @@
 	order := h.table.members(h.self.Domain)
 	var out []desiredLink
 	if i > 0 {
-		out = append(out, desiredLink{addr: order[(i-1)/degree].Peer, host: order[(i-1)/degree].Host})
+		out = append(out, desiredLink{addr: order[(i-1)/degree].PeerAddr, host: order[(i-1)/degree].Host})
 		if (i-1)/degree != i-1 {
-			out = append(out, desiredLink{addr: order[i-1].Peer, host: order[i-1].Host})
+			out = append(out, desiredLink{addr: order[i-1].PeerAddr, host: order[i-1].Host})
 		}
 	}
 	if i < bridges {
@@ -102,7 +102,7 @@
 			continue
 		}
 		if r := h.pick(name, i); r != nil {
-			out = append(out, desiredLink{addr: r.Peer, host: r.Host})
+			out = append(out, desiredLink{addr: r.PeerAddr, host: r.Host})
 		}
 	}
 	return out
@@ -127,7 +127,7 @@
 			continue
 		}
 		r := theirs[min(i, len(theirs)-1)]
-		out = append(out, desiredLink{addr: r.Peer, host: r.Host, lazy: i > 0})
+		out = append(out, desiredLink{addr: r.PeerAddr, host: r.Host, lazy: i > 0})
 	}
 	return out
 }
@@ -201,7 +201,7 @@
 		return nil
 	}
 	r := order[min(i, len(order)-1)]
-	d := h.dials[r.Peer]
+	d := h.dials[r.PeerAddr]
 	if d == nil || d.fails < 2 || h.byHost[r.Host] != nil || name == h.self.Domain {
 		return r
 	}
@@ -262,13 +262,13 @@
 	for _, host := range h.hosts() {
 		r := h.table.byHost[host]
 		if r.live() {
-			known[r.Peer] = true
+			known[r.PeerAddr] = true
 		} else if r.State == Dead && r.Domain == h.self.Domain {
-			addrs = append(addrs, r.Peer)
+			addrs = append(addrs, r.PeerAddr)
 		}
 	}
 	for _, addr := range slices.Concat(h.cfg.Contacts, h.stored.addrs) {
-		if addr != h.self.Peer && (alone || !known[addr]) {
+		if addr != h.self.PeerAddr && (alone || !known[addr]) {
 			addrs = append(addrs, addr)
 		}
 	}
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -26,7 +26,7 @@
 	h := New(Config{Self: member(self), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	for i := range bridges {
 		m := member(order[i].Host)
-		h.Step(now, LinkUp{Link: LinkID(i + 1), Hello: Hello{Member: m}, Addr: m.Peer})
+		h.Step(now, LinkUp{Link: LinkID(i + 1), Hello: Hello{Member: m}, Addr: m.PeerAddr})
 	}
 	for _, host := range hosts {
 		h.Step(now, Received{1, Records{[]Member{member(host)}}})
