--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -135,7 +135,7 @@
 			return 0, 0, errors.WithStack(err)
 		}
 		version++
-		f := peer.Content{Version: version, Hash: snapshot.Sum(b), Base: snapshot.Sum(base), Packed: p, Push: true, Out: true}
+		f := peer.Content{Version: version, Hash: snapshot.Sum(b), Base: snapshot.Sum(base), Packed: p, Push: true, HeldRemotely: true}
 		frames, snaps = append(frames, f), append(snaps, snap)
 		base, size = b, frameSize(f)
 	}
--- a/briarrockd/peer/frame.go
+++ b/briarrockd/peer/frame.go
@@ -113,7 +113,7 @@
 	Version uint64        `cbor:"1,keyasint"`
 	Hash    snapshot.Hash `cbor:"2,keyasint"`
 	// Out is set when another domain than the receiver's holds it too.
-	Out bool `cbor:"3,keyasint,omitempty"`
+	HeldRemotely bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Have tells the sender of a pushed version that it has arrived.
@@ -142,8 +142,8 @@
 	Base    snapshot.Hash `cbor:"3,keyasint"`
 	Packed  []byte        `cbor:"4,keyasint,omitempty"`
 	// Out is as in Notice. Push is set when the version was not asked for.
-	Out  bool `cbor:"5,keyasint,omitempty"`
-	Push bool `cbor:"6,keyasint,omitempty"`
+	HeldRemotely bool `cbor:"5,keyasint,omitempty"`
+	Push         bool `cbor:"6,keyasint,omitempty"`
 }
 
 // Count is how many nodes serve one version.
--- a/briarrockd/peer/push.go
+++ b/briarrockd/peer/push.go
@@ -39,7 +39,7 @@
 	if err != nil || len(p) > h.pushMost(l) {
 		return false
 	}
-	h.send(l, Content{Version: v.number, Hash: v.hash, Base: v.before, Packed: p, Out: out, Push: true})
+	h.send(l, Content{Version: v.number, Hash: v.hash, Base: v.before, Packed: p, HeldRemotely: out, Push: true})
 	h.sawUse(l, v.number)
 	return true
 }
@@ -64,7 +64,7 @@
 // pushed takes a version that was not asked for. Its sender waits to hear
 // that it has arrived, unless ours has crossed it on the way.
 func (h *Core) pushed(l *link, f Content) {
-	h.notice(l, Notice{f.Version, f.Hash, f.Out})
+	h.notice(l, Notice{f.Version, f.Hash, f.HeldRemotely})
 	h.acknowledge(l, f.Version)
 }
 
@@ -82,7 +82,7 @@
 func (h *Core) notice(l *link, f Notice) {
 	h.sawUse(l, f.Version)
 	h.remoteFloor(l, f.Version)
-	if f.Out {
+	if f.HeldRemotely {
 		h.version.outside = max(h.version.outside, f.Version)
 	}
 	h.heardVersion(l, f.Version, f.Hash)
@@ -125,7 +125,7 @@
 	if !ok {
 		return false
 	}
-	if f.Out {
+	if f.HeldRemotely {
 		h.version.outside = max(h.version.outside, f.Version)
 	}
 	return h.unpack("", base, f)
