--- a/bench/converge.go
+++ b/bench/converge.go
@@ -256,7 +256,7 @@
 	sum := uint64(0)
 	for _, n := range m.Nodes {
 		t := n.Peers().Traffic()
-		sum += t.Domain + t.Region + t.Paid
+		sum += t.Domain + t.Region + t.InterRegion
 	}
 	return float64(sum) / 2
 }
--- a/briarrockd/operator/operator.go
+++ b/briarrockd/operator/operator.go
@@ -137,11 +137,11 @@
 
 func (o *Interface) statusNow(ctx context.Context) api.Status {
 	s := o.deps.Peers.Status(ctx)
-	out := api.Status{Host: o.deps.Host, Version: s.Version, Hash: s.Hash, Whole: s.Whole, Store: s.Store}
+	out := api.Status{Host: o.deps.Host, Version: s.Version, Hash: s.Hash, Whole: s.Complete, Store: s.HeadAgeMillis}
 	for _, d := range s.Domains {
 		x := api.Domain{
 			Domain: d.Domain, Region: d.Region, Members: d.Members,
-			Laggards: d.Laggard, Silent: d.Silent,
+			Laggards: d.Laggards, Silent: d.SilentMillis,
 		}
 		for _, c := range d.Counts {
 			x.Counts = append(x.Counts, api.Count{Version: c.Version, Nodes: c.Nodes})
--- a/briarrockd/peer/report.go
+++ b/briarrockd/peer/report.go
@@ -277,14 +277,14 @@
 
 // DomainStatus is what one domain serves, as the asked node knows it.
 type DomainStatus struct {
-	Domain  string   `json:"domain"`
-	Region  string   `json:"region"`
-	Members int      `json:"members"`
-	Counts  []Count  `json:"counts"`
-	Laggard []string `json:"laggards,omitempty"`
+	Domain   string   `json:"domain"`
+	Region   string   `json:"region"`
+	Members  int      `json:"members"`
+	Counts   []Count  `json:"counts"`
+	Laggards []string `json:"laggards,omitempty"`
 	// Silent is for how many milliseconds nothing was heard of the domain; 0
 	// while it is heard of as usual.
-	Silent int64 `json:"silent,omitempty"`
+	SilentMillis int64 `json:"silent,omitempty"`
 }
 
 // Status is what the mesh serves.
@@ -294,10 +294,10 @@
 	Domains []DomainStatus `json:"domains"`
 	// Whole is set when the answer came from the root of a domain, which
 	// hears of all the others.
-	Whole bool `json:"whole"`
+	Complete bool `json:"whole"`
 	// Store is for how many milliseconds nobody has read the head; -1 for
 	// never.
-	Store int64 `json:"store"`
+	HeadAgeMillis int64 `json:"store"`
 	// Held are requests that are held back because they crash targets.
 	Held []HeldRequest `json:"held,omitempty"`
 }
@@ -305,18 +305,18 @@
 // Status returns what this node knows of the mesh, and the address of the
 // node to ask instead when this one is not the root of its domain.
 func (h *Core) Status(now time.Time) (Status, string) {
-	s := Status{Version: h.version.number, Hash: h.version.hash.String(), Whole: h.isRoot(), Store: -1}
+	s := Status{Version: h.version.number, Hash: h.version.hash.String(), Complete: h.isRoot(), HeadAgeMillis: -1}
 	if !h.watch.freshAt.IsZero() {
-		s.Store = now.Sub(h.watch.freshAt).Milliseconds()
+		s.HeadAgeMillis = now.Sub(h.watch.freshAt).Milliseconds()
 	}
 	s.Held = h.holds.list()
 	known := make(map[string]bool)
 	for _, name := range h.summaryNames() {
 		d := h.report.domains[name]
 		known[name] = true
-		out := DomainStatus{Domain: name, Region: d.Region, Members: d.Members, Counts: d.Counts, Laggard: d.Laggard}
+		out := DomainStatus{Domain: name, Region: d.Region, Members: d.Members, Counts: d.Counts, Laggards: d.Laggard}
 		if silent := now.Sub(d.at); silent > summaryEvery+staleAfter {
-			out.Silent = silent.Milliseconds()
+			out.SilentMillis = silent.Milliseconds()
 		}
 		s.Domains = append(s.Domains, out)
 	}
@@ -327,7 +327,7 @@
 		}
 	}
 	sort.Slice(s.Domains, func(i, j int) bool { return s.Domains[i].Domain < s.Domains[j].Domain })
-	if r := h.root(); r != nil && !s.Whole {
+	if r := h.root(); r != nil && !s.Complete {
 		return s, r.PeerAddr
 	}
 	return s, ""
--- a/briarrockd/peer/traffic.go
+++ b/briarrockd/peer/traffic.go
@@ -79,12 +79,12 @@
 
 // Traffic is the control bytes of a node so far, both directions added up.
 type Traffic struct {
-	Domain uint64 `json:"domain"`
-	Region uint64 `json:"region"`
-	Paid   uint64 `json:"paid"`
+	Domain      uint64 `json:"domain"`
+	Region      uint64 `json:"region"`
+	InterRegion uint64 `json:"paid"`
 	// PaidOut is the part of Paid that this node wrote, so that adding up
 	// over the nodes counts each byte of the paid link once.
-	PaidOut uint64 `json:"paidout"`
+	InterRegionOut uint64 `json:"paidout"`
 }
 
 // Traffic returns the control bytes so far.
