--- a/briarrockd/peer/contact.go
+++ b/briarrockd/peer/contact.go
@@ -136,7 +136,7 @@
 func (h *Core) contactsRead(m ContactsRead) {
 	addrs := m.Addrs
 	h.stored.came = true
-	h.stored.small = m.Near > 0 && m.Near <= wholeDomain
+	h.stored.small = m.OwnDomain > 0 && m.OwnDomain <= wholeDomain
 	for _, a := range addrs[:min(len(addrs), maxContacts)] {
 		if len(a) <= maxNameSize && a != h.self.PeerAddr {
 			h.stored.addrs = append(h.stored.addrs, a)
--- a/briarrockd/peer/contact_test.go
+++ b/briarrockd/peer/contact_test.go
@@ -18,7 +18,7 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	h := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1", "gone:2"}}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(h, now, isolatedAfter+joinSpread+2*TickEvery)
+	now, cmds := ticks(h, now, isolatedAfter+joinSpread+2*TickInterval)
 	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
 	cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1", "c:1", "d:1"}})
 	_, more := ticks(h, now, time.Second)
@@ -45,9 +45,9 @@
 	for near, want := range map[int]bool{1: true, wholeDomain: true, keptContacts: false, 0: false} {
 		now := time.Unix(1000, 0)
 		h := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
-		now, cmds := ticks(h, now, 2*TickEvery)
+		now, cmds := ticks(h, now, 2*TickInterval)
 		c.Check(count[ReadContacts](cmds), qt.Equals, 1)
-		cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1"}, Near: near})
+		cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1"}, OwnDomain: near})
 		c.Check(turns(cmds), qt.Equals, want, qt.Commentf("%d near", near))
 		_, more := ticks(h, now, peersFirst)
 		c.Check(turns(append(cmds, more...)), qt.IsTrue)
@@ -84,7 +84,7 @@
 		if failed {
 			h.Step(now, PollFailed{})
 		}
-		_, cmds := ticks(h, now, joinedAfter+confirmWithin+2*TickEvery)
+		_, cmds := ticks(h, now, joinedAfter+confirmWithin+2*TickInterval)
 		c.Check(len(used(cmds)) > 0, qt.Equals, failed)
 	}
 }
--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -175,7 +175,7 @@
 	if !x.alive || x.started != process {
 		return
 	}
-	f.in(TickEvery, func() { f.tick(x, process) })
+	f.in(TickInterval, func() { f.tick(x, process) })
 	if !x.paused {
 		f.tell(x, Tick{})
 	}
@@ -293,9 +293,9 @@
 	case Dial:
 		f.seen("dial", x)
 		f.dial(x, c, back)
-	case Greet:
+	case SendHello:
 		f.greet(x, c)
-	case Close:
+	case CloseLink:
 		if w := f.links[c.Link]; w != nil {
 			f.reset(w)
 		}
@@ -341,7 +341,7 @@
 }
 
 // greet carries the answering hello to the side that dialed.
-func (f *fabric) greet(x *fake, c Greet) {
+func (f *fabric) greet(x *fake, c SendHello) {
 	w := f.links[c.Link]
 	if w == nil || w.closed {
 		return
--- a/briarrockd/peer/fed_test.go
+++ b/briarrockd/peer/fed_test.go
@@ -23,7 +23,7 @@
 func ticks(h *Core, now time.Time, d time.Duration) (time.Time, []Cmd) {
 	var out []Cmd
 	for end := now.Add(d); now.Before(end); {
-		now = now.Add(TickEvery)
+		now = now.Add(TickInterval)
 		out = append(out, h.Step(now, Tick{})...)
 	}
 	return now, out
@@ -64,7 +64,7 @@
 	h.Step(now, Committed{Version: 4, Hash: hash, Content: b})
 	now, _ = ticks(h, now, time.Second)
 	b, hash = bytesOf(c, 5)
-	cmds := h.Step(now, Received{1, Notice{5, hash, true}})
+	cmds := h.Step(now, Received{1, VersionNotice{5, hash, true}})
 	c.Check(fetches(cmds), qt.Equals, 0)
 	brought := now.Add(hedgeAfter / 2)
 	cmds = h.Step(brought, Committed{Version: 5, Hash: hash, Content: b})
@@ -76,8 +76,8 @@
 
 	// The next one comes from the peer alone: this host is cut off.
 	next := content(c, 6, 6)
-	h.Step(now, Received{1, Notice{6, next.Hash, true}})
-	now, cmds = ticks(h, now, hedgeAfter+2*TickEvery)
+	h.Step(now, Received{1, VersionNotice{6, next.Hash, true}})
+	now, cmds = ticks(h, now, hedgeAfter+2*TickInterval)
 	c.Check(fetches(cmds), qt.Equals, 1)
 	cmds = h.Step(now, Received{1, next})
 	_, more = ticks(h, now, time.Second)
@@ -112,11 +112,11 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	h := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(h, now, joinSpread+2*TickEvery)
+	now, cmds := ticks(h, now, joinSpread+2*TickInterval)
 	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
 	c.Check(count[WriteContacts](cmds), qt.Equals, 0)
 	h.Step(now, ContactsRead{})
-	now, cmds = ticks(h, now, TickEvery)
+	now, cmds = ticks(h, now, TickInterval)
 	c.Check(count[WriteContacts](cmds), qt.Equals, 1)
 	_, cmds = ticks(h, now, 15*time.Second)
 	reads := count[ReadContacts](cmds)
@@ -130,12 +130,12 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	h := New(Config{Self: member("a"), DelegatePolling: true, Bootstrap: true}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(h, now, bootSpread+2*TickEvery)
+	now, cmds := ticks(h, now, bootSpread+2*TickInterval)
 	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
 	cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1"}})
-	now, more := ticks(h, now, dialFirst+2*TickEvery)
+	now, more := ticks(h, now, dialFirst+2*TickInterval)
 	c.Check(count[Dial](append(cmds, more...)) > 0, qt.IsTrue)
 	cmds = h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	_, more = ticks(h, now, rootFor-2*TickEvery)
+	_, more = ticks(h, now, rootFor-2*TickInterval)
 	c.Check(count[WriteContacts](append(cmds, more...)), qt.Equals, 0)
 }
--- a/briarrockd/peer/floor.go
+++ b/briarrockd/peer/floor.go
@@ -45,7 +45,7 @@
 	}
 	for _, l := range h.sortedLinks() {
 		if l.id != from && l.domain == h.self.Domain {
-			h.send(l, Known{version})
+			h.send(l, FloorNotice{version})
 		}
 	}
 	h.serve()
--- a/briarrockd/peer/frame.go
+++ b/briarrockd/peer/frame.go
@@ -20,17 +20,17 @@
 type Hello struct {
 	Member Member `cbor:"1,keyasint"`
 	// Known is the highest incarnation of the receiver that the sender holds.
-	Known uint64 `cbor:"2,keyasint,omitempty"`
+	KnownIncarnation uint64 `cbor:"2,keyasint,omitempty"`
 	// Floor is the highest version that the sender saw the receiver use.
 	Floor   uint64        `cbor:"3,keyasint,omitempty"`
 	Version uint64        `cbor:"4,keyasint,omitempty"`
 	Hash    snapshot.Hash `cbor:"5,keyasint"`
 	// Fresh is the age in milliseconds of the last read of the head, as far
 	// as the sender has heard; 0 for never.
-	Fresh uint64 `cbor:"6,keyasint,omitempty"`
+	HeadAge uint64 `cbor:"6,keyasint,omitempty"`
 	// Domain is the highest version that the receiver's domain is known to
 	// have used.
-	Domain uint64 `cbor:"8,keyasint,omitempty"`
+	DomainFloor uint64 `cbor:"8,keyasint,omitempty"`
 	// Lazy asks that this link carries news only as a reserve.
 	Lazy bool `cbor:"7,keyasint,omitempty"`
 	// Seen is the position in the platform's record of changes up to which the
@@ -38,32 +38,32 @@
 	Cursor uint64 `cbor:"9,keyasint,omitempty"`
 	// Outside is the highest version that other domains are known to remember as one
 	// that the sender's domain uses.
-	Outside uint64 `cbor:"10,keyasint,omitempty"`
+	RemoteFloor uint64 `cbor:"10,keyasint,omitempty"`
 	// Members is how many live members the sender knows, itself included.
 	Members int `cbor:"11,keyasint,omitempty"`
 }
 
 // Beat is the heartbeat of a link. It carries just enough to notice that the
 // two sides differ.
-type Beat struct {
+type Heartbeat struct {
 	Root    uint64 `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint,omitempty"`
-	Fresh   uint64 `cbor:"3,keyasint,omitempty"`
+	HeadAge uint64 `cbor:"3,keyasint,omitempty"`
 	Cursor  uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Fresh floods through the mesh: one poll of the platform, how long ago it was,
 // and which version was the newest then. Host, Incarnation and Serial name it, so
 // that each node passes it on once.
-type Fresh struct {
+type PollNotice struct {
 	Version     uint64 `cbor:"1,keyasint,omitempty"`
 	Cursor      uint64 `cbor:"2,keyasint,omitempty"` // as in Hello
-	Age         uint64 `cbor:"3,keyasint"`           // milliseconds
+	HeadAge     uint64 `cbor:"3,keyasint"`           // milliseconds
 	Host        string `cbor:"4,keyasint"`
 	Incarnation uint64 `cbor:"5,keyasint"`
 	Serial      uint64 `cbor:"6,keyasint"` // counts the notices of this incarnation
 	// Try is set where a node says that it begins to poll; it has no answer yet.
-	Try bool `cbor:"7,keyasint,omitempty"`
+	Started bool `cbor:"7,keyasint,omitempty"`
 	// Region is that of the host, and Delay the milliseconds of its way to the
 	// platform and back; 0 if it doesn't know.
 	Region string `cbor:"8,keyasint,omitempty"`
@@ -98,8 +98,8 @@
 	Entries []Entry `cbor:"2,keyasint,omitempty"`
 }
 
-// Wants asks for the records of some hosts.
-type Wants struct {
+// RecordRequest asks for the records of some hosts.
+type RecordRequest struct {
 	Hosts []string `cbor:"1,keyasint"`
 }
 
@@ -109,7 +109,7 @@
 }
 
 // Notice says which version the sender holds.
-type Notice struct {
+type VersionNotice struct {
 	Version uint64        `cbor:"1,keyasint"`
 	Hash    snapshot.Hash `cbor:"2,keyasint"`
 	// Out is set when another domain than the receiver's holds it too.
@@ -117,12 +117,12 @@
 }
 
 // Have tells the sender of a pushed version that it has arrived.
-type Have struct {
+type VersionAck struct {
 	Version uint64 `cbor:"1,keyasint"`
 }
 
 // Known floods within a domain: other domains know that it uses a version.
-type Known struct {
+type FloorNotice struct {
 	Version uint64 `cbor:"1,keyasint"`
 }
 
@@ -131,7 +131,7 @@
 type Fetch struct {
 	Version uint64        `cbor:"1,keyasint"`
 	Hash    snapshot.Hash `cbor:"2,keyasint"`
-	Have    snapshot.Hash `cbor:"3,keyasint"`
+	Base    snapshot.Hash `cbor:"3,keyasint"`
 }
 
 // Content answers a Fetch. Packed is compressed against Base, or by itself
@@ -147,29 +147,29 @@
 }
 
 // Count is how many nodes serve one version.
-type Count struct {
+type VersionCount struct {
 	Version uint64 `cbor:"1,keyasint" json:"version"`
 	Nodes   int    `cbor:"2,keyasint" json:"nodes"`
 }
 
 // Report tells a parent of the tree what its child's subtree serves.
 type Report struct {
-	Counts  []Count  `cbor:"1,keyasint"`
-	Laggard []string `cbor:"2,keyasint,omitempty"`
+	Counts   []VersionCount `cbor:"1,keyasint"`
+	Laggards []string       `cbor:"2,keyasint,omitempty"`
 }
 
 // Summary tells other domains what a whole domain serves.
 type Summary struct {
-	Domain  string   `cbor:"1,keyasint"`
-	Region  string   `cbor:"2,keyasint"`
-	At      int64    `cbor:"3,keyasint"` // Unix milliseconds at the domain's root
-	Members int      `cbor:"4,keyasint"`
-	Counts  []Count  `cbor:"5,keyasint"`
-	Laggard []string `cbor:"6,keyasint,omitempty"`
+	Domain   string         `cbor:"1,keyasint"`
+	Region   string         `cbor:"2,keyasint"`
+	At       int64          `cbor:"3,keyasint"` // Unix milliseconds at the domain's root
+	Members  int            `cbor:"4,keyasint"`
+	Counts   []VersionCount `cbor:"5,keyasint"`
+	Laggards []string       `cbor:"6,keyasint,omitempty"`
 }
 
 // Hold says that a request that crashes targets is held back everywhere.
-type Hold struct {
+type CrashReport struct {
 	Print   uint64 `cbor:"1,keyasint"` // fingerprint of the request
 	Service string `cbor:"2,keyasint"`
 	Crashes int    `cbor:"3,keyasint"`
@@ -182,46 +182,46 @@
 // The type codes on the wire. A code is never used again for another frame.
 const (
 	codeHello byte = iota + 1
-	codeBeat
+	codeHeartbeat
 	codeDigests
 	codeListing
-	codeWants
+	codeRecordRequest
 	codeRecords
-	codeNotice
+	codeVersionNotice
 	codeFetch
 	codeContent
 	codeReport
 	codeSummary
-	codeHold
-	codeKnown
-	codeHave
-	codeFresh
+	codeCrashReport
+	codeFloorNotice
+	codeVersionAck
+	codePollNotice
 )
 
-func (Hello) code() byte   { return codeHello }
-func (Beat) code() byte    { return codeBeat }
-func (Digests) code() byte { return codeDigests }
-func (Listing) code() byte { return codeListing }
-func (Wants) code() byte   { return codeWants }
-func (Records) code() byte { return codeRecords }
-func (Notice) code() byte  { return codeNotice }
-func (Fetch) code() byte   { return codeFetch }
-func (Content) code() byte { return codeContent }
-func (Report) code() byte  { return codeReport }
-func (Summary) code() byte { return codeSummary }
-func (Hold) code() byte    { return codeHold }
-func (Known) code() byte   { return codeKnown }
-func (Have) code() byte    { return codeHave }
-func (Fresh) code() byte   { return codeFresh }
+func (Hello) code() byte         { return codeHello }
+func (Heartbeat) code() byte     { return codeHeartbeat }
+func (Digests) code() byte       { return codeDigests }
+func (Listing) code() byte       { return codeListing }
+func (RecordRequest) code() byte { return codeRecordRequest }
+func (Records) code() byte       { return codeRecords }
+func (VersionNotice) code() byte { return codeVersionNotice }
+func (Fetch) code() byte         { return codeFetch }
+func (Content) code() byte       { return codeContent }
+func (Report) code() byte        { return codeReport }
+func (Summary) code() byte       { return codeSummary }
+func (CrashReport) code() byte   { return codeCrashReport }
+func (FloorNotice) code() byte   { return codeFloorNotice }
+func (VersionAck) code() byte    { return codeVersionAck }
+func (PollNotice) code() byte    { return codePollNotice }
 
 // Bounds of the lists in frames.
 const (
-	maxRecords = 256
-	maxEntries = MaxMembers
-	maxWants   = 1024
-	maxDomains = 256
-	maxCounts  = 16
-	maxLaggard = 8
+	maxRecords        = 256
+	maxEntries        = MaxMembers
+	maxRequestedHosts = 1024
+	maxDomains        = 256
+	maxCounts         = 16
+	maxLaggards       = 8
 	// MaxFrame bounds one encoded frame: a packed snapshot and its envelope.
 	MaxFrame = snapshot.MaxBytes + 4096
 )
@@ -246,36 +246,36 @@
 	switch b[0] {
 	case codeHello:
 		return decode(b[1:], func(f Hello) bool { return f.Member.valid() })
-	case codeBeat:
-		return decode(b[1:], func(Beat) bool { return true })
+	case codeHeartbeat:
+		return decode(b[1:], func(Heartbeat) bool { return true })
 	case codeDigests:
 		return decode(b[1:], func(f Digests) bool { return len(f.Domains) <= maxDomains })
 	case codeListing:
 		return decode(b[1:], func(f Listing) bool { return len(f.Domain) <= maxNameSize })
-	case codeWants:
-		return decode(b[1:], func(f Wants) bool { return len(f.Hosts) <= maxWants })
+	case codeRecordRequest:
+		return decode(b[1:], func(f RecordRequest) bool { return len(f.Hosts) <= maxRequestedHosts })
 	case codeRecords:
 		return decode(b[1:], Records.valid)
-	case codeNotice:
-		return decode(b[1:], func(Notice) bool { return true })
+	case codeVersionNotice:
+		return decode(b[1:], func(VersionNotice) bool { return true })
 	case codeFetch:
 		return decode(b[1:], func(Fetch) bool { return true })
 	case codeContent:
 		return decode(b[1:], func(f Content) bool { return len(f.Packed) <= snapshot.MaxBytes })
 	case codeReport:
-		return decode(b[1:], func(f Report) bool { return boundedCounts(f.Counts, f.Laggard) })
+		return decode(b[1:], func(f Report) bool { return boundedCounts(f.Counts, f.Laggards) })
 	case codeSummary:
 		return decode(b[1:], func(f Summary) bool {
-			return boundedCounts(f.Counts, f.Laggard) && len(f.Domain) <= maxNameSize && len(f.Region) <= maxNameSize
+			return boundedCounts(f.Counts, f.Laggards) && len(f.Domain) <= maxNameSize && len(f.Region) <= maxNameSize
 		})
-	case codeHold:
-		return decode(b[1:], func(f Hold) bool { return len(f.Service) <= maxNameSize })
-	case codeHave:
-		return decode(b[1:], func(Have) bool { return true })
-	case codeFresh:
-		return decode(b[1:], func(f Fresh) bool { return f.Host != "" && len(f.Host) <= maxNameSize })
-	case codeKnown:
-		return decode(b[1:], func(Known) bool { return true })
+	case codeCrashReport:
+		return decode(b[1:], func(f CrashReport) bool { return len(f.Service) <= maxNameSize })
+	case codeVersionAck:
+		return decode(b[1:], func(VersionAck) bool { return true })
+	case codePollNotice:
+		return decode(b[1:], func(f PollNotice) bool { return f.Host != "" && len(f.Host) <= maxNameSize })
+	case codeFloorNotice:
+		return decode(b[1:], func(FloorNotice) bool { return true })
 	default:
 		return nil, ErrFrame
 	}
@@ -301,8 +301,8 @@
 	return true
 }
 
-func boundedCounts(counts []Count, laggard []string) bool {
-	return len(counts) <= maxCounts && len(laggard) <= maxLaggard
+func boundedCounts(counts []VersionCount, laggard []string) bool {
+	return len(counts) <= maxCounts && len(laggard) <= maxLaggards
 }
 
 // age is a time as milliseconds before now, at least 1; 0 for never.
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -152,8 +152,8 @@
 	}
 }
 
-func (h *Core) beat(l *link, f Beat) {
-	h.heardFresh(poll{version: f.Version, seen: f.Cursor, at: h.ago(f.Fresh)})
+func (h *Core) beat(l *link, f Heartbeat) {
+	h.heardFresh(poll{version: f.Version, seen: f.Cursor, at: h.ago(f.HeadAge)})
 	h.sawUse(l, f.Version)
 	h.remoteFloor(l, f.Version)
 	l.version = max(l.version, f.Version)
@@ -243,13 +243,13 @@
 	}
 	h.sendRecords(l, better, false)
 	for len(wants) > 0 {
-		n := min(len(wants), maxWants)
-		h.send(l, Wants{wants[:n]})
+		n := min(len(wants), maxRequestedHosts)
+		h.send(l, RecordRequest{wants[:n]})
 		wants = wants[n:]
 	}
 }
 
-func (h *Core) wants(l *link, f Wants) { h.sendRecords(l, f.Hosts, false) }
+func (h *Core) wants(l *link, f RecordRequest) { h.sendRecords(l, f.Hosts, false) }
 
 // tickMembers suspects neighbours that have no link, declares suspects dead
 // and forgets tombstones.
--- a/briarrockd/peer/hold.go
+++ b/briarrockd/peer/hold.go
@@ -39,14 +39,14 @@
 
 // crashed takes what this node saw at its own target.
 func (h *Core) crashed(m Crashed) {
-	f := Hold{Print: m.Print, Service: m.Service, Crashes: 1, Clear: m.Clear, ID: h.rng.Uint64()}
+	f := CrashReport{Print: m.Print, Service: m.Service, Crashes: 1, Clear: m.Clear, ID: h.rng.Uint64()}
 	if p := h.holds.prints[m.Print]; m.Clear && (p == nil || p.crashes == 0) {
 		return
 	}
 	h.takeHold(0, f)
 }
 
-func (h *Core) hold(l *link, f Hold) { h.takeHold(l.id, f) }
+func (h *Core) hold(l *link, f CrashReport) { h.takeHold(l.id, f) }
 
 // takeHold counts a report once and passes it on to every link, the lazy ones
 // included: a request that crashes targets must not get through to another
@@ -56,7 +56,7 @@
 // request has run to its end go round the mesh close to each other; a node that
 // forgot the first on hearing the second would take the first for news when it
 // comes by another way, and the two would chase each other for good.
-func (h *Core) takeHold(from LinkID, f Hold) {
+func (h *Core) takeHold(from LinkID, f CrashReport) {
 	p := h.holds.prints[f.Print]
 	if p == nil {
 		if f.Clear || len(h.holds.prints) >= maxHolds {
@@ -82,7 +82,7 @@
 	h.relayHold(from, f)
 }
 
-func (h *Core) relayHold(from LinkID, f Hold) {
+func (h *Core) relayHold(from LinkID, f CrashReport) {
 	for _, l := range h.sortedLinks() {
 		if l.id != from {
 			h.send(l, f)
--- a/briarrockd/peer/introduce_test.go
+++ b/briarrockd/peer/introduce_test.go
@@ -41,7 +41,7 @@
 			h.merge(0, place(p[0], p[1], i))
 		}
 	}
-	now, _ = ticks(h, now, TickEvery)
+	now, _ = ticks(h, now, TickInterval)
 
 	fresh := place("superior-b", "superior", 30)
 	cmds := h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: fresh, Members: 1}})
@@ -52,12 +52,12 @@
 
 	// What changes elsewhere is not its concern.
 	h.merge(0, place("erie-b", "erie", 40))
-	now, cmds = ticks(h, now, TickEvery)
+	now, cmds = ticks(h, now, TickInterval)
 	c.Check(sentRecords(cmds, 1), qt.HasLen, 0)
 
 	// A link that lasts is like any other: the tables are compared.
 	now, _ = ticks(h, now, introduceFor-time.Second)
-	h.Step(now, Received{1, Beat{Root: 1}})
+	h.Step(now, Received{1, Heartbeat{Root: 1}})
 	now, _ = ticks(h, now, 2*time.Second)
 	h.Step(now, Received{1, Digests{}})
 	cmds = h.Step(now, Received{1, Digests{}})
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -172,7 +172,7 @@
 
 // run is the only goroutine that touches the Core.
 func (s *Transport) run() {
-	tick := time.NewTicker(TickEvery)
+	tick := time.NewTicker(TickInterval)
 	defer tick.Stop()
 	s.step(Tick{})
 	for {
@@ -199,9 +199,9 @@
 	switch c := c.(type) {
 	case Dial:
 		s.wg.Go(func() { s.dial(c) })
-	case Greet:
+	case SendHello:
 		s.send(c.Link, c.Hello)
-	case Close:
+	case CloseLink:
 		s.closeLink(c.Link)
 	case Send:
 		s.send(c.Link, c.Frame)
@@ -267,7 +267,7 @@
 		}
 		m.Addrs = append(m.Addrs, some...)
 		if row.Key == contactsPrefix+s.domain {
-			m.Near = len(some)
+			m.OwnDomain = len(some)
 		}
 	}
 	s.Post(m)
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -13,7 +13,7 @@
 // Msg is something that happened to this node.
 type Msg interface{ msg() }
 
-// Tick says that time has passed. It comes every TickEvery.
+// Tick says that time has passed. It comes every TickInterval.
 type Tick struct{}
 
 // LinkUp says that a link is open and its peer has said hello.
@@ -64,7 +64,7 @@
 	Addrs []string
 	// Near is how many of them this node's own domain has left; 0 if it has left
 	// none yet.
-	Near int
+	OwnDomain int
 }
 
 // PollFailed says that this node's own poll of the platform had no answer.
@@ -131,13 +131,13 @@
 }
 
 // Greet sends this node's hello on a link that its peer opened.
-type Greet struct {
+type SendHello struct {
 	Link  LinkID
 	Hello Hello
 }
 
 // Close asks to close a link. LinkDown follows.
-type Close struct{ Link LinkID }
+type CloseLink struct{ Link LinkID }
 
 // Send puts a frame on a link.
 type Send struct {
@@ -194,8 +194,8 @@
 }
 
 func (Dial) cmd()           {}
-func (Greet) cmd()          {}
-func (Close) cmd()          {}
+func (SendHello) cmd()      {}
+func (CloseLink) cmd()      {}
 func (Send) cmd()           {}
 func (ReadHead) cmd()       {}
 func (Watch) cmd()          {}
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -55,8 +55,8 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// TickEvery is how often a Core wants a Tick.
-const TickEvery = 100 * time.Millisecond
+// TickInterval is how often a Core wants a Tick.
+const TickInterval = 100 * time.Millisecond
 
 // The times by which a Core decides.
 const (
@@ -272,17 +272,17 @@
 	l.heardAt = h.now
 	h.table.domain(l.domain, l.region).heardAt = h.now
 	switch f := m.Frame.(type) {
-	case Beat:
+	case Heartbeat:
 		h.beat(l, f)
 	case Digests:
 		h.digests(l, f)
 	case Listing:
 		h.listing(l, f)
-	case Wants:
+	case RecordRequest:
 		h.wants(l, f)
 	case Records:
 		h.records(l, f)
-	case Notice:
+	case VersionNotice:
 		h.notice(l, f)
 	case Fetch:
 		h.fetch(l, f)
@@ -292,37 +292,37 @@
 		h.reported(l, f)
 	case Summary:
 		h.summary(l, f)
-	case Hold:
+	case CrashReport:
 		h.hold(l, f)
-	case Have:
+	case VersionAck:
 		h.have(l, f)
-	case Known:
+	case FloorNotice:
 		h.observeFloor(l.id, f.Version)
-	case Fresh:
+	case PollNotice:
 		h.fresh(l, f)
 	default:
 		// A second Hello on an open link is of no use to an honest peer.
 		h.log(event.PeerGarbage, event.Fields{event.Subject: l.host})
-		h.do(Close{l.id})
+		h.do(CloseLink{l.id})
 	}
 }
 
 func (h *Core) hello(l *link) Hello {
 	hi := Hello{
-		Member:  h.self,
-		Version: h.version.number,
-		Hash:    h.version.hash,
-		Fresh:   age(h.now, h.watch.freshAt),
-		Cursor:  h.watch.seen,
-		Outside: h.version.outside,
-		Members: h.Members(),
+		Member:      h.self,
+		Version:     h.version.number,
+		Hash:        h.version.hash,
+		HeadAge:     age(h.now, h.watch.freshAt),
+		Cursor:      h.watch.seen,
+		RemoteFloor: h.version.outside,
+		Members:     h.Members(),
 	}
 	if l != nil {
 		hi.Lazy = l.lazy
 		hi.Floor = h.version.seen[l.host]
-		hi.Domain = h.version.domains[l.domain]
+		hi.DomainFloor = h.version.domains[l.domain]
 		if r := h.table.byHost[l.host]; r != nil {
-			hi.Known = r.Incarnation
+			hi.KnownIncarnation = r.Incarnation
 		}
 	}
 	return hi
--- a/briarrockd/peer/push.go
+++ b/briarrockd/peer/push.go
@@ -20,7 +20,7 @@
 	// Where the platform's adapter reads, the peer may watch as well and be about
 	// to have the version: the notice of it is enough, and who wants it asks.
 	if h.cfg.DelegatePolling || !h.push(l, number, out) {
-		h.send(l, Notice{h.version.number, h.version.hash, out})
+		h.send(l, VersionNotice{h.version.number, h.version.hash, out})
 	}
 	l.told = h.version.number
 	l.toldAt = h.now
@@ -54,7 +54,7 @@
 }
 
 // have takes a peer's word that a push has arrived.
-func (h *Core) have(l *link, f Have) {
+func (h *Core) have(l *link, f VersionAck) {
 	l.version = max(l.version, f.Version)
 	h.sawUse(l, f.Version)
 	h.remoteFloor(l, f.Version)
@@ -64,7 +64,7 @@
 // pushed takes a version that was not asked for. Its sender waits to hear
 // that it has arrived, unless ours has crossed it on the way.
 func (h *Core) pushed(l *link, f Content) {
-	h.notice(l, Notice{f.Version, f.Hash, f.HeldRemotely})
+	h.notice(l, VersionNotice{f.Version, f.Hash, f.HeldRemotely})
 	h.acknowledge(l, f.Version)
 }
 
@@ -73,13 +73,13 @@
 func (h *Core) acknowledge(l *link, number uint64) {
 	if l.told < number {
 		l.told, l.toldAt = number, h.now
-		h.send(l, Have{number})
+		h.send(l, VersionAck{number})
 	}
 }
 
 // notice takes a peer's word that it holds a version. It may be about to
 // serve it, so that is remembered as its floor.
-func (h *Core) notice(l *link, f Notice) {
+func (h *Core) notice(l *link, f VersionNotice) {
 	h.sawUse(l, f.Version)
 	h.remoteFloor(l, f.Version)
 	if f.HeldRemotely {
--- a/briarrockd/peer/report.go
+++ b/briarrockd/peer/report.go
@@ -17,8 +17,8 @@
 
 // tally counts nodes by the version that they use.
 type tally struct {
-	counts  map[uint64]int
-	laggard []string
+	counts   map[uint64]int
+	laggards []string
 }
 
 // reports is what a node knows of who uses which version.
@@ -92,7 +92,7 @@
 		for _, c := range r.Counts {
 			t.counts[c.Version] += c.Nodes
 		}
-		t.laggard = append(t.laggard, r.Laggard...)
+		t.laggards = append(t.laggards, r.Laggards...)
 	}
 	return t.report(h.self.Host, h.version.number)
 }
@@ -103,11 +103,11 @@
 	var r Report
 	newest := uint64(0)
 	for v, n := range t.counts {
-		r.Counts = append(r.Counts, Count{v, n})
+		r.Counts = append(r.Counts, VersionCount{v, n})
 		newest = max(newest, v)
 	}
 	if own < newest {
-		t.laggard = append(t.laggard, host)
+		t.laggards = append(t.laggards, host)
 	}
 	sort.Slice(r.Counts, func(i, j int) bool { return r.Counts[i].Version > r.Counts[j].Version })
 	for len(r.Counts) > maxCounts {
@@ -115,8 +115,8 @@
 		r.Counts = r.Counts[:len(r.Counts)-1]
 		r.Counts[len(r.Counts)-1].Nodes += last.Nodes
 	}
-	sort.Strings(t.laggard)
-	r.Laggard = t.laggard[:min(len(t.laggard), maxLaggard)]
+	sort.Strings(t.laggards)
+	r.Laggards = t.laggards[:min(len(t.laggards), maxLaggards)]
 	return r
 }
 
@@ -156,7 +156,7 @@
 }
 
 func sameReport(a, b Report) bool {
-	if len(a.Counts) != len(b.Counts) || len(a.Laggard) != len(b.Laggard) {
+	if len(a.Counts) != len(b.Counts) || len(a.Laggards) != len(b.Laggards) {
 		return false
 	}
 	for i := range a.Counts {
@@ -164,8 +164,8 @@
 			return false
 		}
 	}
-	for i := range a.Laggard {
-		if a.Laggard[i] != b.Laggard[i] {
+	for i := range a.Laggards {
+		if a.Laggards[i] != b.Laggards[i] {
 			return false
 		}
 	}
@@ -177,12 +177,12 @@
 	h.report.nextAt = h.now.Add(summaryEvery)
 	r := h.subtree()
 	s := Summary{
-		Domain:  h.self.Domain,
-		Region:  h.self.Region,
-		At:      h.now.UnixMilli(),
-		Members: len(h.table.members(h.self.Domain)),
-		Counts:  r.Counts,
-		Laggard: r.Laggard,
+		Domain:   h.self.Domain,
+		Region:   h.self.Region,
+		At:       h.now.UnixMilli(),
+		Members:  len(h.table.members(h.self.Domain)),
+		Counts:   r.Counts,
+		Laggards: r.Laggards,
 	}
 	h.report.domains[s.Domain] = summarized{s, h.now}
 	h.relaySummary(0, s)
@@ -277,11 +277,11 @@
 
 // DomainStatus is what one domain serves, as the asked node knows it.
 type DomainStatus struct {
-	Domain   string   `json:"domain"`
-	Region   string   `json:"region"`
-	Members  int      `json:"members"`
-	Counts   []Count  `json:"counts"`
-	Laggards []string `json:"laggards,omitempty"`
+	Domain   string         `json:"domain"`
+	Region   string         `json:"region"`
+	Members  int            `json:"members"`
+	Counts   []VersionCount `json:"counts"`
+	Laggards []string       `json:"laggards,omitempty"`
 	// Silent is for how many milliseconds nothing was heard of the domain; 0
 	// while it is heard of as usual.
 	SilentMillis int64 `json:"silent,omitempty"`
@@ -314,7 +314,7 @@
 	for _, name := range h.summaryNames() {
 		d := h.report.domains[name]
 		known[name] = true
-		out := DomainStatus{Domain: name, Region: d.Region, Members: d.Members, Counts: d.Counts, Laggards: d.Laggard}
+		out := DomainStatus{Domain: name, Region: d.Region, Members: d.Members, Counts: d.Counts, Laggards: d.Laggards}
 		if silent := now.Sub(d.at); silent > summaryEvery+staleAfter {
 			out.SilentMillis = silent.Milliseconds()
 		}
--- a/briarrockd/peer/rules_test.go
+++ b/briarrockd/peer/rules_test.go
@@ -81,7 +81,7 @@
 	push := old
 	push.Push = true
 	for _, m := range []Msg{
-		Received{1, Notice{Version: 4, Hash: oldHash}},
+		Received{1, VersionNotice{Version: 4, Hash: oldHash}},
 		Received{1, old},
 		Received{1, push},
 		HeadRead{Version: 4, Hash: oldHash},
@@ -103,7 +103,7 @@
 	c := qt.New(t)
 	h, now := serving(c)
 	good := content(c, 6, 6)
-	h.Step(now, Received{1, Notice{Version: 6, Hash: good.Hash}})
+	h.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
 	short, flipped := good, good
 	short.Packed = good.Packed[:len(good.Packed)-3]
 	flipped.Packed = append([]byte(nil), good.Packed...)
@@ -128,14 +128,14 @@
 func TestFalseNotice(t *testing.T) {
 	c := qt.New(t)
 	h, now := serving(c)
-	h.Step(now, Received{1, Notice{Version: 900, Hash: snapshot.Sum([]byte("nothing"))}})
+	h.Step(now, Received{1, VersionNotice{Version: 900, Hash: snapshot.Sum([]byte("nothing"))}})
 	for range 600 {
-		now = now.Add(TickEvery)
-		h.Step(now, Received{1, Beat{Version: 5}})
+		now = now.Add(TickInterval)
+		h.Step(now, Received{1, Heartbeat{Version: 5}})
 		h.Step(now, Tick{})
 	}
 	good := content(c, 6, 6)
-	h.Step(now, Received{1, Notice{Version: 6, Hash: good.Hash}})
+	h.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
 	c.Check(used(h.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
@@ -165,7 +165,7 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Known: 900}, Addr: "b:1"})
+	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), KnownIncarnation: 900}, Addr: "b:1"})
 	c.Check(h.self.Incarnation, qt.Equals, uint64(901))
 	// Hearing of itself as of later still does the same.
 	m := member("a")
@@ -180,7 +180,7 @@
 	now := time.Unix(1000, 0)
 	h := New(Config{Self: member("a"), Contacts: []string{"b:1"}}, rand.New(rand.NewPCG(1, 1)), now)
 	for range 600 {
-		now = now.Add(TickEvery)
+		now = now.Add(TickInterval)
 		for _, cmd := range h.Step(now, Tick{}) {
 			switch cmd := cmd.(type) {
 			case Dial:
@@ -205,7 +205,7 @@
 	h := New(Config{Self: member("a"), Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
 	asked, dialed := 0, false
 	for range 300 {
-		now = now.Add(TickEvery)
+		now = now.Add(TickInterval)
 		for _, cmd := range h.Step(now, Tick{}) {
 			switch cmd := cmd.(type) {
 			case Dial:
@@ -223,8 +223,8 @@
 	h, now = lone(c)
 	var left []string
 	for range 100 {
-		now = now.Add(TickEvery)
-		h.Step(now, Received{1, Beat{}})
+		now = now.Add(TickInterval)
+		h.Step(now, Received{1, Heartbeat{}})
 		for _, cmd := range h.Step(now, Tick{}) {
 			if w, ok := cmd.(WriteContacts); ok {
 				c.Check(left, qt.IsNil)
@@ -259,7 +259,7 @@
 		step(LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: old.Hash}, Addr: "b:1"})
 		step(Received{1, old})
 		for range 20 {
-			now = now.Add(TickEvery)
+			now = now.Add(TickInterval)
 			step(Tick{})
 		}
 		c.Check(served, qt.HasLen, 0)
@@ -270,8 +270,8 @@
 			step(HeadRead{Err: errDown})
 		}
 		for range 20 {
-			now = now.Add(TickEvery)
-			step(Received{1, Beat{Version: 4}})
+			now = now.Add(TickInterval)
+			step(Received{1, Heartbeat{Version: 4}})
 			step(Tick{})
 		}
 		want := []uint64{4}
@@ -298,7 +298,7 @@
 	h.Step(now, LinkDown{1})
 	dialed := time.Duration(0)
 	for range 40 {
-		now = now.Add(TickEvery)
+		now = now.Add(TickInterval)
 		for _, cmd := range h.Step(now, Tick{}) {
 			if d, ok := cmd.(Dial); ok && d.Addr == other+":1" && dialed == 0 {
 				dialed = now.Sub(time.Unix(1000, 0))
@@ -339,19 +339,19 @@
 	c := qt.New(t)
 	for _, f := range []Frame{
 		Hello{Member: member("a"), Version: 3},
-		Beat{Root: 1},
+		Heartbeat{Root: 1},
 		Digests{},
 		Listing{Domain: "a"},
-		Wants{},
+		RecordRequest{},
 		Records{[]Member{member("a")}},
-		Notice{Version: 9},
+		VersionNotice{Version: 9},
 		Fetch{},
 		Content{Packed: []byte("x")},
 		Report{},
 		Summary{Domain: "a"},
-		Hold{Print: 4},
-		Known{2},
-		Have{3},
+		CrashReport{Print: 4},
+		FloorNotice{2},
+		VersionAck{3},
 	} {
 		b, err := EncodeFrame(f)
 		c.Assert(err, qt.IsNil)
@@ -359,7 +359,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Check(back.code(), qt.Equals, f.code())
 	}
-	for _, b := range [][]byte{nil, {0}, {200}, {codeBeat}, {codeBeat, 0xff}, {codeRecords, 0xa1, 1, 0x81, 0xa0}} {
+	for _, b := range [][]byte{nil, {0}, {200}, {codeHeartbeat}, {codeHeartbeat, 0xff}, {codeRecords, 0xa1, 1, 0x81, 0xa0}} {
 		_, err := DecodeFrame(b)
 		c.Check(err, qt.Equals, ErrFrame)
 	}
@@ -370,14 +370,14 @@
 func FuzzFrame(f *testing.F) {
 	for _, x := range []Frame{
 		Hello{Member: member("a")},
-		Beat{Root: 1, Version: 4},
+		Heartbeat{Root: 1, Version: 4},
 		Records{[]Member{member("c")}},
 		Listing{Domain: "erie-a", Entries: []Entry{{"c", 1, 0, Dead}}},
-		Notice{Version: 9},
+		VersionNotice{Version: 9},
 		Content{Version: 9, Packed: []byte{1}},
-		Report{Counts: []Count{{1, 2}}},
+		Report{Counts: []VersionCount{{1, 2}}},
 		Summary{Domain: "x", At: 5},
-		Hold{Print: 1, Service: "s"},
+		CrashReport{Print: 1, Service: "s"},
 		Fetch{Version: 5},
 	} {
 		b, err := EncodeFrame(x)
@@ -413,7 +413,7 @@
 	h.Step(now, Received{1, Records{[]Member{old, fresh}}})
 	dials, id := 0, LinkID(1)
 	for range 30 {
-		now = now.Add(TickEvery)
+		now = now.Add(TickInterval)
 		for _, cmd := range h.Step(now, Tick{}) {
 			if d, ok := cmd.(Dial); ok && d.Addr == old.PeerAddr {
 				dials++
@@ -469,7 +469,7 @@
 type ringFrame struct {
 	to   int
 	link LinkID
-	f    Hold
+	f    CrashReport
 }
 
 func newRing(n int) *ring {
@@ -490,7 +490,7 @@
 	n := len(r.hearts)
 	for _, x := range r.hearts[i].Step(r.now, m) {
 		s, _ := x.(Send)
-		f, ok := s.Frame.(Hold)
+		f, ok := s.Frame.(CrashReport)
 		switch {
 		case !ok:
 		case s.Link == 1:
--- a/briarrockd/peer/topology.go
+++ b/briarrockd/peer/topology.go
@@ -242,7 +242,7 @@
 		return
 	}
 	if h.now.Sub(l.unwanted) >= linger {
-		h.do(Close{l.id})
+		h.do(CloseLink{l.id})
 	}
 }
 
@@ -335,11 +335,11 @@
 func (h *Core) linkUp(m LinkUp) {
 	hi := m.Hello
 	if m.Addr != "" && h.otherHost(m) {
-		h.do(Close{m.Link})
+		h.do(CloseLink{m.Link})
 		return
 	}
 	if hi.Member.Host == h.self.Host || len(h.links) >= maxLinks {
-		h.do(Close{m.Link})
+		h.do(CloseLink{m.Link})
 		return
 	}
 	h.linkReplace(hi.Member.Host)
@@ -354,7 +354,7 @@
 	h.table.domain(l.domain, l.region).heardAt = h.now
 	h.log(event.LinkUp, event.Fields{event.Subject: l.host})
 	if !l.outbound {
-		h.do(Greet{l.id, h.hello(l)})
+		h.do(SendHello{l.id, h.hello(l)})
 	}
 	h.greeted(l, hi)
 }
@@ -383,15 +383,15 @@
 
 // greeted takes in what the peer's hello says.
 func (h *Core) greeted(l *link, hi Hello) {
-	h.reincarnate(hi.Known)
+	h.reincarnate(hi.KnownIncarnation)
 	h.merge(l.id, hi.Member)
-	h.heardFresh(poll{version: hi.Version, seen: hi.Cursor, at: h.ago(hi.Fresh)})
+	h.heardFresh(poll{version: hi.Version, seen: hi.Cursor, at: h.ago(hi.HeadAge)})
 	h.raiseFloor(hi.Floor)
-	h.raiseFloor(hi.Domain)
+	h.raiseFloor(hi.DomainFloor)
 	h.sawUse(l, hi.Version)
 	h.remoteFloor(l, hi.Version)
 	if l.domain == h.self.Domain {
-		h.observeFloor(l.id, hi.Outside)
+		h.observeFloor(l.id, hi.RemoteFloor)
 	}
 	h.heardVersion(l, hi.Version, hi.Hash)
 	if h.introduces(l, hi) {
@@ -410,7 +410,7 @@
 // one because the old one is dead to it.
 func (h *Core) linkReplace(host string) {
 	if old := h.byHost[host]; old != nil {
-		h.do(Close{old.id})
+		h.do(CloseLink{old.id})
 		h.drop(old)
 	}
 }
@@ -437,7 +437,7 @@
 func (h *Core) tickLinks() {
 	for _, l := range h.sortedLinks() {
 		if h.now.Sub(l.heardAt) > silentAfter {
-			h.do(Close{l.id})
+			h.do(CloseLink{l.id})
 			h.drop(l)
 			continue
 		}
@@ -445,7 +445,7 @@
 			continue
 		}
 		l.beatAt = h.now.Add(beatEvery)
-		h.send(l, Beat{Root: h.table.digestRoot(), Version: h.version.number, Fresh: age(h.now, h.watch.freshAt), Cursor: h.watch.seen})
+		h.send(l, Heartbeat{Root: h.table.digestRoot(), Version: h.version.number, HeadAge: age(h.now, h.watch.freshAt), Cursor: h.watch.seen})
 	}
 }
 
--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -260,9 +260,9 @@
 	}
 	out := Content{Version: f.Version, Hash: f.Hash}
 	var base []byte
-	if have, ok := h.version.content[f.Have]; ok {
+	if have, ok := h.version.content[f.Base]; ok {
 		base = have
-		out.Base = f.Have
+		out.Base = f.Base
 	}
 	p, err := h.packOnce(out.Base, f.Hash, base, b)
 	if err != nil {
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -252,7 +252,7 @@
 	}
 	d.announcedAt = h.now
 	f := h.ownNotice()
-	f.Version, f.Cursor, f.Age = h.version.number, h.watch.seen, age(h.now, at)
+	f.Version, f.Cursor, f.HeadAge = h.version.number, h.watch.seen, age(h.now, at)
 	f.RTT = uint64(d.delay.Milliseconds())
 	h.floodFresh(0, f)
 }
@@ -270,14 +270,14 @@
 // seems to.
 func (h *Core) broadcastTry() {
 	f := h.ownNotice()
-	f.Try = true
+	f.Started = true
 	h.floodFresh(0, f)
 }
 
-func (h *Core) ownNotice() Fresh {
+func (h *Core) ownNotice() PollNotice {
 	d := &h.watch.role
 	d.notices++
-	return Fresh{Host: h.self.Host, Incarnation: h.self.Incarnation, Serial: d.notices, Region: h.self.Region}
+	return PollNotice{Host: h.self.Host, Incarnation: h.self.Incarnation, Serial: d.notices, Region: h.self.Region}
 }
 
 // fresh takes a peer's notice of a poll of the platform, and passes it on.
@@ -286,7 +286,7 @@
 // could come back to a node by another way it would seem younger each time, and
 // over slow links a region would go on telling itself that somebody polls long
 // after nobody did.
-func (h *Core) fresh(l *link, f Fresh) {
+func (h *Core) fresh(l *link, f PollNotice) {
 	d := &h.watch.role
 	name := noticeName{f.Incarnation, f.Serial}
 	last, known := d.pollers[f.Host]
@@ -300,15 +300,15 @@
 	if f.Region != h.self.Region && f.RTT > 0 && nearer*time.Duration(f.RTT)*time.Millisecond < d.delay {
 		d.nearAt = h.now
 	}
-	if f.Try {
+	if f.Started {
 		h.tried()
 	} else {
-		h.heardFresh(poll{version: f.Version, seen: f.Cursor, at: h.ago(f.Age), told: h.now})
+		h.heardFresh(poll{version: f.Version, seen: f.Cursor, at: h.ago(f.HeadAge), told: h.now})
 	}
 	h.floodFresh(l.id, f)
 }
 
-func (h *Core) floodFresh(from LinkID, f Fresh) {
+func (h *Core) floodFresh(from LinkID, f PollNotice) {
 	for _, l := range h.sortedLinks() {
 		if l.id != from && !l.lazy && !h.restricted(l) {
 			h.send(l, f)
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -38,7 +38,7 @@
 }
 
 // beats steps a Core while its first peer tells of polls of the platform.
-func beats(h *Core, now time.Time, d time.Duration, f Fresh) (time.Time, []Cmd) {
+func beats(h *Core, now time.Time, d time.Duration, f PollNotice) (time.Time, []Cmd) {
 	var out []Cmd
 	for end := now.Add(d); now.Before(end); {
 		f.Serial++
@@ -51,8 +51,8 @@
 }
 
 // told is word of a poll 20 ms ago by a process that is new each time.
-func told(version, seen uint64) Fresh {
-	return Fresh{Version: version, Cursor: seen, Age: 20, Host: "watcher", Incarnation: seen}
+func told(version, seen uint64) PollNotice {
+	return PollNotice{Version: version, Cursor: seen, HeadAge: 20, Host: "watcher", Incarnation: seen}
 }
 
 func watchOf(cmds []Cmd) (Watch, bool) {
@@ -84,14 +84,14 @@
 
 	quiet := now
 	for ok = false; !ok || !w.On; {
-		now, cmds = ticks(h, now, TickEvery)
+		now, cmds = ticks(h, now, TickInterval)
 		w, ok = watchOf(cmds)
 		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread, qt.IsTrue)
 	}
 	c.Check(now.Sub(quiet) >= lapseAfter-announceEvery, qt.IsTrue)
 	c.Check(w, qt.Equals, Watch{On: true, Cursor: 40, Fallback: true})
 	h.Step(now, Polled{Cursor: 41, At: now})
-	now, cmds = ticks(h, now, TickEvery)
+	now, cmds = ticks(h, now, TickInterval)
 	w, _ = watchOf(cmds)
 	c.Check(w, qt.Equals, Watch{On: true, Cursor: 41, Wait: watchShort, Fallback: true})
 
@@ -114,8 +114,8 @@
 	c.Check(w.On, qt.IsTrue)
 	c.Check(w.Cursor, qt.Equals, uint64(10))
 	next := content(c, 2, 2)
-	h.Step(now, Received{1, Notice{2, next.Hash, true}})
-	now, _ = ticks(h, now, hedgeAfter+2*TickEvery)
+	h.Step(now, Received{1, VersionNotice{2, next.Hash, true}})
+	now, _ = ticks(h, now, hedgeAfter+2*TickInterval)
 	h.Step(now, Received{1, told(2, 50)})
 	h.Step(now, Received{1, next})
 	c.Check(h.watch.seen, qt.Equals, uint64(50))
@@ -131,11 +131,11 @@
 	h, now := large(c, 25)
 	now, _ = beats(h, now, 10*time.Second, told(1, 40))
 	next := content(c, 2, 2)
-	c.Check(fetches(h.Step(now, Received{1, Notice{2, next.Hash, true}})), qt.Equals, 1)
+	c.Check(fetches(h.Step(now, Received{1, VersionNotice{2, next.Hash, true}})), qt.Equals, 1)
 	h.Step(now, Received{1, next})
 	after := content(c, 3, 3)
-	c.Check(fetches(h.Step(now, Received{1, Notice{3, after.Hash, true}})), qt.Equals, 0)
-	_, cmds := ticks(h, now, fetchEvery+2*TickEvery)
+	c.Check(fetches(h.Step(now, Received{1, VersionNotice{3, after.Hash, true}})), qt.Equals, 0)
+	_, cmds := ticks(h, now, fetchEvery+2*TickInterval)
 	c.Check(fetches(cmds), qt.Equals, 1)
 }
 
@@ -148,11 +148,11 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	h := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(h, now, TickEvery)
+	now, cmds := ticks(h, now, TickInterval)
 	w, _ := watchOf(cmds)
 	c.Check(w.On, qt.IsFalse)
 	next := content(c, 7, 7)
-	cmds = h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 7, Hash: next.Hash, Cursor: 30, Fresh: 100}, Addr: "b:1"})
+	cmds = h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 7, Hash: next.Hash, Cursor: 30, HeadAge: 100}, Addr: "b:1"})
 	c.Check(fetches(cmds), qt.Equals, 1)
 	cmds = h.Step(now, Received{1, next})
 	w, _ = watchOf(cmds)
@@ -162,7 +162,7 @@
 	c.Check(h.Ready(), qt.IsTrue)
 
 	h = New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	_, cmds = ticks(h, now, peersFirst+2*TickEvery)
+	_, cmds = ticks(h, now, peersFirst+2*TickInterval)
 	w, _ = watchOf(cmds)
 	c.Check(w, qt.Equals, Watch{On: true})
 }
@@ -185,9 +185,9 @@
 	for !on {
 		c.Check(count[Send](h.Step(now, Received{2, f})), qt.Equals, 0)
 		var w Watch
-		now, cmds = ticks(h, now, TickEvery)
+		now, cmds = ticks(h, now, TickInterval)
 		w, _ = watchOf(cmds)
 		on = w.On && w.Fallback
-		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread+TickEvery, qt.IsTrue)
+		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread+TickInterval, qt.IsTrue)
 	}
 }
