--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -37,17 +37,17 @@
 
 // Committers returns the address of the node that gathers this one's claims,
 // empty for this node itself, and how many nodes of the mesh commit claims.
-func (h *Core) Committers() (string, int) {
+func (c *Core) Committers() (string, int) {
 	n := 0
-	for _, d := range h.table.domains {
+	for _, d := range c.table.domains {
 		if d.count >= gatherFrom {
 			n++
 		} else {
 			n += d.count
 		}
 	}
-	r := h.root()
-	if r == nil || r.Host == h.self.Host || len(h.table.members(h.self.Domain)) < gatherFrom {
+	r := c.root()
+	if r == nil || r.Host == c.self.Host || len(c.table.members(c.self.Domain)) < gatherFrom {
 		return "", n
 	}
 	return r.PeerAddr, n
@@ -55,22 +55,22 @@
 
 // ForwardClaims sends claims to the node that gathers them. Its error is
 // ErrNotForwarded if nothing was sent.
-func (s *Transport) ForwardClaims(ctx context.Context, orders []byte) ([]byte, error) {
+func (t *Transport) ForwardClaims(ctx context.Context, orders []byte) ([]byte, error) {
 	addr := ""
-	s.WithCore(func(h *Core) { addr, _ = h.Committers() })
+	t.WithCore(func(core *Core) { addr, _ = core.Committers() })
 	if addr == "" {
 		return nil, ErrNotForwarded
 	}
-	s.root.mu.Lock()
-	defer s.root.mu.Unlock()
-	rpc, err := s.rootRPC(ctx, addr)
+	t.root.mu.Lock()
+	defer t.root.mu.Unlock()
+	rpc, err := t.rootRPC(ctx, addr)
 	if err != nil {
 		return nil, ErrNotForwarded
 	}
 	out := new(blob)
 	if err := rpc.Invoke(ctx, rpcClaims, encoding{}, &blob{orders}, out); err != nil {
 		_ = rpc.Close()
-		s.root.rpc = nil
+		t.root.rpc = nil
 		return nil, errors.Wrap(err, "peer: claims")
 	}
 	return out.bytes, nil
@@ -78,8 +78,8 @@
 
 // rootRPC returns the lasting connection, opened anew if the first node is
 // another one or the connection has ended.
-func (s *Transport) rootRPC(ctx context.Context, addr string) (*drpcconn.Conn, error) {
-	c := &s.root
+func (t *Transport) rootRPC(ctx context.Context, addr string) (*drpcconn.Conn, error) {
+	c := &t.root
 	if c.rpc != nil && c.addr == addr && !isClosed(c.rpc) {
 		return c.rpc, nil
 	}
@@ -87,11 +87,11 @@
 		_ = c.rpc.Close()
 		c.rpc = nil
 	}
-	conn, err := s.connect(ctx, addr)
+	conn, err := t.connect(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	conn.far(Member{Domain: s.domain})
+	conn.far(Member{Domain: t.domain})
 	c.rpc, c.addr = drpcconn.New(conn), addr
 	return c.rpc, nil
 }
@@ -105,15 +105,15 @@
 	}
 }
 
-func (s *Transport) serveClaims(rpc drpc.Stream) error {
+func (t *Transport) serveClaims(rpc drpc.Stream) error {
 	var in blob
 	if err := rpc.MsgRecv(&in, encoding{}); err != nil {
 		return errors.Wrap(err, "peer: claims")
 	}
-	if s.claims == nil {
+	if t.claims == nil {
 		return ErrNotForwarded
 	}
-	out, err := s.claims(rpc.Context(), in.bytes)
+	out, err := t.claims(rpc.Context(), in.bytes)
 	if err != nil {
 		return err
 	}
--- a/briarrockd/peer/contact.go
+++ b/briarrockd/peer/contact.go
@@ -57,99 +57,99 @@
 	small bool
 }
 
-func (h *Core) tickContacts() {
-	if h.self.State == Leaving {
+func (c *Core) tickContacts() {
+	if c.self.State == Leaving {
 		return
 	}
-	h.leaveContacts()
-	if len(h.links) > 0 {
-		h.stored.readFrom = time.Time{}
-		h.stored.reads = 0
+	c.leaveContacts()
+	if len(c.links) > 0 {
+		c.stored.readFrom = time.Time{}
+		c.stored.reads = 0
 		return
 	}
-	if h.stored.readFrom.IsZero() {
-		h.stored.readFrom = h.now.Add(h.readPause())
+	if c.stored.readFrom.IsZero() {
+		c.stored.readFrom = c.now.Add(c.readPause())
 	}
-	again := min(contactsAgain<<min(h.stored.reads, 3), maxContactsAgain)
-	if h.now.Before(h.stored.readFrom) || h.now.Sub(h.stored.readAt) < again {
+	again := min(contactsAgain<<min(c.stored.reads, 3), maxContactsAgain)
+	if c.now.Before(c.stored.readFrom) || c.now.Sub(c.stored.readAt) < again {
 		return
 	}
-	h.stored.readAt = h.now
-	h.stored.reads++
-	h.do(ReadContacts{})
+	c.stored.readAt = c.now
+	c.stored.reads++
+	c.do(ReadContacts{})
 }
 
 // readPause is how long a node that has lost its last link, or has none yet,
 // waits before it reads the rows.
-func (h *Core) readPause() time.Duration {
-	if h.askFirst() {
+func (c *Core) readPause() time.Duration {
+	if c.askFirst() {
 		return 0
 	}
 	spread, pause := joinSpread, time.Duration(0)
-	if h.cfg.Bootstrap {
+	if c.cfg.Bootstrap {
 		spread = bootSpread
 	}
-	if len(h.cfg.Contacts) > 0 {
+	if len(c.cfg.Contacts) > 0 {
 		pause = isolatedAfter
 	}
-	return pause + h.jitter(spread)
+	return pause + c.jitter(spread)
 }
 
 // askFirst tells whether this node has just been started, beside others that may
 // have been stopped with it. The rows then also tell it whether it may read the
 // configuration at once, instead of waiting for a peer that has it: after the
 // loss of a whole mesh nobody has.
-func (h *Core) askFirst() bool {
-	return h.cfg.DelegatePolling && !h.cfg.Bootstrap && !h.version.peered && !h.stored.came
+func (c *Core) askFirst() bool {
+	return c.cfg.DelegatePolling && !c.cfg.Bootstrap && !c.version.peered && !c.stored.came
 }
 
 // leaveContacts writes the row of this domain, at its root, when the first
 // members are others than those in it. A node that has read the rows and still
 // has no link may be the first of all: it leaves its address for the others.
-func (h *Core) leaveContacts() {
-	c := &h.stored
-	if !h.isRoot() {
-		c.rootAt = time.Time{}
+func (c *Core) leaveContacts() {
+	s := &c.stored
+	if !c.isRoot() {
+		s.rootAt = time.Time{}
 		return
 	}
-	if c.rootAt.IsZero() {
-		c.rootAt = h.now
+	if s.rootAt.IsZero() {
+		s.rootAt = c.now
 	}
-	first := len(h.links) == 0 && c.came && len(c.addrs) == 0
-	if h.now.Before(c.writeAt) || (!first && h.now.Sub(c.rootAt) < rootFor) || (len(h.links) == 0 && !c.came) {
+	first := len(c.links) == 0 && s.came && len(s.addrs) == 0
+	if c.now.Before(s.writeAt) || (!first && c.now.Sub(s.rootAt) < rootFor) || (len(c.links) == 0 && !s.came) {
 		return
 	}
-	c.writeAt = h.now.Add(contactsEvery + h.jitter(contactsEvery/4))
+	s.writeAt = c.now.Add(contactsEvery + c.jitter(contactsEvery/4))
 	var addrs []string
-	for _, r := range h.table.members(h.self.Domain) {
+	for _, r := range c.table.members(c.self.Domain) {
 		if len(addrs) < keptContacts {
 			addrs = append(addrs, r.PeerAddr)
 		}
 	}
-	if slices.Equal(addrs, c.written) {
+	if slices.Equal(addrs, s.written) {
 		return
 	}
-	c.written = addrs
-	h.do(WriteContacts{addrs})
+	s.written = addrs
+	c.do(WriteContacts{addrs})
 }
 
-func (h *Core) contactsRead(m ContactsRead) {
+func (c *Core) contactsRead(m ContactsRead) {
 	addrs := m.Addrs
-	h.stored.came = true
-	h.stored.small = m.OwnDomain > 0 && m.OwnDomain <= wholeDomain
+	c.stored.came = true
+	c.stored.small = m.OwnDomain > 0 && m.OwnDomain <= wholeDomain
 	for _, a := range addrs[:min(len(addrs), maxContacts)] {
-		if len(a) <= maxNameSize && a != h.self.PeerAddr {
-			h.stored.addrs = append(h.stored.addrs, a)
+		if len(a) <= maxNameSize && a != c.self.PeerAddr {
+			c.stored.addrs = append(c.stored.addrs, a)
 		}
 	}
-	if extra := len(h.stored.addrs) - maxContacts; extra > 0 {
-		h.stored.addrs = h.stored.addrs[extra:]
+	if extra := len(c.stored.addrs) - maxContacts; extra > 0 {
+		c.stored.addrs = c.stored.addrs[extra:]
 	}
-	if !h.cfg.DelegatePolling || len(h.links) > 0 {
+	if !c.cfg.DelegatePolling || len(c.links) > 0 {
 		return
 	}
 	// Callers wait for a node that has just been started, so it doesn't wait for
 	// the next tick.
-	h.updateWatchRole()
-	h.rejoin()
+	c.updateWatchRole()
+	c.rejoin()
 }
--- a/briarrockd/peer/contact_test.go
+++ b/briarrockd/peer/contact_test.go
@@ -17,11 +17,11 @@
 func TestStaleContacts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1", "gone:2"}}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(h, now, isolatedAfter+joinSpread+2*TickInterval)
+	core := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1", "gone:2"}}, rand.New(rand.NewPCG(1, 1)), now)
+	now, cmds := ticks(core, now, isolatedAfter+joinSpread+2*TickInterval)
 	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
-	cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1", "c:1", "d:1"}})
-	_, more := ticks(h, now, time.Second)
+	cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1", "c:1", "d:1"}})
+	_, more := ticks(core, now, time.Second)
 	cmds = append(cmds, more...)
 	dialed := make(map[string]bool)
 	for _, x := range cmds {
@@ -44,12 +44,12 @@
 	c := qt.New(t)
 	for near, want := range map[int]bool{1: true, wholeDomain: true, keptContacts: false, 0: false} {
 		now := time.Unix(1000, 0)
-		h := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
-		now, cmds := ticks(h, now, 2*TickInterval)
+		core := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
+		now, cmds := ticks(core, now, 2*TickInterval)
 		c.Check(count[ReadContacts](cmds), qt.Equals, 1)
-		cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1"}, OwnDomain: near})
+		cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1"}, OwnDomain: near})
 		c.Check(turns(cmds), qt.Equals, want, qt.Commentf("%d near", near))
-		_, more := ticks(h, now, peersFirst)
+		_, more := ticks(core, now, peersFirst)
 		c.Check(turns(append(cmds, more...)), qt.IsTrue)
 	}
 }
@@ -76,15 +76,15 @@
 	c := qt.New(t)
 	for _, failed := range []bool{true, false} {
 		now := time.Unix(1000, 0)
-		h := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+		core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 		version := content(c, 4, 4)
-		h.Step(now, Tick{})
-		h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: version.Hash}, Addr: "b:1"})
-		h.Step(now, Received{1, version})
+		core.Step(now, Tick{})
+		core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: version.Hash}, Addr: "b:1"})
+		core.Step(now, Received{1, version})
 		if failed {
-			h.Step(now, PollFailed{})
+			core.Step(now, PollFailed{})
 		}
-		_, cmds := ticks(h, now, joinedAfter+confirmWithin+2*TickInterval)
+		_, cmds := ticks(core, now, joinedAfter+confirmWithin+2*TickInterval)
 		c.Check(len(used(cmds)) > 0, qt.Equals, failed)
 	}
 }
--- a/briarrockd/peer/fed_test.go
+++ b/briarrockd/peer/fed_test.go
@@ -13,18 +13,18 @@
 // fed is a Core whose node watches the platform itself, with one link.
 func fed(c *qt.C) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	c.Assert(h.Links(), qt.Equals, 1)
-	return h, now
+	core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
+	c.Assert(core.Links(), qt.Equals, 1)
+	return core, now
 }
 
 // ticks steps a Core through a time and returns what it did.
-func ticks(h *Core, now time.Time, d time.Duration) (time.Time, []Cmd) {
+func ticks(core *Core, now time.Time, d time.Duration) (time.Time, []Cmd) {
 	var out []Cmd
 	for end := now.Add(d); now.Before(end); {
 		now = now.Add(TickInterval)
-		out = append(out, h.Step(now, Tick{})...)
+		out = append(out, core.Step(now, Tick{})...)
 	}
 	return now, out
 }
@@ -59,16 +59,16 @@
 // did, a host that is cut off from the platform would never get it.
 func TestFed(t *testing.T) {
 	c := qt.New(t)
-	h, now := fed(c)
+	core, now := fed(c)
 	b, hash := bytesOf(c, 4)
-	h.Step(now, Committed{Version: 4, Hash: hash, Content: b})
-	now, _ = ticks(h, now, time.Second)
+	core.Step(now, Committed{Version: 4, Hash: hash, Content: b})
+	now, _ = ticks(core, now, time.Second)
 	b, hash = bytesOf(c, 5)
-	cmds := h.Step(now, Received{1, VersionNotice{5, hash, true}})
+	cmds := core.Step(now, Received{1, VersionNotice{5, hash, true}})
 	c.Check(fetches(cmds), qt.Equals, 0)
 	brought := now.Add(hedgeAfter / 2)
-	cmds = h.Step(brought, Committed{Version: 5, Hash: hash, Content: b})
-	now, more := ticks(h, brought, 3*time.Second)
+	cmds = core.Step(brought, Committed{Version: 5, Hash: hash, Content: b})
+	now, more := ticks(core, brought, 3*time.Second)
 	cmds = append(cmds, more...)
 	c.Check(used(cmds), qt.DeepEquals, []uint64{5})
 	c.Check(fetches(cmds), qt.Equals, 0)
@@ -76,11 +76,11 @@
 
 	// The next one comes from the peer alone: this host is cut off.
 	next := content(c, 6, 6)
-	h.Step(now, Received{1, VersionNotice{6, next.Hash, true}})
-	now, cmds = ticks(h, now, hedgeAfter+2*TickInterval)
+	core.Step(now, Received{1, VersionNotice{6, next.Hash, true}})
+	now, cmds = ticks(core, now, hedgeAfter+2*TickInterval)
 	c.Check(fetches(cmds), qt.Equals, 1)
-	cmds = h.Step(now, Received{1, next})
-	_, more = ticks(h, now, time.Second)
+	cmds = core.Step(now, Received{1, next})
+	_, more = ticks(core, now, time.Second)
 	cmds = append(cmds, more...)
 	c.Check(used(cmds), qt.DeepEquals, []uint64{6})
 	c.Check(count[ReadObject](cmds), qt.Equals, 0)
@@ -90,13 +90,13 @@
 // could: what is served stays.
 func TestFedBack(t *testing.T) {
 	c := qt.New(t)
-	h, now := fed(c)
+	core, now := fed(c)
 	for _, v := range []uint64{5, 4} {
 		b, hash := bytesOf(c, int(v))
-		h.Step(now, Committed{Version: v, Hash: hash, Content: b})
-		now, _ = ticks(h, now, time.Second)
+		core.Step(now, Committed{Version: v, Hash: hash, Content: b})
+		now, _ = ticks(core, now, time.Second)
 	}
-	got, hash := h.Version()
+	got, hash := core.Version()
 	c.Check(got, qt.Equals, uint64(5))
 	_, want := bytesOf(c, 5)
 	c.Check(hash, qt.Equals, want)
@@ -111,14 +111,14 @@
 func TestFirst(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(h, now, joinSpread+2*TickInterval)
+	core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+	now, cmds := ticks(core, now, joinSpread+2*TickInterval)
 	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
 	c.Check(count[WriteContacts](cmds), qt.Equals, 0)
-	h.Step(now, ContactsRead{})
-	now, cmds = ticks(h, now, TickInterval)
+	core.Step(now, ContactsRead{})
+	now, cmds = ticks(core, now, TickInterval)
 	c.Check(count[WriteContacts](cmds), qt.Equals, 1)
-	_, cmds = ticks(h, now, 15*time.Second)
+	_, cmds = ticks(core, now, 15*time.Second)
 	reads := count[ReadContacts](cmds)
 	c.Check(reads >= 2 && reads <= 4, qt.IsTrue, qt.Commentf("%d", reads))
 }
@@ -129,13 +129,13 @@
 func TestFirstOfMany(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), DelegatePolling: true, Bootstrap: true}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(h, now, bootSpread+2*TickInterval)
+	core := New(Config{Self: member("a"), DelegatePolling: true, Bootstrap: true}, rand.New(rand.NewPCG(1, 1)), now)
+	now, cmds := ticks(core, now, bootSpread+2*TickInterval)
 	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
-	cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1"}})
-	now, more := ticks(h, now, dialFirst+2*TickInterval)
+	cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1"}})
+	now, more := ticks(core, now, dialFirst+2*TickInterval)
 	c.Check(count[Dial](append(cmds, more...)) > 0, qt.IsTrue)
-	cmds = h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	_, more = ticks(h, now, rootFor-2*TickInterval)
+	cmds = core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
+	_, more = ticks(core, now, rootFor-2*TickInterval)
 	c.Check(count[WriteContacts](append(cmds, more...)), qt.Equals, 0)
 }
--- a/briarrockd/peer/floor.go
+++ b/briarrockd/peer/floor.go
@@ -8,74 +8,74 @@
 // sawUse remembers what a peer uses, so that it can be told its floor after a
 // restart: the peer itself if it is of the own domain, and its whole domain,
 // in case all of its nodes restart.
-func (h *Core) sawUse(l *link, version uint64) {
-	v := &h.version
+func (c *Core) sawUse(l *link, version uint64) {
+	v := &c.version
 	v.peered = true
 	v.domains[l.domain] = max(v.domains[l.domain], version)
-	if l.domain == h.self.Domain {
+	if l.domain == c.self.Domain {
 		v.seen[l.host] = max(v.seen[l.host], version)
 	}
 }
 
 // raiseFloor takes a peer's word for what this host has served before.
-func (h *Core) raiseFloor(floor uint64) {
-	h.version.floor = max(h.version.floor, floor)
+func (c *Core) raiseFloor(floor uint64) {
+	c.version.floor = max(c.version.floor, floor)
 }
 
 // remoteFloor notes that a peer of another domain holds a version, and so
 // remembers that this domain uses it.
-func (h *Core) remoteFloor(l *link, version uint64) {
-	if l.domain == h.self.Domain || version == 0 {
+func (c *Core) remoteFloor(l *link, version uint64) {
+	if l.domain == c.self.Domain || version == 0 {
 		return
 	}
-	h.observeFloor(l.id, min(version, max(h.version.number, h.version.outside)))
+	c.observeFloor(l.id, min(version, max(c.version.number, c.version.outside)))
 }
 
 // observeFloor takes in that other domains know that this one uses a version,
 // and passes it on within the domain. A node that has not served yet takes it
 // for its floor.
-func (h *Core) observeFloor(from LinkID, version uint64) {
-	v := &h.version
+func (c *Core) observeFloor(from LinkID, version uint64) {
+	v := &c.version
 	if version <= v.outside {
 		return
 	}
 	v.outside = version
 	if !v.ready {
-		h.raiseFloor(version)
+		c.raiseFloor(version)
 	}
-	for _, l := range h.sortedLinks() {
-		if l.id != from && l.domain == h.self.Domain {
-			h.send(l, FloorNotice{version})
+	for _, l := range c.sortedLinks() {
+		if l.id != from && l.domain == c.self.Domain {
+			c.send(l, FloorNotice{version})
 		}
 	}
-	h.serve()
+	c.serve()
 }
 
 // use puts a version into use. It is the only place where the number changes,
 // and the one check that keeps a node from ever going back stands in arrived.
-func (h *Core) use(number uint64, hash snapshot.Hash, s *snapshot.Snapshot) {
-	v := &h.version
+func (c *Core) use(number uint64, hash snapshot.Hash, s *snapshot.Snapshot) {
+	v := &c.version
 	v.before, v.numberBefore = v.hash, v.number
 	v.number = number
 	v.hash = hash
 	v.staged = s
-	v.stagedAt = h.now
+	v.stagedAt = c.now
 	v.known = false
 	if v.want.number <= number {
 		v.want = want{}
 	}
-	for _, l := range h.sortedLinks() {
+	for _, l := range c.sortedLinks() {
 		if !l.lazy {
-			h.peerBehind(l, l.version)
+			c.peerBehind(l, l.version)
 		}
 	}
-	h.caughtUp()
-	h.becomeReady()
+	c.caughtUp()
+	c.becomeReady()
 	if !v.ready {
-		h.updateWatchRole() // callers wait for the poll that confirms the version
+		c.updateWatchRole() // callers wait for the poll that confirms the version
 	}
-	h.serve()
-	h.reportChanged()
+	c.serve()
+	c.reportChanged()
 }
 
 // serve hands the newest verified version to the proxy, once the node may.
@@ -87,34 +87,34 @@
 // and, in case the whole domain dies, by another domain. That costs a round
 // trip or two, and only in the domain where the version came in; where nobody
 // answers, a node waits confirmWithin. docs/design/floor.md has what is left.
-func (h *Core) serve() {
-	v := &h.version
+func (c *Core) serve() {
+	v := &c.version
 	if !v.ready || v.staged == nil {
 		return
 	}
-	if !h.confirmed() {
+	if !c.confirmed() {
 		return
 	}
-	h.do(ServeVersion{v.number, v.hash, v.staged})
-	h.log(event.VersionInUse, event.Fields{event.Subject: v.hash.Short(), "version": v.number})
+	c.do(ServeVersion{v.number, v.hash, v.staged})
+	c.log(event.VersionInUse, event.Fields{event.Subject: v.hash.Short(), "version": v.number})
 	v.staged = nil
 }
 
-func (h *Core) confirmed() bool {
-	v := &h.version
-	if h.now.Sub(v.stagedAt) >= confirmWithin {
+func (c *Core) confirmed() bool {
+	v := &c.version
+	if c.now.Sub(v.stagedAt) >= confirmWithin {
 		return true
 	}
-	if !v.known && h.hasNeighbour() {
+	if !v.known && c.hasNeighbour() {
 		return false
 	}
-	return v.outside >= v.number || len(h.table.names()) < 2
+	return v.outside >= v.number || len(c.table.names()) < 2
 }
 
 // hasNeighbour tells whether there is a link within the domain.
-func (h *Core) hasNeighbour() bool {
-	for _, l := range h.byHost {
-		if l.domain == h.self.Domain {
+func (c *Core) hasNeighbour() bool {
+	for _, l := range c.byHost {
+		if l.domain == c.self.Domain {
 			return true
 		}
 	}
@@ -122,44 +122,44 @@
 }
 
 // remembered notes that a peer knows that this node holds a version.
-func (h *Core) remembered(l *link, number uint64) {
-	v := &h.version
-	if l.domain != h.self.Domain || number < v.number || v.number == 0 {
+func (c *Core) remembered(l *link, number uint64) {
+	v := &c.version
+	if l.domain != c.self.Domain || number < v.number || v.number == 0 {
 		return
 	}
 	v.known = true
-	h.serve()
+	c.serve()
 }
 
 // joined tells whether this node has been linked for a while with everybody who
 // remembers what it served, while the platform can't be asked: its neighbours in
 // the domain, and one member of each other domain of the region. A version is
 // served only once one of them holds it.
-func (h *Core) joined() bool {
-	if len(h.links) == 0 || h.watch.fails == 0 {
+func (c *Core) joined() bool {
+	if len(c.links) == 0 || c.watch.fails == 0 {
 		return false
 	}
-	long := func(l *link) bool { return l != nil && h.now.Sub(l.openedAt) >= joinedAfter }
-	for _, r := range h.neighbours() {
-		if !long(h.byHost[r.Host]) {
+	long := func(l *link) bool { return l != nil && c.now.Sub(l.openedAt) >= joinedAfter }
+	for _, r := range c.neighbours() {
+		if !long(c.byHost[r.Host]) {
 			return false
 		}
 	}
 	met := make(map[string]bool)
-	for _, l := range h.byHost {
+	for _, l := range c.byHost {
 		met[l.domain] = met[l.domain] || long(l)
 	}
 	others := 0
-	for _, name := range h.table.names() {
-		if name == h.self.Domain || h.table.domains[name].region != h.self.Region {
+	for _, name := range c.table.names() {
+		if name == c.self.Domain || c.table.domains[name].region != c.self.Region {
 			continue
 		}
 		others++
-		if !met[name] && h.position() < bridges {
+		if !met[name] && c.position() < bridges {
 			return false
 		}
 	}
-	return others > 0 || len(h.table.members(h.self.Domain)) > 1
+	return others > 0 || len(c.table.members(c.self.Domain)) > 1
 }
 
 // becomeReady decides when a node that has just started may serve.
@@ -172,17 +172,17 @@
 // they are the head. Where the store can't be reached, the node waits for its
 // domain's peers and never goes below what they saw it use: once a poll has failed,
 // until it has met all of those who would remember, or else for serveAfter.
-func (h *Core) becomeReady() {
-	v := &h.version
+func (c *Core) becomeReady() {
+	v := &c.version
 	if v.ready || v.number == 0 || v.number < v.floor {
 		return
 	}
-	fresh := h.watch.freshAt.After(h.watch.startedAt.Add(freshMargin)) || h.watch.own
-	waited := !v.started.IsZero() && h.now.Sub(v.started) >= serveAfter
-	if !fresh && !h.joined() && (!waited || !v.peered) {
+	fresh := c.watch.freshAt.After(c.watch.startedAt.Add(freshMargin)) || c.watch.own
+	waited := !v.started.IsZero() && c.now.Sub(v.started) >= serveAfter
+	if !fresh && !c.joined() && (!waited || !v.peered) {
 		return
 	}
 	v.ready = true
-	h.watch.role.heardAt = later(h.watch.role.heardAt, h.now)
-	h.serve()
+	c.watch.role.heardAt = later(c.watch.role.heardAt, c.now)
+	c.serve()
 }
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -20,160 +20,160 @@
 // new one would count as the older, and its peers would ignore it for as long
 // as they remember the other. Going above what they know is enough, since
 // only the newest process of a host can still speak for it.
-func (h *Core) reincarnate(known uint64) {
-	if known <= h.self.Incarnation {
+func (c *Core) reincarnate(known uint64) {
+	if known <= c.self.Incarnation {
 		return
 	}
-	h.self.Incarnation = known + 1
-	h.self.Seq = 0
-	h.announceSelf()
+	c.self.Incarnation = known + 1
+	c.self.Seq = 0
+	c.announceSelf()
 }
 
-func (h *Core) announceSelf() {
-	if h.table.put(h.now, h.self) {
-		h.queueUpdate(h.self.Host, 0)
+func (c *Core) announceSelf() {
+	if c.table.put(c.now, c.self) {
+		c.queueUpdate(c.self.Host, 0)
 	}
 }
 
-func (h *Core) targetsChanged(targets []Target) {
+func (c *Core) targetsChanged(targets []Target) {
 	if len(targets) > maxTargets {
 		targets = targets[:maxTargets]
 	}
-	h.self.Targets = targets
-	h.self.Seq++
-	h.announceSelf()
-	h.flushUpdates()
+	c.self.Targets = targets
+	c.self.Seq++
+	c.announceSelf()
+	c.flushUpdates()
 }
 
-func (h *Core) leave() {
-	h.self.State = Leaving
-	h.self.Seq++
-	h.announceSelf()
-	h.flushUpdates()
+func (c *Core) leave() {
+	c.self.State = Leaving
+	c.self.Seq++
+	c.announceSelf()
+	c.flushUpdates()
 }
 
-func (h *Core) queueUpdate(host string, from LinkID) {
-	h.updates[host] = true
-	h.updateFrom[host] = from
-	h.changed = true
+func (c *Core) queueUpdate(host string, from LinkID) {
+	c.updates[host] = true
+	c.updateFrom[host] = from
+	c.changed = true
 }
 
 // merge takes one record from a peer.
-func (h *Core) merge(from LinkID, m Member) {
-	if m.Host == h.self.Host {
-		h.refuteSelf(m)
+func (c *Core) merge(from LinkID, m Member) {
+	if m.Host == c.self.Host {
+		c.refuteSelf(m)
 		return
 	}
-	old := h.table.byHost[m.Host]
+	old := c.table.byHost[m.Host]
 	wasLive := old == nil || old.live()
-	if !h.table.put(h.now, m) {
+	if !c.table.put(c.now, m) {
 		return
 	}
 	if !m.live() && wasLive {
-		delete(h.lost, m.Host)
-		delete(h.version.seen, m.Host)
-		h.logDeparture(m)
+		delete(c.lost, m.Host)
+		delete(c.version.seen, m.Host)
+		c.logDeparture(m)
 	}
-	h.queueUpdate(m.Host, from)
+	c.queueUpdate(m.Host, from)
 }
 
-func (h *Core) logDeparture(m Member) {
+func (c *Core) logDeparture(m Member) {
 	e := event.MemberDead
 	if m.State == Leaving {
 		e = event.MemberLeft
 	}
-	h.log(e, event.Fields{event.Subject: m.Host, "domain": m.Domain})
+	c.log(e, event.Fields{event.Subject: m.Host, "domain": m.Domain})
 }
 
 // refuteSelf answers what others hold of this node. A suspicion or an obituary
 // is objected to with a higher sequence; a record of a later incarnation that
 // is not ours can only be from before this process, with a clock ahead.
-func (h *Core) refuteSelf(m Member) {
-	if h.self.State == Leaving {
+func (c *Core) refuteSelf(m Member) {
+	if c.self.State == Leaving {
 		return
 	}
-	if m.Incarnation > h.self.Incarnation {
-		h.reincarnate(m.Incarnation)
+	if m.Incarnation > c.self.Incarnation {
+		c.reincarnate(m.Incarnation)
 		return
 	}
-	if m.Incarnation < h.self.Incarnation {
+	if m.Incarnation < c.self.Incarnation {
 		return
 	}
-	if m.State != Alive && m.Seq >= h.self.Seq {
-		h.self.Seq = m.Seq + 1
-		h.announceSelf()
+	if m.State != Alive && m.Seq >= c.self.Seq {
+		c.self.Seq = m.Seq + 1
+		c.announceSelf()
 	}
 }
 
-func (h *Core) records(l *link, f Records) {
+func (c *Core) records(l *link, f Records) {
 	for i := range f.Members {
-		h.merge(l.id, f.Members[i])
+		c.merge(l.id, f.Members[i])
 	}
 }
 
 // flushUpdates sends the records that changed since the last tick on every link
 // but the one that each came over. Gathering them for one tick turns the
 // return of a whole domain into a few frames.
-func (h *Core) flushUpdates() {
-	if len(h.updates) == 0 {
+func (c *Core) flushUpdates() {
+	if len(c.updates) == 0 {
 		return
 	}
-	hosts := make([]string, 0, len(h.updates))
-	for host := range h.updates {
+	hosts := make([]string, 0, len(c.updates))
+	for host := range c.updates {
 		hosts = append(hosts, host)
 	}
 	sort.Strings(hosts)
-	for _, l := range h.sortedLinks() {
-		if !l.lazy && !h.restricted(l) {
-			h.sendRecords(l, hosts, true)
+	for _, l := range c.sortedLinks() {
+		if !l.lazy && !c.restricted(l) {
+			c.sendRecords(l, hosts, true)
 		}
 	}
-	clear(h.updates)
-	clear(h.updateFrom)
+	clear(c.updates)
+	clear(c.updateFrom)
 }
 
 // sendRecords sends the records of hosts in frames of bounded size; with
 // fresh set, not those that came over this very link.
-func (h *Core) sendRecords(l *link, hosts []string, fresh bool) {
+func (c *Core) sendRecords(l *link, hosts []string, fresh bool) {
 	var batch []Member
 	for _, host := range hosts {
-		r := h.table.byHost[host]
-		if r == nil || (fresh && h.updateFrom[host] == l.id) {
+		r := c.table.byHost[host]
+		if r == nil || (fresh && c.updateFrom[host] == l.id) {
 			continue
 		}
 		batch = append(batch, r.Member)
 		if len(batch) == maxRecords {
-			h.send(l, Records{batch})
+			c.send(l, Records{batch})
 			batch = nil
 		}
 	}
 	if len(batch) > 0 {
-		h.send(l, Records{batch})
+		c.send(l, Records{batch})
 	}
 }
 
-func (h *Core) beat(l *link, f Heartbeat) {
-	h.heardFresh(poll{version: f.Version, seen: f.Cursor, at: h.ago(f.HeadAge)})
-	h.sawUse(l, f.Version)
-	h.remoteFloor(l, f.Version)
+func (c *Core) beat(l *link, f Heartbeat) {
+	c.heardFresh(poll{version: f.Version, seen: f.Cursor, at: c.ago(f.HeadAge)})
+	c.sawUse(l, f.Version)
+	c.remoteFloor(l, f.Version)
 	l.version = max(l.version, f.Version)
-	h.peerBehind(l, f.Version)
-	h.remembered(l, f.Version)
-	if f.Root == h.table.digestRoot() {
+	c.peerBehind(l, f.Version)
+	c.remembered(l, f.Version)
+	if f.Root == c.table.digestRoot() {
 		l.differs = 0
 		return
 	}
 	l.differs++
-	if l.differs >= repairAfter && l.host < h.self.Host && !h.restricted(l) {
+	if l.differs >= repairAfter && l.host < c.self.Host && !c.restricted(l) {
 		l.differs = 0
-		h.send(l, h.ownDigests())
+		c.send(l, c.ownDigests())
 	}
 }
 
-func (h *Core) ownDigests() Digests {
+func (c *Core) ownDigests() Digests {
 	var f Digests
-	for _, name := range h.table.names() {
-		d := h.table.domains[name]
+	for _, name := range c.table.names() {
+		d := c.table.domains[name]
 		f.Domains = append(f.Domains, DomainDigest{name, d.digest, d.count})
 	}
 	return f
@@ -182,27 +182,27 @@
 // digests compares tables, domain by domain. A domain of which one side has
 // nothing is sent whole or asked for whole; of another that differs, the
 // listing of ranks goes first, since it is much smaller than the records.
-func (h *Core) digests(l *link, f Digests) {
-	if h.restricted(l) {
+func (c *Core) digests(l *link, f Digests) {
+	if c.restricted(l) {
 		return
 	}
 	theirs := make(map[string]DomainDigest, len(f.Domains))
 	for _, d := range f.Domains {
 		theirs[d.Name] = d
-		own := h.table.domains[d.Name]
+		own := c.table.domains[d.Name]
 		if own == nil || own.digest != d.Digest {
-			h.send(l, h.listingOf(d.Name))
+			c.send(l, c.listingOf(d.Name))
 		}
 	}
-	for _, name := range h.table.names() {
+	for _, name := range c.table.names() {
 		if _, ok := theirs[name]; !ok {
-			h.sendRecords(l, h.hostsOf(name), false)
+			c.sendRecords(l, c.hostsOf(name), false)
 		}
 	}
 }
 
-func (h *Core) hostsOf(name string) []string {
-	order := h.table.members(name)
+func (c *Core) hostsOf(name string) []string {
+	order := c.table.members(name)
 	hosts := make([]string, 0, len(order))
 	for _, r := range order {
 		hosts = append(hosts, r.Host)
@@ -211,10 +211,10 @@
 }
 
 // listingOf lists all of a domain's records, tombstones included.
-func (h *Core) listingOf(name string) Listing {
+func (c *Core) listingOf(name string) Listing {
 	f := Listing{Domain: name}
-	for _, host := range h.hosts() {
-		r := h.table.byHost[host]
+	for _, host := range c.hosts() {
+		r := c.table.byHost[host]
 		if r.Domain == name {
 			f.Entries = append(f.Entries, Entry{r.Host, r.Incarnation, r.Seq, r.State})
 		}
@@ -223,12 +223,12 @@
 }
 
 // listing answers with what the peer lacks and asks for what it has better.
-func (h *Core) listing(l *link, f Listing) {
+func (c *Core) listing(l *link, f Listing) {
 	listed := make(map[string]bool, len(f.Entries))
 	var wants, better []string
 	for _, e := range f.Entries {
 		listed[e.Host] = true
-		own := h.table.byHost[e.Host]
+		own := c.table.byHost[e.Host]
 		switch {
 		case own == nil || e.rank().above(own.rank()):
 			wants = append(wants, e.Host)
@@ -236,51 +236,51 @@
 			better = append(better, e.Host)
 		}
 	}
-	for _, host := range h.hostsOf(f.Domain) {
+	for _, host := range c.hostsOf(f.Domain) {
 		if !listed[host] {
 			better = append(better, host)
 		}
 	}
-	h.sendRecords(l, better, false)
+	c.sendRecords(l, better, false)
 	for len(wants) > 0 {
 		n := min(len(wants), maxRequestedHosts)
-		h.send(l, RecordRequest{wants[:n]})
+		c.send(l, RecordRequest{wants[:n]})
 		wants = wants[n:]
 	}
 }
 
-func (h *Core) wants(l *link, f RecordRequest) { h.sendRecords(l, f.Hosts, false) }
+func (c *Core) wants(l *link, f RecordRequest) { c.sendRecords(l, f.Hosts, false) }
 
 // tickMembers suspects neighbours that have no link, declares suspects dead
 // and forgets tombstones.
-func (h *Core) tickMembers() {
-	h.watchNeighbours()
-	h.removeDead()
-	if h.now.Before(h.nextSweep) {
+func (c *Core) tickMembers() {
+	c.watchNeighbours()
+	c.removeDead()
+	if c.now.Before(c.nextSweep) {
 		return
 	}
-	h.nextSweep = h.now.Add(sweepEvery)
-	for _, host := range h.hosts() {
-		r := h.table.byHost[host]
-		if !r.live() && h.now.Sub(r.since) > forgetAfter && host != h.self.Host {
-			h.table.forget(host)
+	c.nextSweep = c.now.Add(sweepEvery)
+	for _, host := range c.hosts() {
+		r := c.table.byHost[host]
+		if !r.live() && c.now.Sub(r.since) > forgetAfter && host != c.self.Host {
+			c.table.forget(host)
 		}
 	}
-	for addr, d := range h.dials {
-		if !d.busy && h.now.Sub(d.nextAt) > time.Minute {
-			delete(h.dials, addr)
+	for addr, d := range c.dials {
+		if !d.busy && c.now.Sub(d.nextAt) > time.Minute {
+			delete(c.dials, addr)
 		}
 	}
 }
 
 // neighbours are the members of the own domain that should have a link with
 // this node, whichever side dials it.
-func (h *Core) neighbours() []*record {
-	i := h.position()
-	if i < 0 || h.self.State == Leaving {
+func (c *Core) neighbours() []*record {
+	i := c.position()
+	if i < 0 || c.self.State == Leaving {
 		return nil
 	}
-	order := h.table.members(h.self.Domain)
+	order := c.table.members(c.self.Domain)
 	var out []*record
 	add := func(j int) {
 		if j >= 0 && j < len(order) && j != i {
@@ -292,36 +292,36 @@
 		add(i - 1)
 	}
 	add(i + 1)
-	for c := range degree {
-		add(degree*i + 1 + c)
+	for k := range degree {
+		add(degree*i + 1 + k)
 	}
 	return out
 }
 
-func (h *Core) watchNeighbours() {
+func (c *Core) watchNeighbours() {
 	near := make(map[string]bool)
-	for _, r := range h.neighbours() {
+	for _, r := range c.neighbours() {
 		near[r.Host] = true
-		if h.byHost[r.Host] != nil {
+		if c.byHost[r.Host] != nil {
 			continue
 		}
-		since, ok := h.lost[r.Host]
+		since, ok := c.lost[r.Host]
 		if !ok {
-			h.lost[r.Host] = h.now
+			c.lost[r.Host] = c.now
 			continue
 		}
-		if h.now.Sub(since) > reverseAfter {
+		if c.now.Sub(since) > reverseAfter {
 			// The other side should dial, but may have just been started by
 			// contacts that know nobody: it can't know that it should.
-			h.dial(r.PeerAddr, r.Host, false)
+			c.dial(r.PeerAddr, r.Host, false)
 		}
-		if h.now.Sub(since) > suspectAfter && r.State == Alive && h.now.Sub(r.since) > suspectAfter {
-			h.suspect(r)
+		if c.now.Sub(since) > suspectAfter && r.State == Alive && c.now.Sub(r.since) > suspectAfter {
+			c.suspect(r)
 		}
 	}
-	for host := range h.lost {
+	for host := range c.lost {
 		if !near[host] {
-			delete(h.lost, host)
+			delete(c.lost, host)
 		}
 	}
 }
@@ -329,25 +329,25 @@
 // suspect says that a member of the own domain can't be reached. It is said
 // in the member's own incarnation and sequence, so that the member's
 // objection, with a higher sequence, takes it back everywhere.
-func (h *Core) suspect(r *record) {
+func (c *Core) suspect(r *record) {
 	m := r.Member
 	m.State = Suspect
-	if h.table.put(h.now, m) {
-		h.queueUpdate(m.Host, 0)
-		h.log(event.MemberSuspect, event.Fields{event.Subject: m.Host, "domain": m.Domain})
+	if c.table.put(c.now, m) {
+		c.queueUpdate(m.Host, 0)
+		c.log(event.MemberSuspect, event.Fields{event.Subject: m.Host, "domain": m.Domain})
 	}
 }
 
 // removeDead declares suspects of the own domain dead. Other domains are left
 // to their own members, who hear of them first: a domain that is cut off as a
 // whole would otherwise be declared dead from afar, and keep nothing.
-func (h *Core) removeDead() {
-	for _, r := range h.table.members(h.self.Domain) {
-		if r.State != Suspect || h.now.Sub(r.since) < deadAfter || r.Host == h.self.Host {
+func (c *Core) removeDead() {
+	for _, r := range c.table.members(c.self.Domain) {
+		if r.State != Suspect || c.now.Sub(r.since) < deadAfter || r.Host == c.self.Host {
 			continue
 		}
 		m := r.Member
 		m.State = Dead
-		h.merge(0, m)
+		c.merge(0, m)
 	}
 }
--- a/briarrockd/peer/hold.go
+++ b/briarrockd/peer/hold.go
@@ -38,15 +38,15 @@
 func newHolds() holds { return holds{prints: make(map[uint64]*held)} }
 
 // crashed takes what this node saw at its own target.
-func (h *Core) crashed(m Crashed) {
-	f := CrashReport{Print: m.Print, Service: m.Service, Crashes: 1, Clear: m.Clear, ID: h.rng.Uint64()}
-	if p := h.holds.prints[m.Print]; m.Clear && (p == nil || p.crashes == 0) {
+func (c *Core) crashed(m Crashed) {
+	f := CrashReport{Print: m.Print, Service: m.Service, Crashes: 1, Clear: m.Clear, ID: c.rng.Uint64()}
+	if p := c.holds.prints[m.Print]; m.Clear && (p == nil || p.crashes == 0) {
 		return
 	}
-	h.takeHold(0, f)
+	c.takeHold(0, f)
 }
 
-func (h *Core) hold(l *link, f CrashReport) { h.takeHold(l.id, f) }
+func (c *Core) hold(l *link, f CrashReport) { c.takeHold(l.id, f) }
 
 // takeHold counts a report once and passes it on to every link, the lazy ones
 // included: a request that crashes targets must not get through to another
@@ -56,57 +56,57 @@
 // request has run to its end go round the mesh close to each other; a node that
 // forgot the first on hearing the second would take the first for news when it
 // comes by another way, and the two would chase each other for good.
-func (h *Core) takeHold(from LinkID, f CrashReport) {
-	p := h.holds.prints[f.Print]
+func (c *Core) takeHold(from LinkID, f CrashReport) {
+	p := c.holds.prints[f.Print]
 	if p == nil {
-		if f.Clear || len(h.holds.prints) >= maxHolds {
+		if f.Clear || len(c.holds.prints) >= maxHolds {
 			return
 		}
 		p = &held{service: f.Service, seen: make(map[uint64]bool)}
-		h.holds.prints[f.Print] = p
+		c.holds.prints[f.Print] = p
 	}
 	if p.seen[f.ID] || len(p.seen) >= maxReports || (f.Clear && p.crashes >= HoldThreshold) {
 		return
 	}
 	p.seen[f.ID] = true
-	p.at = h.now
+	p.at = c.now
 	if f.Clear {
 		p.crashes = 0
 	} else {
 		p.crashes++
 	}
-	h.do(HeldRequest{f.Print, p.service, p.crashes})
+	c.do(HeldRequest{f.Print, p.service, p.crashes})
 	if p.crashes == HoldThreshold && !f.Clear {
-		h.log(event.RequestHeld, event.Fields{event.Subject: f.Service, "print": f.Print})
+		c.log(event.RequestHeld, event.Fields{event.Subject: f.Service, "print": f.Print})
 	}
-	h.relayHold(from, f)
+	c.relayHold(from, f)
 }
 
-func (h *Core) relayHold(from LinkID, f CrashReport) {
-	for _, l := range h.sortedLinks() {
+func (c *Core) relayHold(from LinkID, f CrashReport) {
+	for _, l := range c.sortedLinks() {
 		if l.id != from {
-			h.send(l, f)
+			c.send(l, f)
 		}
 	}
 }
 
-func (h *Core) tickHolds() {
-	for mark, p := range h.holds.prints {
+func (c *Core) tickHolds() {
+	for mark, p := range c.holds.prints {
 		kept := holdFor
 		if p.crashes == 0 {
 			kept = clearedFor
 		}
-		if h.now.Sub(p.at) > kept {
-			delete(h.holds.prints, mark)
-			h.do(HeldRequest{mark, p.service, 0})
+		if c.now.Sub(p.at) > kept {
+			delete(c.holds.prints, mark)
+			c.do(HeldRequest{mark, p.service, 0})
 		}
 	}
 }
 
 // list returns what is held back now.
-func (h *holds) list() []HeldRequest {
+func (t *holds) list() []HeldRequest {
 	var out []HeldRequest
-	for mark, p := range h.prints {
+	for mark, p := range t.prints {
 		if p.crashes >= HoldThreshold {
 			out = append(out, HeldRequest{mark, p.service, p.crashes})
 		}
--- a/briarrockd/peer/introduce.go
+++ b/briarrockd/peer/introduce.go
@@ -17,13 +17,13 @@
 
 // introduces tells whether a link that has just come up need only lead its peer to
 // others of its region: it knows hardly anybody, and this node knows some of them.
-func (h *Core) introduces(l *link, hi Hello) bool {
-	if l.outbound || l.domain == h.self.Domain || hi.Members == 0 || hi.Members > newcomerKnows {
+func (c *Core) introduces(l *link, hi Hello) bool {
+	if l.outbound || l.domain == c.self.Domain || hi.Members == 0 || hi.Members > newcomerKnows {
 		return false
 	}
-	for _, name := range h.table.names() {
-		d := h.table.domains[name]
-		if d.region != l.region || name == h.self.Domain {
+	for _, name := range c.table.names() {
+		d := c.table.domains[name]
+		if d.region != l.region || name == c.self.Domain {
 			continue
 		}
 		if d.count > 1 || (d.count == 1 && name != l.domain) {
@@ -34,19 +34,19 @@
 }
 
 // restricted tells whether a link still only leads a newcomer to its own domain.
-func (h *Core) restricted(l *link) bool { return h.now.Before(l.introduces) }
+func (c *Core) restricted(l *link) bool { return c.now.Before(l.introduces) }
 
 // introduce sends a newcomer the members of its domain and the bridges of its region.
-func (h *Core) introduce(l *link) {
-	for _, name := range h.table.names() {
-		hosts := h.hostsOf(name)
+func (c *Core) introduce(l *link) {
+	for _, name := range c.table.names() {
+		hosts := c.hostsOf(name)
 		switch {
 		case name == l.domain:
-		case h.table.domains[name].region == l.region:
+		case c.table.domains[name].region == l.region:
 			hosts = hosts[:min(len(hosts), bridges)]
 		default:
 			continue
 		}
-		h.sendRecords(l, hosts, false)
+		c.sendRecords(l, hosts, false)
 	}
 }
--- a/briarrockd/peer/introduce_test.go
+++ b/briarrockd/peer/introduce_test.go
@@ -35,37 +35,37 @@
 		name := fmt.Sprintf("%s-%02d", domain, i)
 		return Member{Host: name, Domain: domain, Region: region, PeerAddr: name + ":1", CallAddr: name + ":2", Incarnation: 1}
 	}
-	h := New(Config{Self: place("erie-a", "erie", 0), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: place("erie-a", "erie", 0), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	for _, p := range [][2]string{{"erie-a", "erie"}, {"erie-b", "erie"}, {"superior-a", "superior"}, {"superior-b", "superior"}} {
 		for i := range 20 {
-			h.merge(0, place(p[0], p[1], i))
+			core.merge(0, place(p[0], p[1], i))
 		}
 	}
-	now, _ = ticks(h, now, TickInterval)
+	now, _ = ticks(core, now, TickInterval)
 
 	fresh := place("superior-b", "superior", 30)
-	cmds := h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: fresh, Members: 1}})
+	cmds := core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: fresh, Members: 1}})
 	sent := sentRecords(cmds, 1)
 	c.Check(len(sent), qt.Equals, 21+bridges) // its domain with itself, and the bridges of the other
 	c.Check(sent["superior-b-07"], qt.IsTrue)
 	c.Check(sent["erie-b-07"], qt.IsFalse)
 
 	// What changes elsewhere is not its concern.
-	h.merge(0, place("erie-b", "erie", 40))
-	now, cmds = ticks(h, now, TickInterval)
+	core.merge(0, place("erie-b", "erie", 40))
+	now, cmds = ticks(core, now, TickInterval)
 	c.Check(sentRecords(cmds, 1), qt.HasLen, 0)
 
 	// A link that lasts is like any other: the tables are compared.
-	now, _ = ticks(h, now, introduceFor-time.Second)
-	h.Step(now, Received{1, Heartbeat{Root: 1}})
-	now, _ = ticks(h, now, 2*time.Second)
-	h.Step(now, Received{1, Digests{}})
-	cmds = h.Step(now, Received{1, Digests{}})
+	now, _ = ticks(core, now, introduceFor-time.Second)
+	core.Step(now, Received{1, Heartbeat{Root: 1}})
+	now, _ = ticks(core, now, 2*time.Second)
+	core.Step(now, Received{1, Digests{}})
+	cmds = core.Step(now, Received{1, Digests{}})
 	c.Check(sentRecords(cmds, 1)["erie-b-40"], qt.IsTrue)
 
 	// One that knows many is not a newcomer, though it has just been linked.
-	cmds = h.Step(now, LinkUp{Link: 2, Hello: Hello{Member: place("superior-b", "superior", 31), Members: 40}})
+	cmds = core.Step(now, LinkUp{Link: 2, Hello: Hello{Member: place("superior-b", "superior", 31), Members: 40}})
 	c.Check(sentRecords(cmds, 2), qt.HasLen, 0)
-	cmds = h.Step(now, Received{2, Digests{}})
+	cmds = core.Step(now, Received{2, Digests{}})
 	c.Check(len(sentRecords(cmds, 2)) > 80, qt.IsTrue)
 }
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -115,7 +115,7 @@
 		d.Metrics = metrics.NewSet()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Transport{
+	t := &Transport{
 		heart:   New(cfg, rand.New(rand.NewPCG(d.Seed, score(cfg.Self.Host))), time.Now()),
 		store:   d.Store,
 		log:     d.Log,
@@ -131,131 +131,131 @@
 		traffic: newTraffic(d.Metrics, cfg.Self),
 		refused: d.Metrics.GetOrCreateCounter("briarrock_peers_refused_total"),
 	}
-	s.dialTCP = d.Dial
-	if s.dialTCP == nil {
-		s.dialTCP = new(net.Dialer).DialContext
+	t.dialTCP = d.Dial
+	if t.dialTCP == nil {
+		t.dialTCP = new(net.Dialer).DialContext
 	}
-	s.wg.Go(s.run)
-	s.wg.Go(func() { s.accept(d.Listener) })
+	t.wg.Go(t.run)
+	t.wg.Go(func() { t.accept(d.Listener) })
 	context.AfterFunc(ctx, func() { _ = d.Listener.Close() })
-	return s
+	return t
 }
 
 // Close ends all links and waits for the goroutines. Say Leave first.
-func (s *Transport) Close() {
-	s.cancel()
-	s.wg.Wait()
-	s.root.close()
+func (t *Transport) Close() {
+	t.cancel()
+	t.wg.Wait()
+	t.root.close()
 }
 
 // Tell gives the Core a message. It returns false when Links is closed.
-func (s *Transport) Post(m Msg) bool {
+func (t *Transport) Post(m Msg) bool {
 	select {
-	case s.inbox <- m:
+	case t.inbox <- m:
 		return true
-	case <-s.ctx.Done():
+	case <-t.ctx.Done():
 		return false
 	}
 }
 
 // Ask runs f with the Core, between two steps.
-func (s *Transport) WithCore(f func(*Core)) bool {
+func (t *Transport) WithCore(f func(*Core)) bool {
 	done := make(chan struct{})
 	select {
-	case s.asks <- func(h *Core) { f(h); close(done) }:
+	case t.asks <- func(core *Core) { f(core); close(done) }:
 		<-done
 		return true
-	case <-s.ctx.Done():
+	case <-t.ctx.Done():
 		return false
 	}
 }
 
 // run is the only goroutine that touches the Core.
-func (s *Transport) run() {
+func (t *Transport) run() {
 	tick := time.NewTicker(TickInterval)
 	defer tick.Stop()
-	s.step(Tick{})
+	t.step(Tick{})
 	for {
 		select {
-		case <-s.ctx.Done():
+		case <-t.ctx.Done():
 			return
-		case f := <-s.asks:
-			f(s.heart)
-		case m := <-s.inbox:
-			s.step(m)
+		case f := <-t.asks:
+			f(t.heart)
+		case m := <-t.inbox:
+			t.step(m)
 		case <-tick.C:
-			s.step(Tick{})
+			t.step(Tick{})
 		}
 	}
 }
 
-func (s *Transport) step(m Msg) {
-	for _, c := range s.heart.Step(time.Now(), m) {
-		s.carryOut(c)
+func (t *Transport) step(m Msg) {
+	for _, c := range t.heart.Step(time.Now(), m) {
+		t.carryOut(c)
 	}
 }
 
-func (s *Transport) carryOut(c Cmd) {
+func (t *Transport) carryOut(c Cmd) {
 	switch c := c.(type) {
 	case Dial:
-		s.wg.Go(func() { s.dial(c) })
+		t.wg.Go(func() { t.dial(c) })
 	case SendHello:
-		s.send(c.Link, c.Hello)
+		t.send(c.Link, c.Hello)
 	case CloseLink:
-		s.closeLink(c.Link)
+		t.closeLink(c.Link)
 	case Send:
-		s.send(c.Link, c.Frame)
+		t.send(c.Link, c.Frame)
 	case ReadHead:
-		s.wg.Go(s.readHead)
+		t.wg.Go(t.readHead)
 	case ReadObject:
-		s.wg.Go(func() { s.readObject(c.Hash) })
+		t.wg.Go(func() { t.readObject(c.Hash) })
 	case ReadContacts:
-		s.wg.Go(s.readContacts)
+		t.wg.Go(t.readContacts)
 	case WriteContacts:
-		s.wg.Go(func() { s.writeContacts(c.Addrs) })
+		t.wg.Go(func() { t.writeContacts(c.Addrs) })
 	case ServeVersion:
-		s.hooks.ServeVersion(c)
+		t.hooks.ServeVersion(c)
 	case PublishMembers:
-		s.hooks.PublishMembers(c)
+		t.hooks.PublishMembers(c)
 	case HeldRequest:
-		s.hooks.HeldRequest(c)
+		t.hooks.HeldRequest(c)
 	case Watch:
-		s.hooks.Watch(c)
+		t.hooks.Watch(c)
 	case Log:
-		s.log.Emit(c.Event, c.Fields)
+		t.log.Emit(c.Event, c.Fields)
 	}
 }
 
-func (s *Transport) readHead() {
-	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
+func (t *Transport) readHead() {
+	ctx, cancel := context.WithTimeout(t.ctx, storeWithin)
 	defer cancel()
-	row, err := s.store.Get(ctx, platform.HeadKey)
+	row, err := t.store.Get(ctx, platform.HeadKey)
 	if errors.Is(err, platform.ErrMissing) {
-		s.Post(HeadRead{})
+		t.Post(HeadRead{})
 		return
 	}
 	if err != nil {
-		s.Post(HeadRead{Err: err})
+		t.Post(HeadRead{Err: err})
 		return
 	}
 	head, hash, err := platform.ParseHead(row.Value)
-	s.Post(HeadRead{Version: head.Version, Hash: hash, Err: err})
+	t.Post(HeadRead{Version: head.Version, Hash: hash, Err: err})
 }
 
-func (s *Transport) readObject(hash snapshot.Hash) {
-	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
+func (t *Transport) readObject(hash snapshot.Hash) {
+	ctx, cancel := context.WithTimeout(t.ctx, storeWithin)
 	defer cancel()
-	b, err := platform.GetContent(ctx, s.store, hash)
-	s.Post(ObjectRead{Hash: hash, Content: b, Err: err})
+	b, err := platform.GetContent(ctx, t.store, hash)
+	t.Post(ObjectRead{Hash: hash, Content: b, Err: err})
 }
 
 // contactsPrefix begins the key of each domain's row of contacts.
 const contactsPrefix = "contacts/"
 
-func (s *Transport) readContacts() {
-	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
+func (t *Transport) readContacts() {
+	ctx, cancel := context.WithTimeout(t.ctx, storeWithin)
 	defer cancel()
-	rows, err := s.store.List(ctx, platform.Scan{Prefix: contactsPrefix, Limit: maxDomains})
+	rows, err := t.store.List(ctx, platform.Scan{Prefix: contactsPrefix, Limit: maxDomains})
 	if err != nil {
 		return // asked again later
 	}
@@ -266,32 +266,32 @@
 			continue
 		}
 		m.Addrs = append(m.Addrs, some...)
-		if row.Key == contactsPrefix+s.domain {
+		if row.Key == contactsPrefix+t.domain {
 			m.OwnDomain = len(some)
 		}
 	}
-	s.Post(m)
+	t.Post(m)
 }
 
 // writeContacts leaves the addresses without a condition: whichever root of a
 // domain writes last, they are addresses of its members.
-func (s *Transport) writeContacts(addrs []string) {
-	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
+func (t *Transport) writeContacts(addrs []string) {
+	ctx, cancel := context.WithTimeout(t.ctx, storeWithin)
 	defer cancel()
 	b, err := json.Marshal(addrs)
 	if err != nil {
 		return
 	}
-	key := contactsPrefix + s.domain
-	_ = s.store.Transact(ctx, platform.Transaction{Writes: []platform.Write{{Key: key, Value: b}}})
+	key := contactsPrefix + t.domain
+	_ = t.store.Transact(ctx, platform.Transaction{Writes: []platform.Write{{Key: key, Value: b}}})
 }
 
 // send puts a frame in a link's outbox. A full one means that the peer has
 // stopped reading: the link is given up, so that memory stays bounded.
-func (s *Transport) send(id LinkID, f Frame) {
-	s.mu.Lock()
-	st := s.streams[id]
-	s.mu.Unlock()
+func (t *Transport) send(id LinkID, f Frame) {
+	t.mu.Lock()
+	st := t.streams[id]
+	t.mu.Unlock()
 	if st == nil {
 		return
 	}
@@ -306,32 +306,32 @@
 	}
 }
 
-func (s *Transport) closeLink(id LinkID) {
-	s.mu.Lock()
-	st := s.streams[id]
-	s.mu.Unlock()
+func (t *Transport) closeLink(id LinkID) {
+	t.mu.Lock()
+	st := t.streams[id]
+	t.mu.Unlock()
 	if st != nil {
 		st.drain()
 	}
 }
 
 // Content returns a version's bytes if this node holds them.
-func (s *Transport) Content(hash snapshot.Hash) ([]byte, bool) {
+func (t *Transport) Content(hash snapshot.Hash) ([]byte, bool) {
 	var b []byte
-	s.WithCore(func(h *Core) { b = h.version.content[hash] })
+	t.WithCore(func(core *Core) { b = core.version.content[hash] })
 	return b, b != nil
 }
 
 // Status answers for the whole mesh: from this node's Core if it is the root
 // of its domain, or else by asking the root.
-func (s *Transport) Status(ctx context.Context) Status {
+func (t *Transport) Status(ctx context.Context) Status {
 	var st Status
 	var root string
-	s.WithCore(func(h *Core) { st, root = h.Status(time.Now()) })
+	t.WithCore(func(core *Core) { st, root = core.Status(time.Now()) })
 	if root == "" {
 		return st
 	}
-	whole, err := s.askStatus(ctx, root)
+	whole, err := t.askStatus(ctx, root)
 	if err != nil {
 		return st
 	}
@@ -339,10 +339,10 @@
 	return whole
 }
 
-func (s *Transport) askStatus(ctx context.Context, addr string) (Status, error) {
+func (t *Transport) askStatus(ctx context.Context, addr string) (Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloWithin)
 	defer cancel()
-	conn, err := s.connect(ctx, addr)
+	conn, err := t.connect(ctx, addr)
 	if err != nil {
 		return Status{}, err
 	}
@@ -360,26 +360,26 @@
 }
 
 // HandleRPC implements drpc.Handler.
-func (s *Transport) HandleRPC(rpc drpc.Stream, name string) error {
+func (t *Transport) HandleRPC(rpc drpc.Stream, name string) error {
 	switch name {
 	case rpcLink:
-		return s.serveLink(rpc)
+		return t.serveLink(rpc)
 	case rpcStatus:
-		return s.serveStatus(rpc)
+		return t.serveStatus(rpc)
 	case rpcClaims:
-		return s.serveClaims(rpc)
+		return t.serveClaims(rpc)
 	default:
 		return errors.Errorf("peer: no procedure %q", name)
 	}
 }
 
-func (s *Transport) serveStatus(rpc drpc.Stream) error {
+func (t *Transport) serveStatus(rpc drpc.Stream) error {
 	var in blob
 	if err := rpc.MsgRecv(&in, encoding{}); err != nil {
 		return errors.Wrap(err, "peer: status")
 	}
 	var st Status
-	s.WithCore(func(h *Core) { st, _ = h.Status(time.Now()) })
+	t.WithCore(func(core *Core) { st, _ = core.Status(time.Now()) })
 	b, err := codec.Encode(st)
 	if err != nil {
 		return errors.Wrap(err, "peer: status")
@@ -388,39 +388,39 @@
 }
 
 // accept takes connections from peers, a bounded number at a time.
-func (s *Transport) accept(l net.Listener) {
+func (t *Transport) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
-			if s.ctx.Err() != nil {
+			if t.ctx.Err() != nil {
 				return
 			}
 			time.Sleep(dialFirst) // out of descriptors, say: don't spin
 			continue
 		}
-		if s.inbound.Add(1) > maxInbound {
-			s.inbound.Add(-1)
+		if t.inbound.Add(1) > maxInbound {
+			t.inbound.Add(-1)
 			_ = conn.Close()
 			continue
 		}
-		s.wg.Go(func() {
-			defer s.inbound.Add(-1)
-			s.serveConn(conn)
+		t.wg.Go(func() {
+			defer t.inbound.Add(-1)
+			t.serveConn(conn)
 		})
 	}
 }
 
-func (s *Transport) serveConn(conn net.Conn) {
-	stop := context.AfterFunc(s.ctx, func() { _ = conn.Close() })
+func (t *Transport) serveConn(conn net.Conn) {
+	stop := context.AfterFunc(t.ctx, func() { _ = conn.Close() })
 	defer stop()
-	secured, name, err := s.secureServer(conn)
+	secured, name, err := t.secureServer(conn)
 	if err != nil {
-		s.refused.Inc()
-		s.log.Emit(event.PeerRefused, event.Fields{event.Subject: conn.RemoteAddr().String(), "error": err.Error()})
+		t.refused.Inc()
+		t.log.Emit(event.PeerRefused, event.Fields{event.Subject: conn.RemoteAddr().String(), "error": err.Error()})
 		_ = conn.Close()
 		return
 	}
-	counted := s.traffic.wrap(secured)
-	ctx := withPeer(s.ctx, &inboundPeer{name: name, conn: counted})
-	_ = drpcserver.New(s).ServeOne(ctx, counted)
+	counted := t.traffic.wrap(secured)
+	ctx := withPeer(t.ctx, &inboundPeer{name: name, conn: counted})
+	_ = drpcserver.New(t).ServeOne(ctx, counted)
 }
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -5,9 +5,9 @@
 // node knows. Step takes one message, something that happened, and returns
 // commands, things to do:
 //
-//	h := peer.New(peer.Config{Self: me}, rand.New(rand.NewPCG(1, 2)), now)
-//	for _, c := range h.Step(now, peer.LinkUp{Link: 1, Hello: hello}) {
-//		// carry out c: dial, send, read the store, serve a version …
+//	c := peer.New(peer.Config{Self: me}, rand.New(rand.NewPCG(1, 2)), now)
+//	for _, cmd := range c.Step(now, peer.LinkUp{Link: 1, Hello: hello}) {
+//		// carry out cmd: dial, send, read the store, serve a version …
 //	}
 //
 // A Core does no I/O, starts no goroutine and reads no clock, so a test can
@@ -165,7 +165,7 @@
 // New returns a Core that knows only itself and its contacts. rng decides
 // all that is spread at random.
 func New(cfg Config, rng *rand.Rand, now time.Time) *Core {
-	h := &Core{
+	c := &Core{
 		cfg:        cfg,
 		rng:        rng,
 		now:        now,
@@ -179,149 +179,149 @@
 		updateFrom: make(map[string]LinkID),
 		changed:    true,
 	}
-	h.version = newVersions()
-	h.watch = newWatch(now, h.jitter(joinSpread))
-	h.report = newReports()
-	h.holds = newHolds()
-	h.table.put(now, h.self)
-	return h
+	c.version = newVersions()
+	c.watch = newWatch(now, c.jitter(joinSpread))
+	c.report = newReports()
+	c.holds = newHolds()
+	c.table.put(now, c.self)
+	return c
 }
 
 // Step takes what happened at now and returns what to do. Times must not go
 // back from one call to the next.
-func (h *Core) Step(now time.Time, m Msg) []Cmd {
-	h.now = now
-	h.cmds = nil
+func (c *Core) Step(now time.Time, m Msg) []Cmd {
+	c.now = now
+	c.cmds = nil
 	switch m := m.(type) {
 	case Tick:
-		h.tick()
+		c.tick()
 	case LinkUp:
-		h.linkUp(m)
+		c.linkUp(m)
 	case LinkDown:
-		h.linkDown(m.Link)
+		c.linkDown(m.Link)
 	case DialFailed:
-		h.dialFailed(m)
+		c.dialFailed(m)
 	case Received:
-		h.received(m)
+		c.received(m)
 	case TargetsChanged:
-		h.targetsChanged(m.Targets)
+		c.targetsChanged(m.Targets)
 	case HeadRead:
-		h.headRead(m)
+		c.headRead(m)
 	case ObjectRead:
-		h.objectRead(m)
+		c.objectRead(m)
 	case ContactsRead:
-		h.contactsRead(m)
+		c.contactsRead(m)
 	case Committed:
-		h.committed(m)
+		c.committed(m)
 	case Polled:
-		h.polled(m)
+		c.polled(m)
 	case PollFailed:
-		h.pollFailed()
+		c.pollFailed()
 	case Crashed:
-		h.crashed(m)
+		c.crashed(m)
 	case Leave:
-		h.leave()
+		c.leave()
 	}
-	return h.cmds
+	return c.cmds
 }
 
-func (h *Core) do(c Cmd) { h.cmds = append(h.cmds, c) }
+func (c *Core) do(cmd Cmd) { c.cmds = append(c.cmds, cmd) }
 
-func (h *Core) log(e event.Event, f event.Fields) { h.do(Log{e, f}) }
+func (c *Core) log(e event.Event, f event.Fields) { c.do(Log{e, f}) }
 
-func (h *Core) send(l *link, f Frame) { h.do(Send{l.id, f}) }
+func (c *Core) send(l *link, f Frame) { c.do(Send{l.id, f}) }
 
 // jitter is a random time below d.
-func (h *Core) jitter(d time.Duration) time.Duration {
-	return time.Duration(h.rng.Int64N(int64(d) + 1))
+func (c *Core) jitter(d time.Duration) time.Duration {
+	return time.Duration(c.rng.Int64N(int64(d) + 1))
 }
 
-func (h *Core) tick() {
-	h.flushUpdates()
-	h.topology()
-	h.tickLinks()
-	h.tickMembers()
-	h.tickVersion()
-	h.tickWatch()
-	h.updateWatchRole()
-	h.tickContacts()
-	h.tickReport()
-	h.tickHolds()
-	if h.changed {
-		h.changed = false
-		h.do(PublishMembers{h.members()})
+func (c *Core) tick() {
+	c.flushUpdates()
+	c.topology()
+	c.tickLinks()
+	c.tickMembers()
+	c.tickVersion()
+	c.tickWatch()
+	c.updateWatchRole()
+	c.tickContacts()
+	c.tickReport()
+	c.tickHolds()
+	if c.changed {
+		c.changed = false
+		c.do(PublishMembers{c.members()})
 	}
 }
 
 // members copies the live members, this node included.
-func (h *Core) members() []Member {
-	out := make([]Member, 0, len(h.table.byHost))
-	for _, name := range h.table.names() {
-		for _, r := range h.table.members(name) {
+func (c *Core) members() []Member {
+	out := make([]Member, 0, len(c.table.byHost))
+	for _, name := range c.table.names() {
+		for _, r := range c.table.members(name) {
 			out = append(out, r.Member)
 		}
 	}
 	return out
 }
 
-func (h *Core) received(m Received) {
-	l := h.links[m.Link]
+func (c *Core) received(m Received) {
+	l := c.links[m.Link]
 	if l == nil {
 		return
 	}
-	l.heardAt = h.now
-	h.table.domain(l.domain, l.region).heardAt = h.now
+	l.heardAt = c.now
+	c.table.domain(l.domain, l.region).heardAt = c.now
 	switch f := m.Frame.(type) {
 	case Heartbeat:
-		h.beat(l, f)
+		c.beat(l, f)
 	case Digests:
-		h.digests(l, f)
+		c.digests(l, f)
 	case Listing:
-		h.listing(l, f)
+		c.listing(l, f)
 	case RecordRequest:
-		h.wants(l, f)
+		c.wants(l, f)
 	case Records:
-		h.records(l, f)
+		c.records(l, f)
 	case VersionNotice:
-		h.notice(l, f)
+		c.notice(l, f)
 	case Fetch:
-		h.fetch(l, f)
+		c.fetch(l, f)
 	case Content:
-		h.content(l, f)
+		c.content(l, f)
 	case Report:
-		h.reported(l, f)
+		c.reported(l, f)
 	case Summary:
-		h.summary(l, f)
+		c.summary(l, f)
 	case CrashReport:
-		h.hold(l, f)
+		c.hold(l, f)
 	case VersionAck:
-		h.have(l, f)
+		c.have(l, f)
 	case FloorNotice:
-		h.observeFloor(l.id, f.Version)
+		c.observeFloor(l.id, f.Version)
 	case PollNotice:
-		h.fresh(l, f)
+		c.fresh(l, f)
 	default:
 		// A second Hello on an open link is of no use to an honest peer.
-		h.log(event.PeerGarbage, event.Fields{event.Subject: l.host})
-		h.do(CloseLink{l.id})
+		c.log(event.PeerGarbage, event.Fields{event.Subject: l.host})
+		c.do(CloseLink{l.id})
 	}
 }
 
-func (h *Core) hello(l *link) Hello {
+func (c *Core) hello(l *link) Hello {
 	hi := Hello{
-		Member:      h.self,
-		Version:     h.version.number,
-		Hash:        h.version.hash,
-		HeadAge:     age(h.now, h.watch.freshAt),
-		Cursor:      h.watch.seen,
-		RemoteFloor: h.version.outside,
-		Members:     h.Members(),
+		Member:      c.self,
+		Version:     c.version.number,
+		Hash:        c.version.hash,
+		HeadAge:     age(c.now, c.watch.freshAt),
+		Cursor:      c.watch.seen,
+		RemoteFloor: c.version.outside,
+		Members:     c.Members(),
 	}
 	if l != nil {
 		hi.Lazy = l.lazy
-		hi.Floor = h.version.seen[l.host]
-		hi.DomainFloor = h.version.domains[l.domain]
-		if r := h.table.byHost[l.host]; r != nil {
+		hi.Floor = c.version.seen[l.host]
+		hi.DomainFloor = c.version.domains[l.domain]
+		if r := c.table.byHost[l.host]; r != nil {
 			hi.KnownIncarnation = r.Incarnation
 		}
 	}
@@ -329,18 +329,18 @@
 }
 
 // Version returns the version in use and its hash; 0 before the first.
-func (h *Core) Version() (uint64, snapshot.Hash) { return h.version.number, h.version.hash }
+func (c *Core) Version() (uint64, snapshot.Hash) { return c.version.number, c.version.hash }
 
 // Ready tells whether the node may serve: see versions.ready.
-func (h *Core) Ready() bool { return h.version.ready }
+func (c *Core) Ready() bool { return c.version.ready }
 
 // Links returns how many links are open.
-func (h *Core) Links() int { return len(h.links) }
+func (c *Core) Links() int { return len(c.links) }
 
 // Members returns how many live members are known, this node included.
-func (h *Core) Members() int {
+func (c *Core) Members() int {
 	n := 0
-	for _, d := range h.table.domains {
+	for _, d := range c.table.domains {
 		n += d.count
 	}
 	return n
--- a/briarrockd/peer/report.go
+++ b/briarrockd/peer/report.go
@@ -50,51 +50,51 @@
 	}
 }
 
-func (h *Core) reportChanged() { h.report.dirty = true }
+func (c *Core) reportChanged() { c.report.dirty = true }
 
-func (h *Core) reportLost(host string) {
-	if _, ok := h.report.children[host]; ok {
-		delete(h.report.children, host)
-		h.report.dirty = true
+func (c *Core) reportLost(host string) {
+	if _, ok := c.report.children[host]; ok {
+		delete(c.report.children, host)
+		c.report.dirty = true
 	}
-	if h.report.parent == host {
-		h.report.parent = ""
+	if c.report.parent == host {
+		c.report.parent = ""
 	}
 }
 
-func (h *Core) reported(l *link, f Report) {
-	if l.domain != h.self.Domain {
+func (c *Core) reported(l *link, f Report) {
+	if l.domain != c.self.Domain {
 		return
 	}
-	h.report.children[l.host] = f
-	h.report.dirty = true
+	c.report.children[l.host] = f
+	c.report.dirty = true
 }
 
 // subtree adds up this node and what its children reported. Reports of hosts
 // that are no longer children are dropped: after the order changed they would
 // be counted in two places.
-func (h *Core) subtree() Report {
+func (c *Core) subtree() Report {
 	children := make(map[string]bool)
-	i := h.position()
-	order := h.table.members(h.self.Domain)
-	for c := range degree {
-		if j := degree*i + 1 + c; i >= 0 && j < len(order) {
+	i := c.position()
+	order := c.table.members(c.self.Domain)
+	for k := range degree {
+		if j := degree*i + 1 + k; i >= 0 && j < len(order) {
 			children[order[j].Host] = true
 		}
 	}
 	t := tally{counts: make(map[uint64]int)}
-	t.counts[h.version.number]++
-	for host, r := range h.report.children {
+	t.counts[c.version.number]++
+	for host, r := range c.report.children {
 		if !children[host] {
-			delete(h.report.children, host)
+			delete(c.report.children, host)
 			continue
 		}
-		for _, c := range r.Counts {
-			t.counts[c.Version] += c.Nodes
+		for _, n := range r.Counts {
+			t.counts[n.Version] += n.Nodes
 		}
 		t.laggards = append(t.laggards, r.Laggards...)
 	}
-	return t.report(h.self.Host, h.version.number)
+	return t.report(c.self.Host, c.version.number)
 }
 
 // report turns a tally into its bounded form: the newest versions, and the
@@ -120,39 +120,39 @@
 	return r
 }
 
-func (h *Core) tickReport() {
-	if h.report.dirty {
-		h.sendReport()
+func (c *Core) tickReport() {
+	if c.report.dirty {
+		c.sendReport()
 	}
-	if h.isRoot() && !h.now.Before(h.report.nextAt) {
-		h.summarize()
+	if c.isRoot() && !c.now.Before(c.report.nextAt) {
+		c.summarize()
 	}
-	h.noteStale()
+	c.noteStale()
 }
 
 // sendReport sends this node's report to its parent, if either changed. At
 // the root it goes out to the other domains instead.
-func (h *Core) sendReport() {
-	r := h.subtree()
-	h.report.dirty = false
-	if h.isRoot() {
-		if !sameReport(r, h.report.sent) {
-			h.report.sent = r
-			h.summarize()
+func (c *Core) sendReport() {
+	r := c.subtree()
+	c.report.dirty = false
+	if c.isRoot() {
+		if !sameReport(r, c.report.sent) {
+			c.report.sent = r
+			c.summarize()
 		}
 		return
 	}
-	p := h.parent()
-	if p == nil || h.byHost[p.Host] == nil {
-		h.report.dirty = true
+	p := c.parent()
+	if p == nil || c.byHost[p.Host] == nil {
+		c.report.dirty = true
 		return
 	}
-	if p.Host == h.report.parent && sameReport(r, h.report.sent) {
+	if p.Host == c.report.parent && sameReport(r, c.report.sent) {
 		return
 	}
-	h.report.sent = r
-	h.report.parent = p.Host
-	h.send(h.byHost[p.Host], r)
+	c.report.sent = r
+	c.report.parent = p.Host
+	c.send(c.byHost[p.Host], r)
 }
 
 func sameReport(a, b Report) bool {
@@ -173,71 +173,71 @@
 }
 
 // summarize tells the other domains what this one uses.
-func (h *Core) summarize() {
-	h.report.nextAt = h.now.Add(summaryEvery)
-	r := h.subtree()
+func (c *Core) summarize() {
+	c.report.nextAt = c.now.Add(summaryEvery)
+	r := c.subtree()
 	s := Summary{
-		Domain:   h.self.Domain,
-		Region:   h.self.Region,
-		At:       h.now.UnixMilli(),
-		Members:  len(h.table.members(h.self.Domain)),
+		Domain:   c.self.Domain,
+		Region:   c.self.Region,
+		At:       c.now.UnixMilli(),
+		Members:  len(c.table.members(c.self.Domain)),
 		Counts:   r.Counts,
 		Laggards: r.Laggards,
 	}
-	h.report.domains[s.Domain] = summarized{s, h.now}
-	h.relaySummary(0, s)
+	c.report.domains[s.Domain] = summarized{s, c.now}
+	c.relaySummary(0, s)
 }
 
-func (h *Core) summary(l *link, f Summary) {
-	old, ok := h.report.domains[f.Domain]
-	if f.Domain == h.self.Domain || (ok && f.At <= old.At) || (!ok && len(h.report.domains) >= maxDomains) {
+func (c *Core) summary(l *link, f Summary) {
+	old, ok := c.report.domains[f.Domain]
+	if f.Domain == c.self.Domain || (ok && f.At <= old.At) || (!ok && len(c.report.domains) >= maxDomains) {
 		return
 	}
-	h.report.domains[f.Domain] = summarized{f, h.now}
-	h.relaySummary(l.id, f)
+	c.report.domains[f.Domain] = summarized{f, c.now}
+	c.relaySummary(l.id, f)
 }
 
 // relaySummary passes a summary on to the bridges of other domains, and to
 // the first two of the own one, who may have to take over.
-func (h *Core) relaySummary(from LinkID, s Summary) {
-	for _, l := range h.sortedLinks() {
-		if l.id == from || l.lazy || l.domain == s.Domain || !h.carries(l) || h.restricted(l) {
+func (c *Core) relaySummary(from LinkID, s Summary) {
+	for _, l := range c.sortedLinks() {
+		if l.id == from || l.lazy || l.domain == s.Domain || !c.carries(l) || c.restricted(l) {
 			continue
 		}
-		h.send(l, s)
+		c.send(l, s)
 	}
 }
 
 // carries tells whether summaries go over a link: those between domains, and
 // the one between the two bridges of this domain.
-func (h *Core) carries(l *link) bool {
-	if l.domain != h.self.Domain {
+func (c *Core) carries(l *link) bool {
+	if l.domain != c.self.Domain {
 		return true
 	}
-	order := h.table.members(h.self.Domain)
+	order := c.table.members(c.self.Domain)
 	for _, r := range order[:min(len(order), bridges)] {
 		if r.Host == l.host {
-			return h.position() < bridges
+			return c.position() < bridges
 		}
 	}
 	return false
 }
 
 // sendSummaries brings a new link up to date.
-func (h *Core) sendSummaries(l *link) {
-	if l.lazy || !h.carries(l) {
+func (c *Core) sendSummaries(l *link) {
+	if l.lazy || !c.carries(l) {
 		return
 	}
-	for _, name := range h.summaryNames() {
+	for _, name := range c.summaryNames() {
 		if name != l.domain {
-			h.send(l, h.report.domains[name].Summary)
+			c.send(l, c.report.domains[name].Summary)
 		}
 	}
 }
 
-func (h *Core) summaryNames() []string {
-	names := make([]string, 0, len(h.report.domains))
-	for name := range h.report.domains {
+func (c *Core) summaryNames() []string {
+	names := make([]string, 0, len(c.report.domains))
+	for name := range c.report.domains {
 		names = append(names, name)
 	}
 	sort.Strings(names)
@@ -245,18 +245,18 @@
 }
 
 // noteStale logs, at the root, when another domain falls silent.
-func (h *Core) noteStale() {
-	if !h.isRoot() {
+func (c *Core) noteStale() {
+	if !c.isRoot() {
 		return
 	}
-	for name, s := range h.report.domains {
-		silent := name != h.self.Domain && h.now.Sub(s.at) > summaryEvery+staleAfter
-		if silent && !h.report.stale[name] {
-			h.log(event.DomainStale, event.Fields{event.Subject: name, "since": s.at.UTC().Format(time.RFC3339)})
+	for name, s := range c.report.domains {
+		silent := name != c.self.Domain && c.now.Sub(s.at) > summaryEvery+staleAfter
+		if silent && !c.report.stale[name] {
+			c.log(event.DomainStale, event.Fields{event.Subject: name, "since": s.at.UTC().Format(time.RFC3339)})
 		}
-		h.report.stale[name] = silent
-		if silent && h.now.Sub(s.at) > forgetDomain {
-			h.giveUp(name)
+		c.report.stale[name] = silent
+		if silent && c.now.Sub(s.at) > forgetDomain {
+			c.giveUp(name)
 		}
 	}
 }
@@ -265,13 +265,13 @@
 // so long that it was most likely given up: nobody of its own is left to say
 // so, and its members would be kept for good. If it was only cut off, they
 // object when they come back.
-func (h *Core) giveUp(name string) {
-	delete(h.report.domains, name)
-	delete(h.report.stale, name)
-	for _, host := range h.hostsOf(name) {
-		m := h.table.byHost[host].Member
+func (c *Core) giveUp(name string) {
+	delete(c.report.domains, name)
+	delete(c.report.stale, name)
+	for _, host := range c.hostsOf(name) {
+		m := c.table.byHost[host].Member
 		m.State = Dead
-		h.merge(0, m)
+		c.merge(0, m)
 	}
 }
 
@@ -304,15 +304,15 @@
 
 // Status returns what this node knows of the mesh, and the address of the
 // node to ask instead when this one is not the root of its domain.
-func (h *Core) Status(now time.Time) (Status, string) {
-	s := Status{Version: h.version.number, Hash: h.version.hash.String(), Complete: h.isRoot(), HeadAgeMillis: -1}
-	if !h.watch.freshAt.IsZero() {
-		s.HeadAgeMillis = now.Sub(h.watch.freshAt).Milliseconds()
+func (c *Core) Status(now time.Time) (Status, string) {
+	s := Status{Version: c.version.number, Hash: c.version.hash.String(), Complete: c.isRoot(), HeadAgeMillis: -1}
+	if !c.watch.freshAt.IsZero() {
+		s.HeadAgeMillis = now.Sub(c.watch.freshAt).Milliseconds()
 	}
-	s.Held = h.holds.list()
+	s.Held = c.holds.list()
 	known := make(map[string]bool)
-	for _, name := range h.summaryNames() {
-		d := h.report.domains[name]
+	for _, name := range c.summaryNames() {
+		d := c.report.domains[name]
 		known[name] = true
 		out := DomainStatus{Domain: name, Region: d.Region, Members: d.Members, Counts: d.Counts, Laggards: d.Laggards}
 		if silent := now.Sub(d.at); silent > summaryEvery+staleAfter {
@@ -320,14 +320,14 @@
 		}
 		s.Domains = append(s.Domains, out)
 	}
-	for _, name := range h.table.names() {
+	for _, name := range c.table.names() {
 		if !known[name] {
-			d := h.table.domains[name]
+			d := c.table.domains[name]
 			s.Domains = append(s.Domains, DomainStatus{Domain: name, Region: d.region, Members: d.count})
 		}
 	}
 	sort.Slice(s.Domains, func(i, j int) bool { return s.Domains[i].Domain < s.Domains[j].Domain })
-	if r := h.root(); r != nil && !s.Complete {
+	if r := c.root(); r != nil && !s.Complete {
 		return s, r.PeerAddr
 	}
 	return s, ""
--- a/briarrockd/peer/rules_test.go
+++ b/briarrockd/peer/rules_test.go
@@ -18,10 +18,10 @@
 // lone is a Core with one link, to a peer of its domain.
 func lone(c *qt.C) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	c.Assert(h.Links(), qt.Equals, 1)
-	return h, now
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
+	c.Assert(core.Links(), qt.Equals, 1)
+	return core, now
 }
 
 func bytesOf(c *qt.C, n int) ([]byte, snapshot.Hash) {
@@ -58,13 +58,13 @@
 
 // serving is a Core that serves version 5.
 func serving(c *qt.C) (*Core, time.Time) {
-	h, now := lone(c)
+	core, now := lone(c)
 	b, hash := bytesOf(c, 5)
-	cmds := h.Step(now, Committed{Version: 5, Hash: hash, Content: b})
+	cmds := core.Step(now, Committed{Version: 5, Hash: hash, Content: b})
 	now = now.Add(confirmWithin)
-	cmds = append(cmds, h.Step(now, Tick{})...)
+	cmds = append(cmds, core.Step(now, Tick{})...)
 	c.Assert(used(cmds), qt.DeepEquals, []uint64{5})
-	return h, now
+	return core, now
 }
 
 // TestOlder offers an older version in every way that one can come: as a
@@ -75,7 +75,7 @@
 // it has.
 func TestOlder(t *testing.T) {
 	c := qt.New(t)
-	h, now := serving(c)
+	core, now := serving(c)
 	old := content(c, 4, 4)
 	oldBytes, oldHash := bytesOf(c, 4)
 	push := old
@@ -88,11 +88,11 @@
 		ObjectRead{Hash: oldHash, Content: oldBytes},
 		Committed{Version: 4, Hash: oldHash, Content: oldBytes},
 	} {
-		cmds := h.Step(now, m)
-		cmds = append(cmds, h.Step(now.Add(time.Second), Tick{})...)
+		cmds := core.Step(now, m)
+		cmds = append(cmds, core.Step(now.Add(time.Second), Tick{})...)
 		now = now.Add(time.Second)
 		c.Check(used(cmds), qt.HasLen, 0, qt.Commentf("%T", m))
-		n, _ := h.Version()
+		n, _ := core.Version()
 		c.Check(n, qt.Equals, uint64(5), qt.Commentf("%T", m))
 	}
 }
@@ -101,24 +101,24 @@
 // is dropped whole, logged, and asked for again; the sound one is then used.
 func TestDamaged(t *testing.T) {
 	c := qt.New(t)
-	h, now := serving(c)
+	core, now := serving(c)
 	good := content(c, 6, 6)
-	h.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
+	core.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
 	short, flipped := good, good
 	short.Packed = good.Packed[:len(good.Packed)-3]
 	flipped.Packed = append([]byte(nil), good.Packed...)
 	flipped.Packed[len(flipped.Packed)/2] ^= 0x40
 	for _, bad := range []Content{short, flipped} {
-		cmds := h.Step(now, Received{1, bad})
+		cmds := core.Step(now, Received{1, bad})
 		c.Check(used(cmds), qt.HasLen, 0)
 		c.Check(logged(cmds, event.VersionRefused), qt.IsTrue)
-		n, _ := h.Version()
+		n, _ := core.Version()
 		c.Check(n, qt.Equals, uint64(5))
 	}
 	strange := good
 	strange.Base = snapshot.Sum([]byte("unheard of"))
-	c.Check(used(h.Step(now, Received{1, strange})), qt.HasLen, 0)
-	c.Check(used(h.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
+	c.Check(used(core.Step(now, Received{1, strange})), qt.HasLen, 0)
+	c.Check(used(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
 // TestFalseNotice tells of a version that does not exist.
@@ -127,16 +127,16 @@
 // version, whose number is lower.
 func TestFalseNotice(t *testing.T) {
 	c := qt.New(t)
-	h, now := serving(c)
-	h.Step(now, Received{1, VersionNotice{Version: 900, Hash: snapshot.Sum([]byte("nothing"))}})
+	core, now := serving(c)
+	core.Step(now, Received{1, VersionNotice{Version: 900, Hash: snapshot.Sum([]byte("nothing"))}})
 	for range 600 {
 		now = now.Add(TickInterval)
-		h.Step(now, Received{1, Heartbeat{Version: 5}})
-		h.Step(now, Tick{})
+		core.Step(now, Received{1, Heartbeat{Version: 5}})
+		core.Step(now, Tick{})
 	}
 	good := content(c, 6, 6)
-	h.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
-	c.Check(used(h.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
+	core.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
+	c.Check(used(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
 // TestRank orders records as every node must.
@@ -164,35 +164,35 @@
 func TestClockBack(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), KnownIncarnation: 900}, Addr: "b:1"})
-	c.Check(h.self.Incarnation, qt.Equals, uint64(901))
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), KnownIncarnation: 900}, Addr: "b:1"})
+	c.Check(core.self.Incarnation, qt.Equals, uint64(901))
 	// Hearing of itself as of later still does the same.
 	m := member("a")
 	m.Incarnation = 2000
-	h.Step(now, Received{1, Records{[]Member{m}}})
-	c.Check(h.self.Incarnation, qt.Equals, uint64(2001))
+	core.Step(now, Received{1, Records{[]Member{m}}})
+	c.Check(core.self.Incarnation, qt.Equals, uint64(2001))
 }
 
 // TestAlone is a node that reaches nobody: it never serves anything.
 func TestAlone(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), Contacts: []string{"b:1"}}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a"), Contacts: []string{"b:1"}}, rand.New(rand.NewPCG(1, 1)), now)
 	for range 600 {
 		now = now.Add(TickInterval)
-		for _, cmd := range h.Step(now, Tick{}) {
+		for _, cmd := range core.Step(now, Tick{}) {
 			switch cmd := cmd.(type) {
 			case Dial:
-				h.Step(now, DialFailed{Addr: cmd.Addr, Refused: true})
+				core.Step(now, DialFailed{Addr: cmd.Addr, Refused: true})
 			case ReadHead:
-				h.Step(now, HeadRead{Err: errDown})
+				core.Step(now, HeadRead{Err: errDown})
 			case ServeVersion:
 				t.Fatal("serves something")
 			}
 		}
 	}
-	c.Check(h.Ready(), qt.IsFalse)
+	c.Check(core.Ready(), qt.IsFalse)
 }
 
 // TestContacts starts a node whose settings name hosts that are all replaced.
@@ -202,37 +202,37 @@
 func TestContacts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a"), Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
 	asked, dialed := 0, false
 	for range 300 {
 		now = now.Add(TickInterval)
-		for _, cmd := range h.Step(now, Tick{}) {
+		for _, cmd := range core.Step(now, Tick{}) {
 			switch cmd := cmd.(type) {
 			case Dial:
 				dialed = dialed || cmd.Addr == "new:1"
-				h.Step(now, DialFailed{Addr: cmd.Addr})
+				core.Step(now, DialFailed{Addr: cmd.Addr})
 			case ReadContacts:
 				asked++
-				h.Step(now, ContactsRead{Addrs: []string{"new:1"}})
+				core.Step(now, ContactsRead{Addrs: []string{"new:1"}})
 			}
 		}
 	}
 	c.Check(dialed, qt.IsTrue)
 	c.Check(asked <= 3, qt.IsTrue, qt.Commentf("asked %d times in 30 s", asked))
 
-	h, now = lone(c)
+	core, now = lone(c)
 	var left []string
 	for range 100 {
 		now = now.Add(TickInterval)
-		h.Step(now, Received{1, Heartbeat{}})
-		for _, cmd := range h.Step(now, Tick{}) {
+		core.Step(now, Received{1, Heartbeat{}})
+		for _, cmd := range core.Step(now, Tick{}) {
 			if w, ok := cmd.(WriteContacts); ok {
 				c.Check(left, qt.IsNil)
 				left = w.Addrs
 			}
 		}
 	}
-	if h.isRoot() {
+	if core.isRoot() {
 		c.Check(left, qt.HasLen, 2)
 	} else {
 		c.Check(left, qt.IsNil)
@@ -249,11 +249,11 @@
 	c := qt.New(t)
 	for _, storeUp := range []bool{true, false} {
 		now := time.Unix(1000, 0)
-		h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+		core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 		old, next := content(c, 4, 4), content(c, 5, 5)
 		var served []uint64
 		step := func(m Msg) {
-			served = append(served, used(h.Step(now, m))...)
+			served = append(served, used(core.Step(now, m))...)
 		}
 		step(Tick{})
 		step(LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: old.Hash}, Addr: "b:1"})
@@ -288,18 +288,18 @@
 func TestForgetful(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	other := "b"
 	for score(other) < score("a") {
 		other += "b" // the neighbour comes after us, and so is the one to dial
 	}
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member(other)}})
-	c.Assert(h.isRoot(), qt.IsTrue)
-	h.Step(now, LinkDown{1})
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member(other)}})
+	c.Assert(core.isRoot(), qt.IsTrue)
+	core.Step(now, LinkDown{1})
 	dialed := time.Duration(0)
 	for range 40 {
 		now = now.Add(TickInterval)
-		for _, cmd := range h.Step(now, Tick{}) {
+		for _, cmd := range core.Step(now, Tick{}) {
 			if d, ok := cmd.(Dial); ok && d.Addr == other+":1" && dialed == 0 {
 				dialed = now.Sub(time.Unix(1000, 0))
 			}
@@ -316,21 +316,21 @@
 func TestLostDomain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	far := member("z")
 	far.Domain = "superior-a"
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: far}, Addr: "z:1"})
-	h.Step(now, Received{1, Summary{Domain: "superior-a", Region: "superior", At: 1, Members: 1}})
-	h.Step(now, LinkDown{1})
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: far}, Addr: "z:1"})
+	core.Step(now, Received{1, Summary{Domain: "superior-a", Region: "superior", At: 1, Members: 1}})
+	core.Step(now, LinkDown{1})
 	now = now.Add(forgetDomain - time.Minute)
-	h.Step(now, Tick{})
-	c.Check(h.Members(), qt.Equals, 2)
+	core.Step(now, Tick{})
+	c.Check(core.Members(), qt.Equals, 2)
 	now = now.Add(2 * time.Minute)
-	h.Step(now, Tick{})
-	c.Check(h.Members(), qt.Equals, 1)
+	core.Step(now, Tick{})
+	c.Check(core.Members(), qt.Equals, 1)
 	far.Seq = 1
-	h.Step(now, LinkUp{Link: 2, Hello: Hello{Member: far}})
-	c.Check(h.Members(), qt.Equals, 2)
+	core.Step(now, LinkUp{Link: 2, Hello: Hello{Member: far}})
+	c.Check(core.Members(), qt.Equals, 2)
 }
 
 // TestFrames checks that each frame comes back as it was sent, and that
@@ -391,9 +391,9 @@
 		if err != nil {
 			return
 		}
-		h, now := lone(qt.New(t))
-		h.Step(now, Received{1, frame})
-		h.Step(now.Add(time.Second), Tick{})
+		core, now := lone(qt.New(t))
+		core.Step(now, Received{1, frame})
+		core.Step(now.Add(time.Second), Tick{})
 	})
 }
 
@@ -406,24 +406,24 @@
 func TestOtherHost(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	old, fresh := member("old"), member("new")
 	fresh.PeerAddr = old.PeerAddr
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	h.Step(now, Received{1, Records{[]Member{old, fresh}}})
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
+	core.Step(now, Received{1, Records{[]Member{old, fresh}}})
 	dials, id := 0, LinkID(1)
 	for range 30 {
 		now = now.Add(TickInterval)
-		for _, cmd := range h.Step(now, Tick{}) {
+		for _, cmd := range core.Step(now, Tick{}) {
 			if d, ok := cmd.(Dial); ok && d.Addr == old.PeerAddr {
 				dials++
 				id++
-				h.Step(now, LinkUp{Link: id, Hello: Hello{Member: fresh}, Addr: old.PeerAddr})
+				core.Step(now, LinkUp{Link: id, Hello: Hello{Member: fresh}, Addr: old.PeerAddr})
 			}
 		}
 	}
 	c.Check(dials <= 2, qt.IsTrue, qt.Commentf("%d dials in three seconds", dials))
-	c.Check(h.byHost["new"], qt.Not(qt.IsNil))
+	c.Check(core.byHost["new"], qt.Not(qt.IsNil))
 }
 
 // TestHoldClear lets word of crashes and word that the request has run to its end
@@ -451,8 +451,8 @@
 			r.happens(i, Crashed{Print: 7, Service: "posting"})
 		}
 		r.pass(rng, 1000)
-		for _, h := range r.hearts {
-			c.Assert(h.holds.list(), qt.HasLen, 1, qt.Commentf("seed %d", seed))
+		for _, core := range r.hearts {
+			c.Assert(core.holds.list(), qt.HasLen, 1, qt.Commentf("seed %d", seed))
 		}
 	}
 }
@@ -476,11 +476,11 @@
 	r := &ring{now: time.Unix(1000, 0)}
 	name := func(i int) string { return string(rune('a' + (i+n)%n)) }
 	for i := range n {
-		h := New(Config{Self: member(name(i))}, rand.New(rand.NewPCG(uint64(i), 1)), r.now)
+		core := New(Config{Self: member(name(i))}, rand.New(rand.NewPCG(uint64(i), 1)), r.now)
 		for link, j := range []int{i + 1, i - 1} {
-			h.Step(r.now, LinkUp{Link: LinkID(link + 1), Hello: Hello{Member: member(name(j))}, Addr: name(j) + ":1"})
+			core.Step(r.now, LinkUp{Link: LinkID(link + 1), Hello: Hello{Member: member(name(j))}, Addr: name(j) + ":1"})
 		}
-		r.hearts = append(r.hearts, h)
+		r.hearts = append(r.hearts, core)
 	}
 	return r
 }
--- a/briarrockd/peer/stream.go
+++ b/briarrockd/peer/stream.go
@@ -76,70 +76,70 @@
 	return context.WithValue(ctx, peerKey{}, p)
 }
 
-func (s *Transport) secureServer(conn net.Conn) (net.Conn, string, error) {
-	if s.keys.Server == nil {
+func (t *Transport) secureServer(conn net.Conn) (net.Conn, string, error) {
+	if t.keys.Server == nil {
 		return conn, "", nil
 	}
-	return s.shake(tls.Server(conn, s.keys.Server()))
+	return t.shake(tls.Server(conn, t.keys.Server()))
 }
 
-func (s *Transport) secureClient(conn net.Conn) (net.Conn, string, error) {
-	if s.keys.Client == nil {
+func (t *Transport) secureClient(conn net.Conn) (net.Conn, string, error) {
+	if t.keys.Client == nil {
 		return conn, "", nil
 	}
-	return s.shake(tls.Client(conn, s.keys.Client()))
+	return t.shake(tls.Client(conn, t.keys.Client()))
 }
 
-func (s *Transport) shake(c *tls.Conn) (net.Conn, string, error) {
-	ctx, cancel := context.WithTimeout(s.ctx, helloWithin)
+func (t *Transport) shake(c *tls.Conn) (net.Conn, string, error) {
+	ctx, cancel := context.WithTimeout(t.ctx, helloWithin)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
 		return nil, "", errors.Wrap(err, "peer: handshake")
 	}
-	name, err := s.keys.VerifyPeer(c.ConnectionState())
+	name, err := t.keys.VerifyPeer(c.ConnectionState())
 	return c, name, err
 }
 
 // connect opens a connection to a peer.
-func (s *Transport) connect(ctx context.Context, addr string) (*countedConn, error) {
-	conn, err := s.dialTCP(ctx, "tcp", addr)
+func (t *Transport) connect(ctx context.Context, addr string) (*countedConn, error) {
+	conn, err := t.dialTCP(ctx, "tcp", addr)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	secured, _, err := s.secureClient(conn)
+	secured, _, err := t.secureClient(conn)
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	return s.traffic.wrap(secured), nil
+	return t.traffic.wrap(secured), nil
 }
 
 // dial opens a link and reports how it went.
-func (s *Transport) dial(c Dial) {
-	ctx, cancel := context.WithTimeout(s.ctx, helloWithin)
+func (t *Transport) dial(c Dial) {
+	ctx, cancel := context.WithTimeout(t.ctx, helloWithin)
 	defer cancel()
-	conn, err := s.connect(ctx, c.Addr)
+	conn, err := t.connect(ctx, c.Addr)
 	if err != nil {
-		s.Post(DialFailed{Addr: c.Addr, Refused: errors.Is(err, syscall.ECONNREFUSED)})
+		t.Post(DialFailed{Addr: c.Addr, Refused: errors.Is(err, syscall.ECONNREFUSED)})
 		return
 	}
 	rpc := drpcconn.New(conn)
-	st, hello, err := s.open(rpc, conn, c.Hello)
+	st, hello, err := t.open(rpc, conn, c.Hello)
 	if err != nil {
 		_ = conn.Close()
-		s.Post(DialFailed{Addr: c.Addr})
+		t.Post(DialFailed{Addr: c.Addr})
 		return
 	}
-	s.wg.Go(func() {
+	t.wg.Go(func() {
 		defer func() { _ = rpc.Close() }()
-		s.converse(st, LinkUp{Link: st.id, Hello: hello, Addr: c.Addr})
+		t.converse(st, LinkUp{Link: st.id, Hello: hello, Addr: c.Addr})
 	})
 }
 
 // open starts the stream of an outbound link and exchanges hellos.
-func (s *Transport) open(rpc *drpcconn.Conn, conn *countedConn, hi Hello) (*stream, Hello, error) {
+func (t *Transport) open(rpc *drpcconn.Conn, conn *countedConn, hi Hello) (*stream, Hello, error) {
 	_ = conn.SetDeadline(time.Now().Add(helloWithin))
-	st, err := rpc.NewStream(s.ctx, rpcLink, encoding{})
+	st, err := rpc.NewStream(t.ctx, rpcLink, encoding{})
 	if err != nil {
 		return nil, Hello{}, errors.WithStack(err)
 	}
@@ -156,7 +156,7 @@
 	}
 	_ = conn.SetDeadline(time.Time{})
 	conn.far(hello.Member)
-	return s.newStream(st, conn), hello, nil
+	return t.newStream(st, conn), hello, nil
 }
 
 func recvHello(rpc drpc.Stream) (Hello, error) {
@@ -175,21 +175,21 @@
 	return hello, nil
 }
 
-func (s *Transport) newStream(rpc drpc.Stream, conn *countedConn) *stream {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lastID++
+func (t *Transport) newStream(rpc drpc.Stream, conn *countedConn) *stream {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lastID++
 	st := &stream{
-		id: s.lastID, rpc: rpc, conn: conn,
+		id: t.lastID, rpc: rpc, conn: conn,
 		out: make(chan []byte, outboxSize), done: make(chan struct{}), last: make(chan struct{}),
 	}
-	s.streams[st.id] = st
+	t.streams[st.id] = st
 	return st
 }
 
 // serveLink takes a link that a peer opens. The peer's name in its
 // certificate must be the host that it says it is.
-func (s *Transport) serveLink(rpc drpc.Stream) error {
+func (t *Transport) serveLink(rpc drpc.Stream) error {
 	p, _ := rpc.Context().Value(peerKey{}).(*inboundPeer)
 	if p == nil {
 		return errors.New("peer: connection without identity")
@@ -197,37 +197,37 @@
 	_ = p.conn.SetReadDeadline(time.Now().Add(helloWithin))
 	hello, err := recvHello(rpc)
 	if err != nil {
-		s.log.Emit(event.PeerGarbage, event.Fields{event.Subject: p.conn.RemoteAddr().String()})
+		t.log.Emit(event.PeerGarbage, event.Fields{event.Subject: p.conn.RemoteAddr().String()})
 		return err
 	}
 	if p.name != "" && p.name != hello.Member.Host {
-		s.refused.Inc()
-		s.log.Emit(event.PeerRefused, event.Fields{event.Subject: p.name, "claims": hello.Member.Host})
+		t.refused.Inc()
+		t.log.Emit(event.PeerRefused, event.Fields{event.Subject: p.name, "claims": hello.Member.Host})
 		return errors.Errorf("peer: %q says that it is %q", p.name, hello.Member.Host)
 	}
 	_ = p.conn.SetReadDeadline(time.Time{})
 	p.conn.far(hello.Member)
-	st := s.newStream(rpc, p.conn)
-	s.converse(st, LinkUp{Link: st.id, Hello: hello})
+	st := t.newStream(rpc, p.conn)
+	t.converse(st, LinkUp{Link: st.id, Hello: hello})
 	return nil
 }
 
 // converse runs an open link until either side ends it.
-func (s *Transport) converse(st *stream, up LinkUp) {
-	stop := context.AfterFunc(s.ctx, st.close)
+func (t *Transport) converse(st *stream, up LinkUp) {
+	stop := context.AfterFunc(t.ctx, st.close)
 	defer stop()
-	s.wg.Go(func() { s.write(st) })
-	if s.Post(up) {
-		s.read(st)
+	t.wg.Go(func() { t.write(st) })
+	if t.Post(up) {
+		t.read(st)
 	}
 	st.close()
-	s.mu.Lock()
-	delete(s.streams, st.id)
-	s.mu.Unlock()
-	s.Post(LinkDown{st.id})
+	t.mu.Lock()
+	delete(t.streams, st.id)
+	t.mu.Unlock()
+	t.Post(LinkDown{st.id})
 }
 
-func (s *Transport) read(st *stream) {
+func (t *Transport) read(st *stream) {
 	for {
 		var m blob
 		if err := st.rpc.MsgRecv(&m, encoding{}); err != nil {
@@ -235,16 +235,16 @@
 		}
 		f, err := DecodeFrame(m.bytes)
 		if err != nil {
-			s.log.Emit(event.PeerGarbage, event.Fields{event.Subject: st.conn.RemoteAddr().String()})
+			t.log.Emit(event.PeerGarbage, event.Fields{event.Subject: st.conn.RemoteAddr().String()})
 			return
 		}
-		if !s.Post(Received{st.id, f}) {
+		if !t.Post(Received{st.id, f}) {
 			return
 		}
 	}
 }
 
-func (s *Transport) write(st *stream) {
+func (t *Transport) write(st *stream) {
 	defer st.close()
 	for {
 		select {
--- a/briarrockd/peer/traffic.go
+++ b/briarrockd/peer/traffic.go
@@ -88,7 +88,7 @@
 }
 
 // Traffic returns the control bytes so far.
-func (s *Transport) Traffic() Traffic {
+func (t *Transport) Traffic() Traffic {
 	sum := func(p [2]*metrics.Counter) uint64 { return p[0].Get() + p[1].Get() }
-	return Traffic{sum(s.traffic.domain), sum(s.traffic.region), sum(s.traffic.paid), s.traffic.paid[0].Get()}
+	return Traffic{sum(t.traffic.domain), sum(t.traffic.region), sum(t.traffic.paid), t.traffic.paid[0].Get()}
 }
--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -144,106 +144,106 @@
 }
 
 // heardVersion notes that a peer holds a version.
-func (h *Core) heardVersion(l *link, number uint64, hash snapshot.Hash) {
+func (c *Core) heardVersion(l *link, number uint64, hash snapshot.Hash) {
 	l.version = max(l.version, number)
-	if number > h.version.number {
-		h.wantVersion(number, hash, l.id)
+	if number > c.version.number {
+		c.wantVersion(number, hash, l.id)
 		return
 	}
-	h.peerBehind(l, number)
+	c.peerBehind(l, number)
 }
 
 // wantVersion starts to fetch a version, or adds one more source for it.
-func (h *Core) wantVersion(number uint64, hash snapshot.Hash, from LinkID) {
-	w := &h.version.want
-	if number < w.number || number <= h.version.number {
+func (c *Core) wantVersion(number uint64, hash snapshot.Hash, from LinkID) {
+	w := &c.version.want
+	if number < w.number || number <= c.version.number {
 		return
 	}
 	if number > w.number || hash != w.hash {
-		h.version.want = want{number: number, hash: hash}
-		w = &h.version.want
+		c.version.want = want{number: number, hash: hash}
+		w = &c.version.want
 	}
 	if from != 0 && len(w.sources) < maxSources {
 		w.sources = append(w.sources, from)
 	}
-	if b, ok := h.version.content[hash]; ok {
-		h.arrived(number, hash, b)
+	if b, ok := c.version.content[hash]; ok {
+		c.arrived(number, hash, b)
 		return
 	}
 	if w.asked {
 		return
 	}
-	if at := h.fetchAt(); at.After(h.now) {
+	if at := c.fetchAt(); at.After(c.now) {
 		// As if it had been asked for then in vain: retryRequest goes on from there.
 		w.asked, w.askedAt, w.tries = true, at.Add(-hedgeAfter), 1
 		return
 	}
-	h.ask()
+	c.ask()
 }
 
 // ask asks the next source for the wanted version, in the end the store.
-func (h *Core) ask() {
-	w := &h.version.want
+func (c *Core) ask() {
+	w := &c.version.want
 	w.asked = true
-	w.askedAt = h.now
+	w.askedAt = c.now
 	w.tries++
 	for len(w.sources) > 0 {
 		id := w.sources[len(w.sources)-1]
 		w.sources = w.sources[:len(w.sources)-1]
-		l := h.links[id]
+		l := c.links[id]
 		if l == nil {
 			continue
 		}
-		have := h.version.hash
+		have := c.version.hash
 		if w.whole {
 			have = snapshot.Hash{}
 		}
-		h.send(l, Fetch{w.number, w.hash, have})
+		c.send(l, Fetch{w.number, w.hash, have})
 		return
 	}
-	if w.reading || h.cfg.DelegatePolling {
+	if w.reading || c.cfg.DelegatePolling {
 		return
 	}
 	w.reading = true
-	h.do(ReadObject{w.hash})
+	c.do(ReadObject{w.hash})
 }
 
-func (h *Core) tickVersion() {
-	v := &h.version
+func (c *Core) tickVersion() {
+	v := &c.version
 	if v.started.IsZero() {
-		v.started = h.now
+		v.started = c.now
 	}
-	h.retryRequest()
-	for _, l := range h.sortedLinks() {
-		h.tellLazy(l)
+	c.retryRequest()
+	for _, l := range c.sortedLinks() {
+		c.tellLazy(l)
 	}
-	h.becomeReady()
-	h.serve()
+	c.becomeReady()
+	c.serve()
 }
 
 // retryRequest goes on to the next source when one has not answered in time. A
 // version that nobody can give in the end is given up: its number may have
 // come from a peer in error, and must not keep the node from the true head.
-func (h *Core) retryRequest() {
-	w := &h.version.want
-	if !w.asked || h.now.Sub(w.askedAt) <= hedgeAfter*time.Duration(w.tries) {
+func (c *Core) retryRequest() {
+	w := &c.version.want
+	if !w.asked || c.now.Sub(w.askedAt) <= hedgeAfter*time.Duration(w.tries) {
 		return
 	}
 	if w.tries >= maxTries {
-		h.log(event.VersionNotFound, event.Fields{"version": w.number, "tries": w.tries})
-		h.version.want = want{}
+		c.log(event.VersionNotFound, event.Fields{"version": w.number, "tries": w.tries})
+		c.version.want = want{}
 		return
 	}
 	if len(w.sources) == 0 {
-		h.addSources()
+		c.addSources()
 	}
-	h.ask()
+	c.ask()
 }
 
 // addSources collects the links whose peers are known to have the version.
-func (h *Core) addSources() {
-	w := &h.version.want
-	for _, l := range h.sortedLinks() {
+func (c *Core) addSources() {
+	w := &c.version.want
+	for _, l := range c.sortedLinks() {
 		if l.version >= w.number && len(w.sources) < maxSources {
 			w.sources = append(w.sources, l.id)
 		}
@@ -251,110 +251,110 @@
 }
 
 // fetch answers a peer that asks for a version.
-func (h *Core) fetch(l *link, f Fetch) {
-	h.remembered(l, f.Version)
-	b, ok := h.version.content[f.Hash]
+func (c *Core) fetch(l *link, f Fetch) {
+	c.remembered(l, f.Version)
+	b, ok := c.version.content[f.Hash]
 	if !ok {
-		h.send(l, Content{Version: f.Version, Hash: f.Hash})
+		c.send(l, Content{Version: f.Version, Hash: f.Hash})
 		return
 	}
 	out := Content{Version: f.Version, Hash: f.Hash}
 	var base []byte
-	if have, ok := h.version.content[f.Base]; ok {
+	if have, ok := c.version.content[f.Base]; ok {
 		base = have
 		out.Base = f.Base
 	}
-	p, err := h.packOnce(out.Base, f.Hash, base, b)
+	p, err := c.packOnce(out.Base, f.Hash, base, b)
 	if err != nil {
 		return
 	}
 	out.Packed = p
-	h.sawUse(l, f.Version)
-	h.send(l, out)
+	c.sawUse(l, f.Version)
+	c.send(l, out)
 }
 
 // content takes a version from a peer. What doesn't fit is dropped whole: the
 // node goes on with the version that it has and asks somebody else.
-func (h *Core) content(l *link, f Content) {
-	if f.Push && f.Version > h.version.number && h.unpackPush(f) {
-		h.pushed(l, f)
+func (c *Core) content(l *link, f Content) {
+	if f.Push && f.Version > c.version.number && c.unpackPush(f) {
+		c.pushed(l, f)
 		return
 	}
 	if f.Push {
-		h.pushed(l, f)
+		c.pushed(l, f)
 	}
-	w := &h.version.want
-	if f.Push || f.Version != w.number || f.Hash != w.hash || f.Version <= h.version.number {
+	w := &c.version.want
+	if f.Push || f.Version != w.number || f.Hash != w.hash || f.Version <= c.version.number {
 		return
 	}
 	if len(f.Packed) == 0 {
-		h.ask()
+		c.ask()
 		return
 	}
-	base := h.version.content[f.Base]
+	base := c.version.content[f.Base]
 	if !f.Base.IsZero() && base == nil {
 		w.whole = true
-		h.requestAgain(l)
+		c.requestAgain(l)
 		return
 	}
-	if !h.unpack(l.host, base, f) {
+	if !c.unpack(l.host, base, f) {
 		w.whole = true
-		h.ask()
+		c.ask()
 		return
 	}
-	h.acknowledge(l, f.Version)
-	h.remembered(l, f.Version)
+	c.acknowledge(l, f.Version)
+	c.remembered(l, f.Version)
 }
 
 // requestAgain asks the same source once more, for the whole this time.
-func (h *Core) requestAgain(l *link) {
-	h.version.want.sources = append(h.version.want.sources, l.id)
-	h.ask()
+func (c *Core) requestAgain(l *link) {
+	c.version.want.sources = append(c.version.want.sources, l.id)
+	c.ask()
 }
 
-func (h *Core) refuse(from string, number uint64, err error) {
-	h.log(event.VersionRefused, event.Fields{event.Subject: from, "version": number, "error": err.Error()})
+func (c *Core) refuse(from string, number uint64, err error) {
+	c.log(event.VersionRefused, event.Fields{event.Subject: from, "version": number, "error": err.Error()})
 }
 
-func (h *Core) objectRead(m ObjectRead) {
-	w := &h.version.want
-	if m.Hash != w.hash || w.number <= h.version.number {
+func (c *Core) objectRead(m ObjectRead) {
+	w := &c.version.want
+	if m.Hash != w.hash || w.number <= c.version.number {
 		return
 	}
 	w.reading = false
 	if m.Err != nil {
-		h.log(event.VersionNotFound, event.Fields{"version": w.number, "error": m.Err.Error()})
+		c.log(event.VersionNotFound, event.Fields{"version": w.number, "error": m.Err.Error()})
 		return
 	}
-	h.arrived(w.number, m.Hash, m.Content)
+	c.arrived(w.number, m.Hash, m.Content)
 }
 
-func (h *Core) committed(m Committed) {
-	h.arrived(m.Version, m.Hash, m.Content)
+func (c *Core) committed(m Committed) {
+	c.arrived(m.Version, m.Hash, m.Content)
 	at := m.At
 	if at.IsZero() {
-		at = h.now
+		at = c.now
 	}
-	h.watch.seen = max(h.watch.seen, m.Cursor)
-	h.headIs(m.Version, at)
+	c.watch.seen = max(c.watch.seen, m.Cursor)
+	c.headIs(m.Version, at)
 	if m.Cursor > 0 {
-		h.broadcastPoll(at)
+		c.broadcastPoll(at)
 	}
 }
 
 // arrived verifies a version and, if it is whole and newer, puts it into use.
 // It tells whether the content was whole.
-func (h *Core) arrived(number uint64, hash snapshot.Hash, b []byte) bool {
+func (c *Core) arrived(number uint64, hash snapshot.Hash, b []byte) bool {
 	s, err := snapshot.Open(b, hash)
 	if err != nil {
-		h.refuse("", number, err)
+		c.refuse("", number, err)
 		return false
 	}
-	if number <= h.version.number {
-		h.log(event.VersionOld, event.Fields{"version": number, "inuse": h.version.number})
+	if number <= c.version.number {
+		c.log(event.VersionOld, event.Fields{"version": number, "inuse": c.version.number})
 		return true
 	}
-	h.version.keep(hash, b)
-	h.use(number, hash, s)
+	c.version.keep(hash, b)
+	c.use(number, hash, s)
 	return true
 }
--- a/briarrockd/peer/watch.go
+++ b/briarrockd/peer/watch.go
@@ -70,33 +70,33 @@
 // which stands for never. The age counts from the peer's sending, so the way
 // here only makes it look younger by the delay of one message, which the
 // thresholds are far above.
-func (h *Core) ago(ms uint64) time.Time {
+func (c *Core) ago(ms uint64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
-	return h.now.Add(-time.Duration(ms) * time.Millisecond)
+	return c.now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
 // heardFresh takes a peer's word of a read of the head.
 //
 // The peer's version is at least the head of that time, so the word counts
 // only once this node has that version too.
-func (h *Core) heardFresh(k poll) {
-	if k.at.IsZero() || k.at.After(h.now) {
+func (c *Core) heardFresh(k poll) {
+	if k.at.IsZero() || k.at.After(c.now) {
 		return
 	}
-	if k.version > h.version.number {
-		if k.at.After(h.watch.ahead.at) {
-			h.watch.ahead = k
+	if k.version > c.version.number {
+		if k.at.After(c.watch.ahead.at) {
+			c.watch.ahead = k
 		}
 		return
 	}
-	h.counts(k)
+	c.counts(k)
 }
 
 // counts takes in a poll whose version this node has.
-func (h *Core) counts(k poll) {
-	w := &h.watch
+func (c *Core) counts(k poll) {
+	w := &c.watch
 	if k.at.After(w.freshAt) {
 		w.freshAt = k.at
 	}
@@ -118,10 +118,10 @@
 }
 
 // threshold is how old the last read may be before this node reads itself.
-func (h *Core) threshold() time.Duration {
-	i := h.position()
+func (c *Core) threshold() time.Duration {
+	i := c.position()
 	switch {
-	case i == 0 && h.leads():
+	case i == 0 && c.leads():
 		return leadReads
 	case i == 0:
 		return rootReads
@@ -134,110 +134,110 @@
 
 // Leads tells whether this node is the one that reads the head as a rule, and
 // does the mesh's other small regular work at the platform.
-func (h *Core) IsLeader() bool { return h.isRoot() && h.leads() }
+func (c *Core) IsLeader() bool { return c.isRoot() && c.leads() }
 
 // leads tells whether this node's domain is the first of all, those in the
 // store's region before the others.
-func (h *Core) leads() bool {
+func (c *Core) leads() bool {
 	first := ""
-	for _, name := range h.table.names() {
-		d := h.table.domains[name]
-		if first == "" || (d.region == h.cfg.StoreRegion && h.table.domains[first].region != h.cfg.StoreRegion) {
+	for _, name := range c.table.names() {
+		d := c.table.domains[name]
+		if first == "" || (d.region == c.cfg.StoreRegion && c.table.domains[first].region != c.cfg.StoreRegion) {
 			first = name
 		}
 	}
-	return first == h.self.Domain
+	return first == c.self.Domain
 }
 
 // tickWatch reads the head when nobody else seems to.
-func (h *Core) tickWatch() {
-	w := &h.watch
-	if h.cfg.DelegatePolling || w.reading || h.now.Before(w.nextAt) || h.self.State == Leaving {
+func (c *Core) tickWatch() {
+	w := &c.watch
+	if c.cfg.DelegatePolling || w.reading || c.now.Before(w.nextAt) || c.self.State == Leaving {
 		return
 	}
-	if h.version.ready && h.now.Sub(w.freshAt) < h.threshold() {
+	if c.version.ready && c.now.Sub(w.freshAt) < c.threshold() {
 		return
 	}
-	if h.now.Sub(w.startedAt) < h.firstRead() {
+	if c.now.Sub(w.startedAt) < c.firstRead() {
 		return
 	}
 	w.reading = true
-	w.readAt = h.now
-	h.do(ReadHead{})
+	w.readAt = c.now
+	c.do(ReadHead{})
 }
 
 // firstRead spreads the first reads of a herd that starts together, by the
 // number of nodes and this node's place among the hosts.
-func (h *Core) firstRead() time.Duration {
-	n := time.Duration(max(h.Members(), h.cfg.ExpectedHosts))
+func (c *Core) firstRead() time.Duration {
+	n := time.Duration(max(c.Members(), c.cfg.ExpectedHosts))
 	whole := firstSpread * n / firstPer
-	return whole * time.Duration(score(h.self.Host)%1000) / 1000
+	return whole * time.Duration(score(c.self.Host)%1000) / 1000
 }
 
-func (h *Core) headRead(m HeadRead) {
-	w := &h.watch
+func (c *Core) headRead(m HeadRead) {
+	w := &c.watch
 	w.reading = false
 	if m.Err != nil {
-		h.headFailed(m.Err)
+		c.headFailed(m.Err)
 		return
 	}
 	if w.fails > 0 {
-		h.log(event.StoreUp, event.Fields{"fails": w.fails})
+		c.log(event.StoreUp, event.Fields{"fails": w.fails})
 	}
 	w.fails = 0
-	w.nextAt = h.now.Add(leadReads/2 + h.jitter(leadReads/4))
-	if h.position() >= bridges {
-		w.nextAt = h.now.Add(h.jitter(otherSpread))
+	w.nextAt = c.now.Add(leadReads/2 + c.jitter(leadReads/4))
+	if c.position() >= bridges {
+		w.nextAt = c.now.Add(c.jitter(otherSpread))
 	}
-	h.version.quarantine(m.Version)
-	if m.Version > h.version.number {
+	c.version.quarantine(m.Version)
+	if m.Version > c.version.number {
 		w.ahead = poll{version: m.Version, at: w.readAt, own: true}
-		h.headAhead(m.Version, m.Hash)
+		c.headAhead(m.Version, m.Hash)
 		return
 	}
-	h.headIs(h.version.number, w.readAt)
+	c.headIs(c.version.number, w.readAt)
 }
 
 // headIs notes that the head was read no earlier than at, and that this node
 // has the version that it named.
-func (h *Core) headIs(version uint64, at time.Time) {
-	if h.version.number < version {
+func (c *Core) headIs(version uint64, at time.Time) {
+	if c.version.number < version {
 		return
 	}
-	h.counts(poll{version: version, at: at, own: true})
-	h.becomeReady()
+	c.counts(poll{version: version, at: at, own: true})
+	c.becomeReady()
 }
 
 // caughtUp lets a poll count once the version that it named has arrived.
-func (h *Core) caughtUp() {
-	k := h.watch.ahead
-	if k.version == 0 || h.version.number < k.version {
+func (c *Core) caughtUp() {
+	k := c.watch.ahead
+	if k.version == 0 || c.version.number < k.version {
 		return
 	}
-	h.watch.ahead = poll{}
-	h.counts(k)
+	c.watch.ahead = poll{}
+	c.counts(k)
 }
 
-func (h *Core) headFailed(err error) {
-	w := &h.watch
+func (c *Core) headFailed(err error) {
+	w := &c.watch
 	if w.fails == 0 {
-		h.log(event.StoreDown, event.Fields{"error": err.Error()})
+		c.log(event.StoreDown, event.Fields{"error": err.Error()})
 	}
 	w.fails++
 	pause := min(leadReads<<min(w.fails, 6), maxBackoff)
-	if h.position() >= bridges {
+	if c.position() >= bridges {
 		pause = otherSpread
 	}
-	w.nextAt = h.now.Add(pause/2 + h.jitter(pause))
+	w.nextAt = c.now.Add(pause/2 + c.jitter(pause))
 }
 
 // headAhead fetches a version that the head names: from a peer that is known
 // to have it, or else from the store.
-func (h *Core) headAhead(number uint64, hash snapshot.Hash) {
-	for _, l := range h.sortedLinks() {
+func (c *Core) headAhead(number uint64, hash snapshot.Hash) {
+	for _, l := range c.sortedLinks() {
 		if l.version >= number {
-			h.wantVersion(number, hash, l.id)
+			c.wantVersion(number, hash, l.id)
 		}
 	}
-	h.wantVersion(number, hash, 0)
+	c.wantVersion(number, hash, 0)
 }
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -109,9 +109,9 @@
 
 // allWatch tells whether each node watches for itself: no domain of the region is
 // large.
-func (h *Core) allWatch() bool {
-	for _, d := range h.table.domains {
-		if d.region == h.self.Region && d.count > wholeDomain {
+func (c *Core) allWatch() bool {
+	for _, d := range c.table.domains {
+		if d.region == c.self.Region && d.count > wholeDomain {
 			return false
 		}
 	}
@@ -120,44 +120,44 @@
 
 // watches tells whether this node is one of those that watch for a large region,
 // while no region nearer to the platform does.
-func (h *Core) watches() bool {
-	if h.now.Sub(h.watch.role.nearAt) <= lapseAfter {
+func (c *Core) watches() bool {
+	if c.now.Sub(c.watch.role.nearAt) <= lapseAfter {
 		return false
 	}
-	return slices.ContainsFunc(h.carriers(h.self.Region), func(r *record) bool { return r.Host == h.self.Host })
+	return slices.ContainsFunc(c.carriers(c.self.Region), func(r *record) bool { return r.Host == c.self.Host })
 }
 
 // updateWatchRole decides whether this node is to poll the platform, and how.
-func (h *Core) updateWatchRole() {
-	if !h.cfg.DelegatePolling {
+func (c *Core) updateWatchRole() {
+	if !c.cfg.DelegatePolling {
 		return
 	}
-	w := h.watchRole()
-	h.announce()
-	d := &h.watch.role
+	w := c.watchRole()
+	c.announce()
+	d := &c.watch.role
 	if d.told && w.On == d.now.On && w.Wait == d.now.Wait && w.Fallback == d.now.Fallback {
 		return
 	}
 	if w.On && w.Fallback && (!d.now.On || !d.now.Fallback) {
-		h.broadcastTry()
+		c.broadcastTry()
 	}
 	d.now, d.told = w, true
-	h.do(w)
+	c.do(w)
 }
 
-func (h *Core) watchRole() Watch {
-	w := Watch{On: true, Cursor: h.watch.seen}
+func (c *Core) watchRole() Watch {
+	w := Watch{On: true, Cursor: c.watch.seen}
 	switch {
-	case !h.version.ready:
-		w.On = h.readsAtStart()
-	case h.allWatch():
+	case !c.version.ready:
+		w.On = c.readsAtStart()
+	case c.allWatch():
 		w.Wait = watchLong
-	case h.watches():
+	case c.watches():
 		w.Wait = watchShort
 	default:
 		w.Fallback = true
-		w.On = h.lapsed()
-		if h.now.Sub(h.watch.role.ownAt) <= announceFor {
+		w.On = c.lapsed()
+		if c.now.Sub(c.watch.role.ownAt) <= announceFor {
 			// The first poll is answered at once, and spares the others theirs.
 			w.Wait = watchShort
 		}
@@ -169,64 +169,64 @@
 // A restarted node does so as soon as it has a version to confirm. Where nobody that it
 // is linked to has one either, the carriers read it for all: whole copies for each node
 // would fill the link between regions for seconds.
-func (h *Core) readsAtStart() bool {
-	since := h.now.Sub(h.watch.startedAt)
-	carrier := len(h.links) > 0 && h.watches()
+func (c *Core) readsAtStart() bool {
+	since := c.now.Sub(c.watch.startedAt)
+	carrier := len(c.links) > 0 && c.watches()
 	switch {
-	case h.cfg.Bootstrap:
+	case c.cfg.Bootstrap:
 		return since >= bootFirst || (since >= peersFirst && carrier)
-	case h.version.number > 0 || h.stored.small:
+	case c.version.number > 0 || c.stored.small:
 		return true
 	case carrier:
 		return since >= carriersFirst
-	case len(h.links) == 0:
+	case len(c.links) == 0:
 		return since >= peersFirst
 	default:
-		return since >= peersFirst+readSpread*time.Duration(max(h.position(), 0))
+		return since >= peersFirst+readSpread*time.Duration(max(c.position(), 0))
 	}
 }
 
 // lapsed tells whether nobody else seems to poll the platform. Where others have just
 // tried, this node waits for its turn: a poll that succeeds makes its own needless,
 // and one that fails most likely fails for all.
-func (h *Core) lapsed() bool {
-	d := &h.watch.role
-	n := len(h.table.members(h.self.Domain))
-	spread := lapseSpread * time.Duration(max(h.position(), 0)) / time.Duration(n+1)
+func (c *Core) lapsed() bool {
+	d := &c.watch.role
+	n := len(c.table.members(c.self.Domain))
+	spread := lapseSpread * time.Duration(max(c.position(), 0)) / time.Duration(n+1)
 	// A version that has come says as well that somebody polls.
-	silent := h.now.Sub(later(d.heardAt, h.version.stagedAt)) > lapseAfter+spread
-	if silent && h.now.Sub(d.triedAt) > d.pause {
-		d.until = h.now.Add(lapseKeep)
+	silent := c.now.Sub(later(d.heardAt, c.version.stagedAt)) > lapseAfter+spread
+	if silent && c.now.Sub(d.triedAt) > d.pause {
+		d.until = c.now.Add(lapseKeep)
 	}
-	return h.now.Before(d.until)
+	return c.now.Before(d.until)
 }
 
 // pollFailed notes that this node's own poll had no answer. A spare node leaves the
 // next try to the others.
-func (h *Core) pollFailed() {
-	h.watch.fails++
-	d := &h.watch.role
+func (c *Core) pollFailed() {
+	c.watch.fails++
+	d := &c.watch.role
 	if !d.now.Fallback {
 		return
 	}
 	d.until = time.Time{}
-	h.tried()
-	h.updateWatchRole()
+	c.tried()
+	c.updateWatchRole()
 }
 
 // tried draws the pause after a poll by a spare node, here or elsewhere.
-func (h *Core) tried() {
-	d := &h.watch.role
-	d.triedAt, d.pause = h.now, h.jitter(spareEvery*time.Duration(h.Members()))
+func (c *Core) tried() {
+	d := &c.watch.role
+	d.triedAt, d.pause = c.now, c.jitter(spareEvery*time.Duration(c.Members()))
 }
 
 // polled takes this node's own poll of the platform, which found nothing newer
 // than what it has told.
-func (h *Core) polled(m Polled) {
-	h.watch.seen = max(h.watch.seen, m.Cursor)
-	h.watch.role.measured(m.RTT)
-	h.headIs(h.version.number, m.At)
-	h.broadcastPoll(m.At)
+func (c *Core) polled(m Polled) {
+	c.watch.seen = max(c.watch.seen, m.Cursor)
+	c.watch.role.measured(m.RTT)
+	c.headIs(c.version.number, m.At)
+	c.broadcastPoll(m.At)
 }
 
 // measured takes the delay of one poll. The least of late counts: what it is above
@@ -244,40 +244,40 @@
 // broadcastPoll tells the other nodes of this node's own poll, if it polls for them. A
 // herd of starting nodes polls as well, each for itself, and takes itself for a carrier
 // until it knows the others: notices of that would grow with the square of the hosts.
-func (h *Core) broadcastPoll(at time.Time) {
-	d := &h.watch.role
-	forOthers := d.now.Fallback || (d.now.Wait > 0 && h.now.Sub(h.watch.startedAt) >= announceAfter)
-	if !h.cfg.DelegatePolling || h.allWatch() || !d.now.On || !forOthers {
+func (c *Core) broadcastPoll(at time.Time) {
+	d := &c.watch.role
+	forOthers := d.now.Fallback || (d.now.Wait > 0 && c.now.Sub(c.watch.startedAt) >= announceAfter)
+	if !c.cfg.DelegatePolling || c.allWatch() || !d.now.On || !forOthers {
 		return
 	}
-	d.announcedAt = h.now
-	f := h.ownNotice()
-	f.Version, f.Cursor, f.HeadAge = h.version.number, h.watch.seen, age(h.now, at)
+	d.announcedAt = c.now
+	f := c.ownNotice()
+	f.Version, f.Cursor, f.HeadAge = c.version.number, c.watch.seen, age(c.now, at)
 	f.RTT = uint64(d.delay.Milliseconds())
-	h.floodFresh(0, f)
+	c.floodFresh(0, f)
 }
 
 // announce tells the other nodes that this node still watches, while its poll waits.
-func (h *Core) announce() {
-	d := &h.watch.role
-	waits := d.now.On && d.now.Wait > 0 && h.watch.fails == 0
-	if waits && h.now.Sub(d.announcedAt) >= announceEvery && h.now.Sub(d.ownAt) <= announceFor {
-		h.broadcastPoll(d.ownAt)
+func (c *Core) announce() {
+	d := &c.watch.role
+	waits := d.now.On && d.now.Wait > 0 && c.watch.fails == 0
+	if waits && c.now.Sub(d.announcedAt) >= announceEvery && c.now.Sub(d.ownAt) <= announceFor {
+		c.broadcastPoll(d.ownAt)
 	}
 }
 
 // broadcastTry tells the other nodes that this one begins to poll since nobody else
 // seems to.
-func (h *Core) broadcastTry() {
-	f := h.ownNotice()
+func (c *Core) broadcastTry() {
+	f := c.ownNotice()
 	f.Started = true
-	h.floodFresh(0, f)
+	c.floodFresh(0, f)
 }
 
-func (h *Core) ownNotice() PollNotice {
-	d := &h.watch.role
+func (c *Core) ownNotice() PollNotice {
+	d := &c.watch.role
 	d.notices++
-	return PollNotice{Host: h.self.Host, Incarnation: h.self.Incarnation, Serial: d.notices, Region: h.self.Region}
+	return PollNotice{Host: c.self.Host, Incarnation: c.self.Incarnation, Serial: d.notices, Region: c.self.Region}
 }
 
 // fresh takes a peer's notice of a poll of the platform, and passes it on.
@@ -286,46 +286,46 @@
 // could come back to a node by another way it would seem younger each time, and
 // over slow links a region would go on telling itself that somebody polls long
 // after nobody did.
-func (h *Core) fresh(l *link, f PollNotice) {
-	d := &h.watch.role
+func (c *Core) fresh(l *link, f PollNotice) {
+	d := &c.watch.role
 	name := noticeName{f.Incarnation, f.Serial}
 	last, known := d.pollers[f.Host]
-	if f.Host == h.self.Host || (known && !name.after(last)) {
+	if f.Host == c.self.Host || (known && !name.after(last)) {
 		return
 	}
 	if d.pollers == nil || len(d.pollers) >= maxPollers {
 		d.pollers = make(map[string]noticeName)
 	}
 	d.pollers[f.Host] = name
-	if f.Region != h.self.Region && f.RTT > 0 && nearer*time.Duration(f.RTT)*time.Millisecond < d.delay {
-		d.nearAt = h.now
+	if f.Region != c.self.Region && f.RTT > 0 && nearer*time.Duration(f.RTT)*time.Millisecond < d.delay {
+		d.nearAt = c.now
 	}
 	if f.Started {
-		h.tried()
+		c.tried()
 	} else {
-		h.heardFresh(poll{version: f.Version, seen: f.Cursor, at: h.ago(f.HeadAge), told: h.now})
+		c.heardFresh(poll{version: f.Version, seen: f.Cursor, at: c.ago(f.HeadAge), told: c.now})
 	}
-	h.floodFresh(l.id, f)
+	c.floodFresh(l.id, f)
 }
 
-func (h *Core) floodFresh(from LinkID, f PollNotice) {
-	for _, l := range h.sortedLinks() {
-		if l.id != from && !l.lazy && !h.restricted(l) {
-			h.send(l, f)
+func (c *Core) floodFresh(from LinkID, f PollNotice) {
+	for _, l := range c.sortedLinks() {
+		if l.id != from && !l.lazy && !c.restricted(l) {
+			c.send(l, f)
 		}
 	}
 }
 
 // fetchAt is from when on a version that a peer has may be asked for.
-func (h *Core) fetchAt() time.Time {
+func (c *Core) fetchAt() time.Time {
 	switch {
-	case !h.cfg.DelegatePolling || !h.version.ready:
-		return h.now
-	case h.watch.role.now.On:
+	case !c.cfg.DelegatePolling || !c.version.ready:
+		return c.now
+	case c.watch.role.now.On:
 		// This node's own watch has most likely seen the version too. A peer is
 		// asked only if it has not come by then.
-		return h.now.Add(hedgeAfter)
+		return c.now.Add(hedgeAfter)
 	default:
-		return h.version.stagedAt.Add(fetchEvery)
+		return c.version.stagedAt.Add(fetchEvery)
 	}
 }
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -23,28 +23,28 @@
 	}
 	order := probe.members("erie-a")
 	self := order[n-1].Host
-	h := New(Config{Self: member(self), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member(self), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	for i := range bridges {
 		m := member(order[i].Host)
-		h.Step(now, LinkUp{Link: LinkID(i + 1), Hello: Hello{Member: m}, Addr: m.PeerAddr})
+		core.Step(now, LinkUp{Link: LinkID(i + 1), Hello: Hello{Member: m}, Addr: m.PeerAddr})
 	}
 	for _, host := range hosts {
-		h.Step(now, Received{1, Records{[]Member{member(host)}}})
+		core.Step(now, Received{1, Records{[]Member{member(host)}}})
 	}
 	b, hash := bytesOf(c, 1)
-	h.Step(now, Committed{Version: 1, Hash: hash, Content: b, Cursor: 10, At: now})
-	c.Assert(h.Members(), qt.Equals, n)
-	return h, now
+	core.Step(now, Committed{Version: 1, Hash: hash, Content: b, Cursor: 10, At: now})
+	c.Assert(core.Members(), qt.Equals, n)
+	return core, now
 }
 
 // beats steps a Core while its first peer tells of polls of the platform.
-func beats(h *Core, now time.Time, d time.Duration, f PollNotice) (time.Time, []Cmd) {
+func beats(core *Core, now time.Time, d time.Duration, f PollNotice) (time.Time, []Cmd) {
 	var out []Cmd
 	for end := now.Add(d); now.Before(end); {
 		f.Serial++
-		out = append(out, h.Step(now, Received{1, f})...)
+		out = append(out, core.Step(now, Received{1, f})...)
 		var cmds []Cmd
-		now, cmds = ticks(h, now, announceEvery)
+		now, cmds = ticks(core, now, announceEvery)
 		out = append(out, cmds...)
 	}
 	return now, out
@@ -76,26 +76,26 @@
 // so that the rest of the domain hears of it before they lapse as well.
 func TestDuty(t *testing.T) {
 	c := qt.New(t)
-	h, now := large(c, 25)
-	now, cmds := beats(h, now, 10*time.Second, told(1, 40))
+	core, now := large(c, 25)
+	now, cmds := beats(core, now, 10*time.Second, told(1, 40))
 	w, ok := watchOf(cmds)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(w.On, qt.IsFalse)
 
 	quiet := now
 	for ok = false; !ok || !w.On; {
-		now, cmds = ticks(h, now, TickInterval)
+		now, cmds = ticks(core, now, TickInterval)
 		w, ok = watchOf(cmds)
 		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread, qt.IsTrue)
 	}
 	c.Check(now.Sub(quiet) >= lapseAfter-announceEvery, qt.IsTrue)
 	c.Check(w, qt.Equals, Watch{On: true, Cursor: 40, Fallback: true})
-	h.Step(now, Polled{Cursor: 41, At: now})
-	now, cmds = ticks(h, now, TickInterval)
+	core.Step(now, Polled{Cursor: 41, At: now})
+	now, cmds = ticks(core, now, TickInterval)
 	w, _ = watchOf(cmds)
 	c.Check(w, qt.Equals, Watch{On: true, Cursor: 41, Wait: watchShort, Fallback: true})
 
-	_, cmds = beats(h, now, lapseKeep+2*time.Second, told(1, 41))
+	_, cmds = beats(core, now, lapseKeep+2*time.Second, told(1, 41))
 	w, ok = watchOf(cmds)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(w.On, qt.IsFalse)
@@ -108,17 +108,17 @@
 // version has come.
 func TestDutyBehind(t *testing.T) {
 	c := qt.New(t)
-	h, now := large(c, 25)
-	now, cmds := beats(h, now, 4*time.Second, told(2, 50))
+	core, now := large(c, 25)
+	now, cmds := beats(core, now, 4*time.Second, told(2, 50))
 	w, _ := watchOf(cmds)
 	c.Check(w.On, qt.IsTrue)
 	c.Check(w.Cursor, qt.Equals, uint64(10))
 	next := content(c, 2, 2)
-	h.Step(now, Received{1, VersionNotice{2, next.Hash, true}})
-	now, _ = ticks(h, now, hedgeAfter+2*TickInterval)
-	h.Step(now, Received{1, told(2, 50)})
-	h.Step(now, Received{1, next})
-	c.Check(h.watch.seen, qt.Equals, uint64(50))
+	core.Step(now, Received{1, VersionNotice{2, next.Hash, true}})
+	now, _ = ticks(core, now, hedgeAfter+2*TickInterval)
+	core.Step(now, Received{1, told(2, 50)})
+	core.Step(now, Received{1, next})
+	c.Check(core.watch.seen, qt.Equals, uint64(50))
 }
 
 // TestDutyFetch has a peer tell of a version to a node that does not watch.
@@ -128,14 +128,14 @@
 // node the time for its calls.
 func TestDutyFetch(t *testing.T) {
 	c := qt.New(t)
-	h, now := large(c, 25)
-	now, _ = beats(h, now, 10*time.Second, told(1, 40))
+	core, now := large(c, 25)
+	now, _ = beats(core, now, 10*time.Second, told(1, 40))
 	next := content(c, 2, 2)
-	c.Check(fetches(h.Step(now, Received{1, VersionNotice{2, next.Hash, true}})), qt.Equals, 1)
-	h.Step(now, Received{1, next})
+	c.Check(fetches(core.Step(now, Received{1, VersionNotice{2, next.Hash, true}})), qt.Equals, 1)
+	core.Step(now, Received{1, next})
 	after := content(c, 3, 3)
-	c.Check(fetches(h.Step(now, Received{1, VersionNotice{3, after.Hash, true}})), qt.Equals, 0)
-	_, cmds := ticks(h, now, fetchEvery+2*TickInterval)
+	c.Check(fetches(core.Step(now, Received{1, VersionNotice{3, after.Hash, true}})), qt.Equals, 0)
+	_, cmds := ticks(core, now, fetchEvery+2*TickInterval)
 	c.Check(fetches(cmds), qt.Equals, 1)
 }
 
@@ -147,22 +147,22 @@
 func TestDutyStart(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(h, now, TickInterval)
+	core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+	now, cmds := ticks(core, now, TickInterval)
 	w, _ := watchOf(cmds)
 	c.Check(w.On, qt.IsFalse)
 	next := content(c, 7, 7)
-	cmds = h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 7, Hash: next.Hash, Cursor: 30, HeadAge: 100}, Addr: "b:1"})
+	cmds = core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 7, Hash: next.Hash, Cursor: 30, HeadAge: 100}, Addr: "b:1"})
 	c.Check(fetches(cmds), qt.Equals, 1)
-	cmds = h.Step(now, Received{1, next})
+	cmds = core.Step(now, Received{1, next})
 	w, _ = watchOf(cmds)
 	c.Check(w, qt.Equals, Watch{On: true, Cursor: 30})
-	c.Check(h.Ready(), qt.IsFalse)
-	h.Step(now, Polled{Cursor: 31, At: now})
-	c.Check(h.Ready(), qt.IsTrue)
+	c.Check(core.Ready(), qt.IsFalse)
+	core.Step(now, Polled{Cursor: 31, At: now})
+	c.Check(core.Ready(), qt.IsTrue)
 
-	h = New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	_, cmds = ticks(h, now, peersFirst+2*TickInterval)
+	core = New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+	_, cmds = ticks(core, now, peersFirst+2*TickInterval)
 	w, _ = watchOf(cmds)
 	c.Check(w, qt.Equals, Watch{On: true})
 }
@@ -175,17 +175,17 @@
 // polls, and serve an old version with no error anywhere.
 func TestDutyEcho(t *testing.T) {
 	c := qt.New(t)
-	h, now := large(c, 25)
+	core, now := large(c, 25)
 	f := told(1, 40)
 	f.Serial = 7
-	cmds := h.Step(now, Received{1, f})
+	cmds := core.Step(now, Received{1, f})
 	c.Check(count[Send](cmds) > 0, qt.IsTrue)
 	quiet := now
 	on := false
 	for !on {
-		c.Check(count[Send](h.Step(now, Received{2, f})), qt.Equals, 0)
+		c.Check(count[Send](core.Step(now, Received{2, f})), qt.Equals, 0)
 		var w Watch
-		now, cmds = ticks(h, now, TickInterval)
+		now, cmds = ticks(core, now, TickInterval)
 		w, _ = watchOf(cmds)
 		on = w.On && w.Fallback
 		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread+TickInterval, qt.IsTrue)
