--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -9,10 +9,10 @@
 	"storj.io/drpc/drpcconn"
 )
 
-// gatherFrom is the number of members from which on a domain's claims are
+// minForwardingDomain is the number of members from which on a domain's claims are
 // gathered by its first node. Below it, every node's own transactions are few
 // enough, and a hop less is worth more.
-const gatherFrom = 8
+const minForwardingDomain = 8
 
 // ErrNotForwarded says that there is nobody to hand claims to: this node is to
 // commit them, or the one that gathers could not be connected to.
@@ -20,13 +20,13 @@
 
 // rootConn is a lasting connection to the first node of the domain. A drpc
 // connection carries one call at a time, and there is one batch at a time.
-type rootConn struct {
+type claimsConn struct {
 	mu   sync.Mutex
 	addr string
 	rpc  *drpcconn.Conn
 }
 
-func (c *rootConn) close() {
+func (c *claimsConn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rpc != nil {
@@ -40,14 +40,14 @@
 func (c *Core) Committers() (string, int) {
 	n := 0
 	for _, d := range c.table.domains {
-		if d.count >= gatherFrom {
+		if d.count >= minForwardingDomain {
 			n++
 		} else {
 			n += d.count
 		}
 	}
 	r := c.root()
-	if r == nil || r.Host == c.self.Host || len(c.table.members(c.self.Domain)) < gatherFrom {
+	if r == nil || r.Host == c.self.Host || len(c.table.members(c.self.Domain)) < minForwardingDomain {
 		return "", n
 	}
 	return r.PeerAddr, n
@@ -61,25 +61,25 @@
 	if addr == "" {
 		return nil, ErrNotForwarded
 	}
-	t.root.mu.Lock()
-	defer t.root.mu.Unlock()
-	rpc, err := t.rootRPC(ctx, addr)
+	t.claimsConn.mu.Lock()
+	defer t.claimsConn.mu.Unlock()
+	rpc, err := t.claimsRPC(ctx, addr)
 	if err != nil {
 		return nil, ErrNotForwarded
 	}
-	out := new(blob)
-	if err := rpc.Invoke(ctx, rpcClaims, encoding{}, &blob{orders}, out); err != nil {
+	out := new(rawMessage)
+	if err := rpc.Invoke(ctx, rpcClaims, rawEncoding{}, &rawMessage{orders}, out); err != nil {
 		_ = rpc.Close()
-		t.root.rpc = nil
+		t.claimsConn.rpc = nil
 		return nil, errors.Wrap(err, "peer: claims")
 	}
 	return out.bytes, nil
 }
 
-// rootRPC returns the lasting connection, opened anew if the first node is
+// claimsRPC returns the lasting connection, opened anew if the first node is
 // another one or the connection has ended.
-func (t *Transport) rootRPC(ctx context.Context, addr string) (*drpcconn.Conn, error) {
-	c := &t.root
+func (t *Transport) claimsRPC(ctx context.Context, addr string) (*drpcconn.Conn, error) {
+	c := &t.claimsConn
 	if c.rpc != nil && c.addr == addr && !isClosed(c.rpc) {
 		return c.rpc, nil
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn.far(Member{Domain: t.domain})
+	conn.setPeer(Member{Domain: t.domain})
 	c.rpc, c.addr = drpcconn.New(conn), addr
 	return c.rpc, nil
 }
@@ -106,16 +106,16 @@
 }
 
 func (t *Transport) serveClaims(rpc drpc.Stream) error {
-	var in blob
-	if err := rpc.MsgRecv(&in, encoding{}); err != nil {
+	var in rawMessage
+	if err := rpc.MsgRecv(&in, rawEncoding{}); err != nil {
 		return errors.Wrap(err, "peer: claims")
 	}
-	if t.claims == nil {
+	if t.commitClaims == nil {
 		return ErrNotForwarded
 	}
-	out, err := t.claims(rpc.Context(), in.bytes)
+	out, err := t.commitClaims(rpc.Context(), in.bytes)
 	if err != nil {
 		return err
 	}
-	return errors.WithStack(rpc.MsgSend(&blob{out}, encoding{}))
+	return errors.WithStack(rpc.MsgSend(&rawMessage{out}, rawEncoding{}))
 }
--- a/briarrockd/peer/contact.go
+++ b/briarrockd/peer/contact.go
@@ -10,119 +10,119 @@
 // may find none of its contacts any more: all hosts are replaced in time. Its
 // symptom would be a host that stays by itself.
 const (
-	// keptContacts is how many addresses a domain leaves: one more than a domain
+	// contactsPerDomain is how many addresses a domain leaves: one more than a domain
 	// has whose members all watch the platform, so that a node which starts can
 	// tell whether its domain is one of these.
-	keptContacts = wholeDomain + 1
-	// contactsEvery is how often the root of a domain looks whether the row
+	contactsPerDomain = smallDomainSize + 1
+	// contactsInterval is how often the root of a domain looks whether the row
 	// still names the right addresses, and writes it if not.
-	contactsEvery = 5 * time.Second
-	// isolatedAfter is about how long a node is without any link before it reads the
+	contactsInterval = 5 * time.Second
+	// isolatedDelay is about how long a node is without any link before it reads the
 	// rows: all of its contacts would have answered by then. One that was given no
 	// contacts reads them at once. Until it knows the others it can serve nobody.
-	// contactsAgain is how long after that it reads them again, at first and at
+	// minContactsRetry is how long after that it reads them again, at first and at
 	// most.
-	isolatedAfter    = 300 * time.Millisecond
-	contactsAgain    = 2200 * time.Millisecond
-	maxContactsAgain = 20 * time.Second
-	// bootSpread is the time over which nodes that all start for the first time
+	isolatedDelay    = 300 * time.Millisecond
+	minContactsRetry = 2200 * time.Millisecond
+	maxContactsRetry = 20 * time.Second
+	// bootstrapJitter is the time over which nodes that all start for the first time
 	// spread their reads: the first of them finds nothing and leaves its
 	// address, and most of the others find that. Of 83 that read within 0.3 s
 	// each would write as well, and read again.
-	bootSpread = time.Second
-	// rootFor is how long a node must have been the first of its domain before
+	bootstrapJitter = time.Second
+	// rootSettleTime is how long a node must have been the first of its domain before
 	// it writes the row: while it gets to know the others, it may think so for a
 	// moment.
-	rootFor = 2 * time.Second
+	rootSettleTime = 2 * time.Second
 	// maxContacts bounds what is taken from the table.
 	maxContacts = 256
 )
 
 // contacts is what a node knows of the rows.
-type contacts struct {
-	written []string
-	writeAt time.Time
-	readAt  time.Time
-	addrs   []string
+type contactRows struct {
+	written   []string
+	nextWrite time.Time
+	lastRead  time.Time
+	addrs     []string
 	// readFrom is from when on a node without links reads the rows.
-	readFrom time.Time
+	readAfter time.Time
 	// rootAt is since when this node has been the first of its domain.
-	rootAt time.Time
+	rootSince time.Time
 	// reads counts the reads since the node was last linked, and came is set
 	// once one has been answered.
-	reads int
-	came  bool
+	reads  int
+	loaded bool
 	// small is set where the row of the own domain names no more members than
 	// may all watch the platform.
-	small bool
+	smallDomain bool
 }
 
 func (c *Core) tickContacts() {
 	if c.self.State == Leaving {
 		return
 	}
-	c.leaveContacts()
+	c.publishContacts()
 	if len(c.links) > 0 {
-		c.stored.readFrom = time.Time{}
-		c.stored.reads = 0
+		c.contacts.readAfter = time.Time{}
+		c.contacts.reads = 0
 		return
 	}
-	if c.stored.readFrom.IsZero() {
-		c.stored.readFrom = c.now.Add(c.readPause())
+	if c.contacts.readAfter.IsZero() {
+		c.contacts.readAfter = c.now.Add(c.contactsReadDelay())
 	}
-	again := min(contactsAgain<<min(c.stored.reads, 3), maxContactsAgain)
-	if c.now.Before(c.stored.readFrom) || c.now.Sub(c.stored.readAt) < again {
+	again := min(minContactsRetry<<min(c.contacts.reads, 3), maxContactsRetry)
+	if c.now.Before(c.contacts.readAfter) || c.now.Sub(c.contacts.lastRead) < again {
 		return
 	}
-	c.stored.readAt = c.now
-	c.stored.reads++
-	c.do(ReadContacts{})
+	c.contacts.lastRead = c.now
+	c.contacts.reads++
+	c.emit(ReadContacts{})
 }
 
 // readPause is how long a node that has lost its last link, or has none yet,
 // waits before it reads the rows.
-func (c *Core) readPause() time.Duration {
-	if c.askFirst() {
+func (c *Core) contactsReadDelay() time.Duration {
+	if c.readContactsAtOnce() {
 		return 0
 	}
-	spread, pause := joinSpread, time.Duration(0)
+	spread, pause := startJitter, time.Duration(0)
 	if c.cfg.Bootstrap {
-		spread = bootSpread
+		spread = bootstrapJitter
 	}
 	if len(c.cfg.Contacts) > 0 {
-		pause = isolatedAfter
+		pause = isolatedDelay
 	}
 	return pause + c.jitter(spread)
 }
 
-// askFirst tells whether this node has just been started, beside others that may
+// readContactsAtOnce tells whether this node has just been started, beside others that may
 // have been stopped with it. The rows then also tell it whether it may read the
 // configuration at once, instead of waiting for a peer that has it: after the
 // loss of a whole mesh nobody has.
-func (c *Core) askFirst() bool {
-	return c.cfg.DelegatePolling && !c.cfg.Bootstrap && !c.version.peered && !c.stored.came
+func (c *Core) readContactsAtOnce() bool {
+	return c.cfg.DelegatePolling && !c.cfg.Bootstrap && !c.version.peered && !c.contacts.loaded
 }
 
 // leaveContacts writes the row of this domain, at its root, when the first
 // members are others than those in it. A node that has read the rows and still
 // has no link may be the first of all: it leaves its address for the others.
-func (c *Core) leaveContacts() {
-	s := &c.stored
+func (c *Core) publishContacts() {
+	s := &c.contacts
 	if !c.isRoot() {
-		s.rootAt = time.Time{}
+		s.rootSince = time.Time{}
 		return
 	}
-	if s.rootAt.IsZero() {
-		s.rootAt = c.now
+	if s.rootSince.IsZero() {
+		s.rootSince = c.now
 	}
-	first := len(c.links) == 0 && s.came && len(s.addrs) == 0
-	if c.now.Before(s.writeAt) || (!first && c.now.Sub(s.rootAt) < rootFor) || (len(c.links) == 0 && !s.came) {
+	first := len(c.links) == 0 && s.loaded && len(s.addrs) == 0
+	if c.now.Before(s.nextWrite) || (!first && c.now.Sub(s.rootSince) < rootSettleTime) || (len(c.links) == 0 && !s.loaded) {
 		return
 	}
-	s.writeAt = c.now.Add(contactsEvery + c.jitter(contactsEvery/4))
+	s.nextWrite = c.now.Add(contactsInterval + c.jitter(contactsInterval/4))
 	var addrs []string
 	for _, r := range c.table.members(c.self.Domain) {
-		if len(addrs) < keptContacts {
+		if len(addrs) < contactsPerDomain {
 			addrs = append(addrs, r.PeerAddr)
 		}
 	}
@@ -130,20 +130,20 @@
 		return
 	}
 	s.written = addrs
-	c.do(WriteContacts{addrs})
+	c.emit(WriteContacts{addrs})
 }
 
-func (c *Core) contactsRead(m ContactsRead) {
+func (c *Core) onContactsRead(m ContactsRead) {
 	addrs := m.Addrs
-	c.stored.came = true
-	c.stored.small = m.OwnDomain > 0 && m.OwnDomain <= wholeDomain
+	c.contacts.loaded = true
+	c.contacts.smallDomain = m.OwnDomain > 0 && m.OwnDomain <= smallDomainSize
 	for _, a := range addrs[:min(len(addrs), maxContacts)] {
 		if len(a) <= maxNameSize && a != c.self.PeerAddr {
-			c.stored.addrs = append(c.stored.addrs, a)
+			c.contacts.addrs = append(c.contacts.addrs, a)
 		}
 	}
-	if extra := len(c.stored.addrs) - maxContacts; extra > 0 {
-		c.stored.addrs = c.stored.addrs[extra:]
+	if extra := len(c.contacts.addrs) - maxContacts; extra > 0 {
+		c.contacts.addrs = c.contacts.addrs[extra:]
 	}
 	if !c.cfg.DelegatePolling || len(c.links) > 0 {
 		return
--- a/briarrockd/peer/contact_test.go
+++ b/briarrockd/peer/contact_test.go
@@ -18,7 +18,7 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1", "gone:2"}}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(core, now, isolatedAfter+joinSpread+2*TickInterval)
+	now, cmds := ticks(core, now, isolatedDelay+startJitter+2*TickInterval)
 	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
 	cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1", "c:1", "d:1"}})
 	_, more := ticks(core, now, time.Second)
@@ -42,7 +42,7 @@
 // the same links, it gives its peers the usual time.
 func TestAllStopped(t *testing.T) {
 	c := qt.New(t)
-	for near, want := range map[int]bool{1: true, wholeDomain: true, keptContacts: false, 0: false} {
+	for near, want := range map[int]bool{1: true, smallDomainSize: true, contactsPerDomain: false, 0: false} {
 		now := time.Unix(1000, 0)
 		core := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
 		now, cmds := ticks(core, now, 2*TickInterval)
--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -617,9 +617,9 @@
 			f.violate("%s knows %d members, not %d, at the end", x.cfg.Self.Host, n, live)
 		}
 		if root == 0 {
-			root = x.heart.table.digestRoot()
+			root = x.heart.table.rootDigest()
 		}
-		if x.heart.table.digestRoot() != root {
+		if x.heart.table.rootDigest() != root {
 			f.violate("%s holds other members' records than the others at the end", x.cfg.Self.Host)
 		}
 	}
--- a/briarrockd/peer/floor.go
+++ b/briarrockd/peer/floor.go
@@ -95,7 +95,7 @@
 	if !c.confirmed() {
 		return
 	}
-	c.do(ServeVersion{v.number, v.hash, v.staged})
+	c.emit(ServeVersion{v.number, v.hash, v.staged})
 	c.log(event.VersionInUse, event.Fields{event.Subject: v.hash.Short(), "version": v.number})
 	v.staged = nil
 }
@@ -113,7 +113,7 @@
 
 // hasNeighbour tells whether there is a link within the domain.
 func (c *Core) hasNeighbour() bool {
-	for _, l := range c.byHost {
+	for _, l := range c.linkByHost {
 		if l.domain == c.self.Domain {
 			return true
 		}
@@ -141,12 +141,12 @@
 	}
 	long := func(l *link) bool { return l != nil && c.now.Sub(l.openedAt) >= joinedAfter }
 	for _, r := range c.neighbours() {
-		if !long(c.byHost[r.Host]) {
+		if !long(c.linkByHost[r.Host]) {
 			return false
 		}
 	}
 	met := make(map[string]bool)
-	for _, l := range c.byHost {
+	for _, l := range c.linkByHost {
 		met[l.domain] = met[l.domain] || long(l)
 	}
 	others := 0
@@ -155,7 +155,7 @@
 			continue
 		}
 		others++
-		if !met[name] && c.position() < bridges {
+		if !met[name] && c.orderIndex() < bridgesPerDomain {
 			return false
 		}
 	}
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -7,12 +7,12 @@
 	"briarrock.example/mesh/event"
 )
 
-// repairAfter is how many heartbeats in a row must differ before the tables
+// digestMismatchLimit is how many heartbeats in a row must differ before the tables
 // are compared: news that is on its way makes two sides differ for a moment.
-const repairAfter = 2
+const digestMismatchLimit = 2
 
-// sweepEvery is how often tombstones are polled over.
-const sweepEvery = 5 * time.Second
+// sweepInterval is how often tombstones are polled over.
+const sweepInterval = 5 * time.Second
 
 // reincarnate makes this process younger than any that a peer remembers.
 //
@@ -20,7 +20,7 @@
 // new one would count as the older, and its peers would ignore it for as long
 // as they remember the other. Going above what they know is enough, since
 // only the newest process of a host can still speak for it.
-func (c *Core) reincarnate(known uint64) {
+func (c *Core) raiseIncarnation(known uint64) {
 	if known <= c.self.Incarnation {
 		return
 	}
@@ -35,7 +35,7 @@
 	}
 }
 
-func (c *Core) targetsChanged(targets []Target) {
+func (c *Core) onTargetsChanged(targets []Target) {
 	if len(targets) > maxTargets {
 		targets = targets[:maxTargets]
 	}
@@ -53,9 +53,9 @@
 }
 
 func (c *Core) queueUpdate(host string, from LinkID) {
-	c.updates[host] = true
-	c.updateFrom[host] = from
-	c.changed = true
+	c.pendingUpdates[host] = true
+	c.updateSource[host] = from
+	c.membersChanged = true
 }
 
 // merge takes one record from a peer.
@@ -70,7 +70,7 @@
 		return
 	}
 	if !m.live() && wasLive {
-		delete(c.lost, m.Host)
+		delete(c.missingSince, m.Host)
 		delete(c.version.seen, m.Host)
 		c.logDeparture(m)
 	}
@@ -93,7 +93,7 @@
 		return
 	}
 	if m.Incarnation > c.self.Incarnation {
-		c.reincarnate(m.Incarnation)
+		c.raiseIncarnation(m.Incarnation)
 		return
 	}
 	if m.Incarnation < c.self.Incarnation {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (c *Core) records(l *link, f Records) {
+func (c *Core) onRecords(l *link, f Records) {
 	for i := range f.Members {
 		c.merge(l.id, f.Members[i])
 	}
@@ -115,21 +115,21 @@
 // but the one that each came over. Gathering them for one tick turns the
 // return of a whole domain into a few frames.
 func (c *Core) flushUpdates() {
-	if len(c.updates) == 0 {
+	if len(c.pendingUpdates) == 0 {
 		return
 	}
-	hosts := make([]string, 0, len(c.updates))
-	for host := range c.updates {
+	hosts := make([]string, 0, len(c.pendingUpdates))
+	for host := range c.pendingUpdates {
 		hosts = append(hosts, host)
 	}
 	sort.Strings(hosts)
 	for _, l := range c.sortedLinks() {
-		if !l.lazy && !c.restricted(l) {
+		if !l.lazy && !c.introductionOnly(l) {
 			c.sendRecords(l, hosts, true)
 		}
 	}
-	clear(c.updates)
-	clear(c.updateFrom)
+	clear(c.pendingUpdates)
+	clear(c.updateSource)
 }
 
 // sendRecords sends the records of hosts in frames of bounded size; with
@@ -138,7 +138,7 @@
 	var batch []Member
 	for _, host := range hosts {
 		r := c.table.byHost[host]
-		if r == nil || (fresh && c.updateFrom[host] == l.id) {
+		if r == nil || (fresh && c.updateSource[host] == l.id) {
 			continue
 		}
 		batch = append(batch, r.Member)
@@ -152,20 +152,20 @@
 	}
 }
 
-func (c *Core) beat(l *link, f Heartbeat) {
+func (c *Core) onHeartbeat(l *link, f Heartbeat) {
 	c.heardFresh(poll{version: f.Version, seen: f.Cursor, at: c.ago(f.HeadAge)})
 	c.sawUse(l, f.Version)
 	c.remoteFloor(l, f.Version)
 	l.version = max(l.version, f.Version)
 	c.peerBehind(l, f.Version)
 	c.remembered(l, f.Version)
-	if f.Root == c.table.digestRoot() {
-		l.differs = 0
+	if f.Root == c.table.rootDigest() {
+		l.digestMismatches = 0
 		return
 	}
-	l.differs++
-	if l.differs >= repairAfter && l.host < c.self.Host && !c.restricted(l) {
-		l.differs = 0
+	l.digestMismatches++
+	if l.digestMismatches >= digestMismatchLimit && l.host < c.self.Host && !c.introductionOnly(l) {
+		l.digestMismatches = 0
 		c.send(l, c.ownDigests())
 	}
 }
@@ -182,8 +182,8 @@
 // digests compares tables, domain by domain. A domain of which one side has
 // nothing is sent whole or asked for whole; of another that differs, the
 // listing of ranks goes first, since it is much smaller than the records.
-func (c *Core) digests(l *link, f Digests) {
-	if c.restricted(l) {
+func (c *Core) onDigests(l *link, f Digests) {
+	if c.introductionOnly(l) {
 		return
 	}
 	theirs := make(map[string]DomainDigest, len(f.Domains))
@@ -191,7 +191,7 @@
 		theirs[d.Name] = d
 		own := c.table.domains[d.Name]
 		if own == nil || own.digest != d.Digest {
-			c.send(l, c.listingOf(d.Name))
+			c.send(l, c.newListing(d.Name))
 		}
 	}
 	for _, name := range c.table.names() {
@@ -211,7 +211,7 @@
 }
 
 // listingOf lists all of a domain's records, tombstones included.
-func (c *Core) listingOf(name string) Listing {
+func (c *Core) newListing(name string) Listing {
 	f := Listing{Domain: name}
 	for _, host := range c.hosts() {
 		r := c.table.byHost[host]
@@ -223,16 +223,16 @@
 }
 
 // listing answers with what the peer lacks and asks for what it has better.
-func (c *Core) listing(l *link, f Listing) {
+func (c *Core) onListing(l *link, f Listing) {
 	listed := make(map[string]bool, len(f.Entries))
 	var wants, better []string
 	for _, e := range f.Entries {
 		listed[e.Host] = true
 		own := c.table.byHost[e.Host]
 		switch {
-		case own == nil || e.rank().above(own.rank()):
+		case own == nil || e.rank().supersedes(own.rank()):
 			wants = append(wants, e.Host)
-		case own.rank().above(e.rank()):
+		case own.rank().supersedes(e.rank()):
 			better = append(better, e.Host)
 		}
 	}
@@ -249,25 +249,25 @@
 	}
 }
 
-func (c *Core) wants(l *link, f RecordRequest) { c.sendRecords(l, f.Hosts, false) }
+func (c *Core) onRecordRequest(l *link, f RecordRequest) { c.sendRecords(l, f.Hosts, false) }
 
 // tickMembers suspects neighbours that have no link, declares suspects dead
 // and forgets tombstones.
 func (c *Core) tickMembers() {
-	c.watchNeighbours()
-	c.removeDead()
+	c.checkNeighbours()
+	c.declareDead()
 	if c.now.Before(c.nextSweep) {
 		return
 	}
-	c.nextSweep = c.now.Add(sweepEvery)
+	c.nextSweep = c.now.Add(sweepInterval)
 	for _, host := range c.hosts() {
 		r := c.table.byHost[host]
-		if !r.live() && c.now.Sub(r.since) > forgetAfter && host != c.self.Host {
+		if !r.live() && c.now.Sub(r.since) > tombstoneTTL && host != c.self.Host {
 			c.table.forget(host)
 		}
 	}
 	for addr, d := range c.dials {
-		if !d.busy && c.now.Sub(d.nextAt) > time.Minute {
+		if !d.inProgress && c.now.Sub(d.nextAt) > time.Minute {
 			delete(c.dials, addr)
 		}
 	}
@@ -276,7 +276,7 @@
 // neighbours are the members of the own domain that should have a link with
 // this node, whichever side dials it.
 func (c *Core) neighbours() []*record {
-	i := c.position()
+	i := c.orderIndex()
 	if i < 0 || c.self.State == Leaving {
 		return nil
 	}
@@ -288,40 +288,40 @@
 		}
 	}
 	if i > 0 {
-		add((i - 1) / degree)
+		add((i - 1) / treeDegree)
 		add(i - 1)
 	}
 	add(i + 1)
-	for k := range degree {
-		add(degree*i + 1 + k)
+	for k := range treeDegree {
+		add(treeDegree*i + 1 + k)
 	}
 	return out
 }
 
-func (c *Core) watchNeighbours() {
+func (c *Core) checkNeighbours() {
 	near := make(map[string]bool)
 	for _, r := range c.neighbours() {
 		near[r.Host] = true
-		if c.byHost[r.Host] != nil {
+		if c.linkByHost[r.Host] != nil {
 			continue
 		}
-		since, ok := c.lost[r.Host]
+		since, ok := c.missingSince[r.Host]
 		if !ok {
-			c.lost[r.Host] = c.now
+			c.missingSince[r.Host] = c.now
 			continue
 		}
-		if c.now.Sub(since) > reverseAfter {
+		if c.now.Sub(since) > reverseDialDelay {
 			// The other side should dial, but may have just been started by
 			// contacts that know nobody: it can't know that it should.
 			c.dial(r.PeerAddr, r.Host, false)
 		}
-		if c.now.Sub(since) > suspectAfter && r.State == Alive && c.now.Sub(r.since) > suspectAfter {
+		if c.now.Sub(since) > suspectDelay && r.State == Alive && c.now.Sub(r.since) > suspectDelay {
 			c.suspect(r)
 		}
 	}
-	for host := range c.lost {
+	for host := range c.missingSince {
 		if !near[host] {
-			delete(c.lost, host)
+			delete(c.missingSince, host)
 		}
 	}
 }
@@ -341,9 +341,9 @@
 // removeDead declares suspects of the own domain dead. Other domains are left
 // to their own members, who hear of them first: a domain that is cut off as a
 // whole would otherwise be declared dead from afar, and keep nothing.
-func (c *Core) removeDead() {
+func (c *Core) declareDead() {
 	for _, r := range c.table.members(c.self.Domain) {
-		if r.State != Suspect || c.now.Sub(r.since) < deadAfter || r.Host == c.self.Host {
+		if r.State != Suspect || c.now.Sub(r.since) < suspicionTimeout || r.Host == c.self.Host {
 			continue
 		}
 		m := r.Member
--- a/briarrockd/peer/introduce.go
+++ b/briarrockd/peer/introduce.go
@@ -8,17 +8,17 @@
 // of the settings, that would grow with the square of the hosts, much of it over the
 // paid link.
 const (
-	// newcomerKnows is how many members a newcomer may know already.
-	newcomerKnows = 8
-	// introduceFor is how long a link to a newcomer stays restricted. One that has found
+	// maxNewcomerMembers is how many members a newcomer may know already.
+	maxNewcomerMembers = 8
+	// introductionPeriod is how long a link to a newcomer stays restricted. One that has found
 	// nobody by then gets what any other peer does.
-	introduceFor = 5 * time.Second
+	introductionPeriod = 5 * time.Second
 )
 
 // introduces tells whether a link that has just come up need only lead its peer to
 // others of its region: it knows hardly anybody, and this node knows some of them.
-func (c *Core) introduces(l *link, hi Hello) bool {
-	if l.outbound || l.domain == c.self.Domain || hi.Members == 0 || hi.Members > newcomerKnows {
+func (c *Core) shouldIntroduce(l *link, hi Hello) bool {
+	if l.outbound || l.domain == c.self.Domain || hi.Members == 0 || hi.Members > maxNewcomerMembers {
 		return false
 	}
 	for _, name := range c.table.names() {
@@ -34,7 +34,7 @@
 }
 
 // restricted tells whether a link still only leads a newcomer to its own domain.
-func (c *Core) restricted(l *link) bool { return c.now.Before(l.introduces) }
+func (c *Core) introductionOnly(l *link) bool { return c.now.Before(l.introductionUntil) }
 
 // introduce sends a newcomer the members of its domain and the bridges of its region.
 func (c *Core) introduce(l *link) {
@@ -43,7 +43,7 @@
 		switch {
 		case name == l.domain:
 		case c.table.domains[name].region == l.region:
-			hosts = hosts[:min(len(hosts), bridges)]
+			hosts = hosts[:min(len(hosts), bridgesPerDomain)]
 		default:
 			continue
 		}
--- a/briarrockd/peer/introduce_test.go
+++ b/briarrockd/peer/introduce_test.go
@@ -46,7 +46,7 @@
 	fresh := place("superior-b", "superior", 30)
 	cmds := core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: fresh, Members: 1}})
 	sent := sentRecords(cmds, 1)
-	c.Check(len(sent), qt.Equals, 21+bridges) // its domain with itself, and the bridges of the other
+	c.Check(len(sent), qt.Equals, 21+bridgesPerDomain) // its domain with itself, and the bridges of the other
 	c.Check(sent["superior-b-07"], qt.IsTrue)
 	c.Check(sent["erie-b-07"], qt.IsFalse)
 
@@ -56,7 +56,7 @@
 	c.Check(sentRecords(cmds, 1), qt.HasLen, 0)
 
 	// A link that lasts is like any other: the tables are compared.
-	now, _ = ticks(core, now, introduceFor-time.Second)
+	now, _ = ticks(core, now, introductionPeriod-time.Second)
 	core.Step(now, Received{1, Heartbeat{Root: 1}})
 	now, _ = ticks(core, now, 2*time.Second)
 	core.Step(now, Received{1, Digests{}})
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -37,14 +37,14 @@
 	// A peer that doesn't read fills its outbox and loses the link.
 	inboxSize  = 1024
 	outboxSize = 512
-	// helloWithin bounds the time until a peer has said hello.
-	helloWithin = 3 * time.Second
+	// helloTimeout bounds the time until a peer has said hello.
+	helloTimeout = 3 * time.Second
 	// maxInbound bounds the connections that peers may hold open.
 	maxInbound = 2 * maxLinks
-	// storeWithin bounds one question to the platform.
-	storeWithin = 4 * time.Second
-	// sendWithin bounds the writing of one frame.
-	sendWithin = silentAfter
+	// storeTimeout bounds one question to the platform.
+	storeTimeout = 4 * time.Second
+	// sendTimeout bounds the writing of one frame.
+	sendTimeout = linkSilenceTimeout
 )
 
 // Hooks are what the rest of the node does with a Core's decisions. They are
@@ -60,28 +60,28 @@
 // Links is the shell around a Core: it owns the goroutines and sockets. Make
 // one with New.
 type Transport struct {
-	heart  *Core
-	store  platform.Store
-	log    *event.Log
-	hooks  Hooks
-	keys   Credentials
-	domain string
-	inbox  chan Msg
-	asks   chan func(*Core)
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
+	core      *Core
+	store     platform.Store
+	log       *event.Log
+	hooks     Hooks
+	creds     Credentials
+	domain    string
+	inbox     chan Msg
+	coreCalls chan func(*Core)
+	ctx       context.Context
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
 
 	mu      sync.Mutex
 	streams map[LinkID]*stream
 	lastID  LinkID
 
-	inbound atomic.Int64
-	refused *metrics.Counter
-	claims  func(ctx context.Context, orders []byte) ([]byte, error)
-	root    rootConn
-	traffic *traffic
-	dialTCP func(ctx context.Context, network, addr string) (net.Conn, error)
+	inbound      atomic.Int64
+	refused      *metrics.Counter
+	commitClaims func(ctx context.Context, orders []byte) ([]byte, error)
+	claimsConn   claimsConn
+	traffic      *traffic
+	dialTCP      func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 // Keys give the TLS settings of the moment; nil functions mean plain TCP.
@@ -116,20 +116,20 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Transport{
-		heart:   New(cfg, rand.New(rand.NewPCG(d.Seed, score(cfg.Self.Host))), time.Now()),
-		store:   d.Store,
-		log:     d.Log,
-		hooks:   d.Hooks,
-		keys:    d.Credentials,
-		domain:  cfg.Self.Domain,
-		claims:  d.CommitClaims,
-		inbox:   make(chan Msg, inboxSize),
-		asks:    make(chan func(*Core)),
-		ctx:     ctx,
-		cancel:  cancel,
-		streams: make(map[LinkID]*stream),
-		traffic: newTraffic(d.Metrics, cfg.Self),
-		refused: d.Metrics.GetOrCreateCounter("briarrock_peers_refused_total"),
+		core:         New(cfg, rand.New(rand.NewPCG(d.Seed, score(cfg.Self.Host))), time.Now()),
+		store:        d.Store,
+		log:          d.Log,
+		hooks:        d.Hooks,
+		creds:        d.Credentials,
+		domain:       cfg.Self.Domain,
+		commitClaims: d.CommitClaims,
+		inbox:        make(chan Msg, inboxSize),
+		coreCalls:    make(chan func(*Core)),
+		ctx:          ctx,
+		cancel:       cancel,
+		streams:      make(map[LinkID]*stream),
+		traffic:      newTraffic(d.Metrics, cfg.Self),
+		refused:      d.Metrics.GetOrCreateCounter("briarrock_peers_refused_total"),
 	}
 	t.dialTCP = d.Dial
 	if t.dialTCP == nil {
@@ -145,7 +145,7 @@
 func (t *Transport) Close() {
 	t.cancel()
 	t.wg.Wait()
-	t.root.close()
+	t.claimsConn.close()
 }
 
 // Tell gives the Core a message. It returns false when Links is closed.
@@ -162,7 +162,7 @@
 func (t *Transport) WithCore(f func(*Core)) bool {
 	done := make(chan struct{})
 	select {
-	case t.asks <- func(core *Core) { f(core); close(done) }:
+	case t.coreCalls <- func(core *Core) { f(core); close(done) }:
 		<-done
 		return true
 	case <-t.ctx.Done():
@@ -179,8 +179,8 @@
 		select {
 		case <-t.ctx.Done():
 			return
-		case f := <-t.asks:
-			f(t.heart)
+		case f := <-t.coreCalls:
+			f(t.core)
 		case m := <-t.inbox:
 			t.step(m)
 		case <-tick.C:
@@ -190,12 +190,12 @@
 }
 
 func (t *Transport) step(m Msg) {
-	for _, c := range t.heart.Step(time.Now(), m) {
-		t.carryOut(c)
+	for _, c := range t.core.Step(time.Now(), m) {
+		t.execute(c)
 	}
 }
 
-func (t *Transport) carryOut(c Cmd) {
+func (t *Transport) execute(c Cmd) {
 	switch c := c.(type) {
 	case Dial:
 		t.wg.Go(func() { t.dial(c) })
@@ -227,7 +227,7 @@
 }
 
 func (t *Transport) readHead() {
-	ctx, cancel := context.WithTimeout(t.ctx, storeWithin)
+	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
 	row, err := t.store.Get(ctx, platform.HeadKey)
 	if errors.Is(err, platform.ErrMissing) {
@@ -243,7 +243,7 @@
 }
 
 func (t *Transport) readObject(hash snapshot.Hash) {
-	ctx, cancel := context.WithTimeout(t.ctx, storeWithin)
+	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
 	b, err := platform.GetContent(ctx, t.store, hash)
 	t.Post(ObjectRead{Hash: hash, Content: b, Err: err})
@@ -253,7 +253,7 @@
 const contactsPrefix = "contacts/"
 
 func (t *Transport) readContacts() {
-	ctx, cancel := context.WithTimeout(t.ctx, storeWithin)
+	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
 	rows, err := t.store.List(ctx, platform.Scan{Prefix: contactsPrefix, Limit: maxDomains})
 	if err != nil {
@@ -276,7 +276,7 @@
 // writeContacts leaves the addresses without a condition: whichever root of a
 // domain writes last, they are addresses of its members.
 func (t *Transport) writeContacts(addrs []string) {
-	ctx, cancel := context.WithTimeout(t.ctx, storeWithin)
+	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
 	b, err := json.Marshal(addrs)
 	if err != nil {
@@ -331,7 +331,7 @@
 	if root == "" {
 		return st
 	}
-	whole, err := t.askStatus(ctx, root)
+	whole, err := t.requestStatus(ctx, root)
 	if err != nil {
 		return st
 	}
@@ -339,8 +339,8 @@
 	return whole
 }
 
-func (t *Transport) askStatus(ctx context.Context, addr string) (Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, helloWithin)
+func (t *Transport) requestStatus(ctx context.Context, addr string) (Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	conn, err := t.connect(ctx, addr)
 	if err != nil {
@@ -348,8 +348,8 @@
 	}
 	rpc := drpcconn.New(conn)
 	defer func() { _ = rpc.Close() }()
-	var in, out blob
-	if err := rpc.Invoke(ctx, rpcStatus, encoding{}, &in, &out); err != nil {
+	var in, out rawMessage
+	if err := rpc.Invoke(ctx, rpcStatus, rawEncoding{}, &in, &out); err != nil {
 		return Status{}, errors.Wrap(err, "peer: status")
 	}
 	var st Status
@@ -374,8 +374,8 @@
 }
 
 func (t *Transport) serveStatus(rpc drpc.Stream) error {
-	var in blob
-	if err := rpc.MsgRecv(&in, encoding{}); err != nil {
+	var in rawMessage
+	if err := rpc.MsgRecv(&in, rawEncoding{}); err != nil {
 		return errors.Wrap(err, "peer: status")
 	}
 	var st Status
@@ -384,7 +384,7 @@
 	if err != nil {
 		return errors.Wrap(err, "peer: status")
 	}
-	return rpc.MsgSend(&blob{b}, encoding{})
+	return rpc.MsgSend(&rawMessage{b}, rawEncoding{})
 }
 
 // accept takes connections from peers, a bounded number at a time.
@@ -395,7 +395,7 @@
 			if t.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(dialFirst) // out of descriptors, say: don't spin
+			time.Sleep(minDialBackoff) // out of descriptors, say: don't spin
 			continue
 		}
 		if t.inbound.Add(1) > maxInbound {
--- a/briarrockd/peer/member.go
+++ b/briarrockd/peer/member.go
@@ -100,7 +100,7 @@
 func (m *Member) rank() rank { return rank{m.Incarnation, m.Seq, m.State} }
 
 // above tells whether a record with rank r replaces one with rank o.
-func (r rank) above(o rank) bool {
+func (r rank) supersedes(o rank) bool {
 	if r.incarnation != o.incarnation {
 		return r.incarnation > o.incarnation
 	}
@@ -138,21 +138,21 @@
 
 // domain is the part of the table for one failure domain.
 type domain struct {
-	name    string
-	region  string
-	digest  uint64
-	count   int
-	order   []*record // live members by score; nil when it must be made anew
-	heardAt time.Time
+	name         string
+	region       string
+	digest       uint64
+	count        int
+	order        []*record // live members by score; nil when it must be made anew
+	lastReceived time.Time
 }
 
 // table is every member that a node knows of, by host and by domain. Its
 // digests make comparing two tables cost some tens of bytes.
 type table struct {
-	byHost  map[string]*record
-	domains map[string]*domain
-	root    uint64
-	rootOK  bool
+	byHost    map[string]*record
+	domains   map[string]*domain
+	root      uint64
+	rootValid bool
 }
 
 func newTable() *table {
@@ -169,14 +169,14 @@
 // put takes a record if it outranks the one held. It tells whether it did.
 func (t *table) put(now time.Time, m Member) bool {
 	old := t.byHost[m.Host]
-	if old != nil && !m.rank().above(old.rank()) {
+	if old != nil && !m.rank().supersedes(old.rank()) {
 		return false
 	}
 	if old == nil && len(t.byHost) >= MaxMembers {
 		return false
 	}
 	if old != nil {
-		t.unlink(old)
+		t.removeFromDomain(old)
 	}
 	d := t.domain(m.Domain, m.Region)
 	r := &record{Member: m, since: now, score: score(m.Host)}
@@ -186,24 +186,24 @@
 		d.count++
 	}
 	d.order = nil
-	t.rootOK = false
+	t.rootValid = false
 	return true
 }
 
-func (t *table) unlink(r *record) {
+func (t *table) removeFromDomain(r *record) {
 	d := t.domains[r.Domain]
 	d.digest ^= r.digest()
 	if r.live() {
 		d.count--
 	}
 	d.order = nil
-	t.rootOK = false
+	t.rootValid = false
 }
 
 // forget drops a record that has served its time as a tombstone.
 func (t *table) forget(host string) {
 	if r := t.byHost[host]; r != nil {
-		t.unlink(r)
+		t.removeFromDomain(r)
 		delete(t.byHost, host)
 	}
 }
@@ -253,8 +253,8 @@
 }
 
 // digestRoot is one number for the whole table.
-func (t *table) digestRoot() uint64 {
-	if t.rootOK {
+func (t *table) rootDigest() uint64 {
+	if t.rootValid {
 		return t.root
 	}
 	t.root = 0
@@ -269,6 +269,6 @@
 		_, _ = x.Write(b[:])
 		t.root ^= x.Sum64()
 	}
-	t.rootOK = true
+	t.rootValid = true
 	return t.root
 }
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -60,22 +60,22 @@
 
 // The times by which a Core decides.
 const (
-	// beatEvery is the time between heartbeats on a link.
-	beatEvery = 2 * time.Second
-	// silentAfter is how long a link may be silent before it is closed: two
+	// heartbeatInterval is the time between heartbeats on a link.
+	heartbeatInterval = 2 * time.Second
+	// linkSilenceTimeout is how long a link may be silent before it is closed: two
 	// heartbeats lost and some delay.
-	silentAfter = 5 * time.Second
-	// reverseAfter is how long a neighbour that should dial may be missing
+	linkSilenceTimeout = 5 * time.Second
+	// reverseDialDelay is how long a neighbour that should dial may be missing
 	// before this node dials it.
-	reverseAfter = time.Second
-	// suspectAfter is how long a neighbour may be without a link.
-	suspectAfter = 3 * time.Second
-	// deadAfter is how long a suspect has for its objection.
-	deadAfter = 4 * time.Second
-	// forgetAfter is how long a tombstone is kept.
-	forgetAfter = 10 * time.Minute
-	// staleAfter is how long a domain may be unheard of before it is stale.
-	staleAfter = 8 * time.Second
+	reverseDialDelay = time.Second
+	// suspectDelay is how long a neighbour may be without a link.
+	suspectDelay = 3 * time.Second
+	// suspicionTimeout is how long a suspect has for its objection.
+	suspicionTimeout = 4 * time.Second
+	// tombstoneTTL is how long a tombstone is kept.
+	tombstoneTTL = 10 * time.Minute
+	// domainStaleAfter is how long a domain may be unheard of before it is stale.
+	domainStaleAfter = 8 * time.Second
 )
 
 // Config is what a Core must be told.
@@ -111,78 +111,78 @@
 	table *table
 	links map[LinkID]*link
 	// byHost is the one link that is used for each linked host.
-	byHost map[string]*link
-	dials  map[string]*dialing
+	linkByHost map[string]*link
+	dials      map[string]*dialState
 
-	lost       map[string]time.Time // neighbours without a link, since when
-	updates    map[string]bool      // hosts whose records are still to be sent
-	updateFrom map[string]LinkID    // and the link that each came over
-	changed    bool                 // members changed since the last Publish
-	nextTry    time.Time            // next attempt at a contact or a tombstone
-	nextSweep  time.Time
+	missingSince   map[string]time.Time // neighbours without a link, since when
+	pendingUpdates map[string]bool      // hosts whose records are still to be sent
+	updateSource   map[string]LinkID    // and the link that each came over
+	membersChanged bool                 // members changed since the last Publish
+	nextRejoin     time.Time            // next attempt at a contact or a tombstone
+	nextSweep      time.Time
 
-	version versions
-	watch   watch
-	stored  contacts
-	report  reports
-	holds   holds
+	version  versions
+	watch    watch
+	contacts contactRows
+	reports  reports
+	crashes  crashTable
 }
 
 // link is one open link.
 type link struct {
-	id       LinkID
-	host     string
-	domain   string
-	region   string
-	outbound bool
-	lazy     bool
-	heardAt  time.Time
-	beatAt   time.Time // next heartbeat to send
-	openedAt time.Time
+	id            LinkID
+	host          string
+	domain        string
+	region        string
+	outbound      bool
+	lazy          bool
+	lastReceived  time.Time
+	nextHeartbeat time.Time // next heartbeat to send
+	openedAt      time.Time
 	// differs counts the heartbeats in a row whose digest was not ours.
-	differs int
+	digestMismatches int
 	// version is the highest version that the peer is known to hold, told the
 	// one that it was last told of.
-	version uint64
-	told    uint64
-	toldAt  time.Time
+	version     uint64
+	announced   uint64
+	announcedAt time.Time
 	// owed is when a lazy link is to be told of a version, if still needed.
-	owed time.Time
+	lazyNoticeAt time.Time
 	// introduces is until when the link only leads a newcomer to its own domain.
-	introduces time.Time
+	introductionUntil time.Time
 	// unwanted is since when the topology has had no use for the link.
-	unwanted time.Time
+	unwantedSince time.Time
 }
 
 // dialing is what is known of an address that links were sought to.
-type dialing struct {
-	host   string
-	busy   bool
-	fails  int
-	nextAt time.Time
+type dialState struct {
+	host       string
+	inProgress bool
+	failures   int
+	nextAt     time.Time
 }
 
 // New returns a Core that knows only itself and its contacts. rng decides
 // all that is spread at random.
 func New(cfg Config, rng *rand.Rand, now time.Time) *Core {
 	c := &Core{
-		cfg:        cfg,
-		rng:        rng,
-		now:        now,
-		self:       cfg.Self,
-		table:      newTable(),
-		links:      make(map[LinkID]*link),
-		byHost:     make(map[string]*link),
-		dials:      make(map[string]*dialing),
-		lost:       make(map[string]time.Time),
-		updates:    make(map[string]bool),
-		updateFrom: make(map[string]LinkID),
-		changed:    true,
+		cfg:            cfg,
+		rng:            rng,
+		now:            now,
+		self:           cfg.Self,
+		table:          newTable(),
+		links:          make(map[LinkID]*link),
+		linkByHost:     make(map[string]*link),
+		dials:          make(map[string]*dialState),
+		missingSince:   make(map[string]time.Time),
+		pendingUpdates: make(map[string]bool),
+		updateSource:   make(map[string]LinkID),
+		membersChanged: true,
 	}
 	c.version = newVersions()
-	c.watch = newWatch(now, c.jitter(joinSpread))
-	c.report = newReports()
-	c.holds = newHolds()
+	c.watch = newWatch(now, c.jitter(startJitter))
+	c.reports = newReports()
+	c.crashes = newCrashTable()
 	c.table.put(now, c.self)
 	return c
 }
@@ -196,40 +196,40 @@
 	case Tick:
 		c.tick()
 	case LinkUp:
-		c.linkUp(m)
+		c.onLinkUp(m)
 	case LinkDown:
-		c.linkDown(m.Link)
+		c.onLinkDown(m.Link)
 	case DialFailed:
-		c.dialFailed(m)
+		c.onDialFailed(m)
 	case Received:
-		c.received(m)
+		c.onFrame(m)
 	case TargetsChanged:
-		c.targetsChanged(m.Targets)
+		c.onTargetsChanged(m.Targets)
 	case HeadRead:
-		c.headRead(m)
+		c.onHeadRead(m)
 	case ObjectRead:
-		c.objectRead(m)
+		c.onObjectRead(m)
 	case ContactsRead:
-		c.contactsRead(m)
+		c.onContactsRead(m)
 	case Committed:
-		c.committed(m)
+		c.onCommitted(m)
 	case Polled:
-		c.polled(m)
+		c.onPolled(m)
 	case PollFailed:
-		c.pollFailed()
+		c.onPollFailed()
 	case Crashed:
-		c.crashed(m)
+		c.onCrashed(m)
 	case Leave:
 		c.leave()
 	}
 	return c.cmds
 }
 
-func (c *Core) do(cmd Cmd) { c.cmds = append(c.cmds, cmd) }
+func (c *Core) emit(cmd Cmd) { c.cmds = append(c.cmds, cmd) }
 
-func (c *Core) log(e event.Event, f event.Fields) { c.do(Log{e, f}) }
+func (c *Core) log(e event.Event, f event.Fields) { c.emit(Log{e, f}) }
 
-func (c *Core) send(l *link, f Frame) { c.do(Send{l.id, f}) }
+func (c *Core) send(l *link, f Frame) { c.emit(Send{l.id, f}) }
 
 // jitter is a random time below d.
 func (c *Core) jitter(d time.Duration) time.Duration {
@@ -238,7 +238,7 @@
 
 func (c *Core) tick() {
 	c.flushUpdates()
-	c.topology()
+	c.maintainLinks()
 	c.tickLinks()
 	c.tickMembers()
 	c.tickVersion()
@@ -246,15 +246,15 @@
 	c.updateWatchRole()
 	c.tickContacts()
 	c.tickReport()
-	c.tickHolds()
-	if c.changed {
-		c.changed = false
-		c.do(PublishMembers{c.members()})
+	c.tickCrashes()
+	if c.membersChanged {
+		c.membersChanged = false
+		c.emit(PublishMembers{c.liveMembers()})
 	}
 }
 
 // members copies the live members, this node included.
-func (c *Core) members() []Member {
+func (c *Core) liveMembers() []Member {
 	out := make([]Member, 0, len(c.table.byHost))
 	for _, name := range c.table.names() {
 		for _, r := range c.table.members(name) {
@@ -264,50 +264,50 @@
 	return out
 }
 
-func (c *Core) received(m Received) {
+func (c *Core) onFrame(m Received) {
 	l := c.links[m.Link]
 	if l == nil {
 		return
 	}
-	l.heardAt = c.now
-	c.table.domain(l.domain, l.region).heardAt = c.now
+	l.lastReceived = c.now
+	c.table.domain(l.domain, l.region).lastReceived = c.now
 	switch f := m.Frame.(type) {
 	case Heartbeat:
-		c.beat(l, f)
+		c.onHeartbeat(l, f)
 	case Digests:
-		c.digests(l, f)
+		c.onDigests(l, f)
 	case Listing:
-		c.listing(l, f)
+		c.onListing(l, f)
 	case RecordRequest:
-		c.wants(l, f)
+		c.onRecordRequest(l, f)
 	case Records:
-		c.records(l, f)
+		c.onRecords(l, f)
 	case VersionNotice:
-		c.notice(l, f)
+		c.onVersionNotice(l, f)
 	case Fetch:
-		c.fetch(l, f)
+		c.onFetch(l, f)
 	case Content:
-		c.content(l, f)
+		c.onContent(l, f)
 	case Report:
-		c.reported(l, f)
+		c.onReport(l, f)
 	case Summary:
-		c.summary(l, f)
+		c.onSummary(l, f)
 	case CrashReport:
-		c.hold(l, f)
+		c.onCrashReport(l, f)
 	case VersionAck:
-		c.have(l, f)
+		c.onVersionAck(l, f)
 	case FloorNotice:
 		c.observeFloor(l.id, f.Version)
 	case PollNotice:
-		c.fresh(l, f)
+		c.onPollNotice(l, f)
 	default:
 		// A second Hello on an open link is of no use to an honest peer.
 		c.log(event.PeerGarbage, event.Fields{event.Subject: l.host})
-		c.do(CloseLink{l.id})
+		c.emit(CloseLink{l.id})
 	}
 }
 
-func (c *Core) hello(l *link) Hello {
+func (c *Core) newHello(l *link) Hello {
 	hi := Hello{
 		Member:      c.self,
 		Version:     c.version.number,
--- a/briarrockd/peer/push.go
+++ b/briarrockd/peer/push.go
@@ -13,7 +13,7 @@
 	if number >= c.version.number {
 		return
 	}
-	if l.told == c.version.number && c.now.Sub(l.toldAt) < beatEvery {
+	if l.announced == c.version.number && c.now.Sub(l.announcedAt) < heartbeatInterval {
 		return
 	}
 	out := c.version.outside >= c.version.number || l.domain != c.self.Domain
@@ -22,8 +22,8 @@
 	if c.cfg.DelegatePolling || !c.push(l, number, out) {
 		c.send(l, VersionNotice{c.version.number, c.version.hash, out})
 	}
-	l.told = c.version.number
-	l.toldAt = c.now
+	l.announced = c.version.number
+	l.announcedAt = c.now
 }
 
 // push sends the version in use itself instead of a notice of it, where the
@@ -54,7 +54,7 @@
 }
 
 // have takes a peer's word that a push has arrived.
-func (c *Core) have(l *link, f VersionAck) {
+func (c *Core) onVersionAck(l *link, f VersionAck) {
 	l.version = max(l.version, f.Version)
 	c.sawUse(l, f.Version)
 	c.remoteFloor(l, f.Version)
@@ -64,22 +64,22 @@
 // pushed takes a version that was not asked for. Its sender waits to hear
 // that it has arrived, unless ours has crossed it on the way.
 func (c *Core) pushed(l *link, f Content) {
-	c.notice(l, VersionNotice{f.Version, f.Hash, f.HeldRemotely})
+	c.onVersionNotice(l, VersionNotice{f.Version, f.Hash, f.HeldRemotely})
 	c.acknowledge(l, f.Version)
 }
 
 // acknowledge tells who sent a version that it has arrived, unless it has been
 // told of the same version from here meanwhile.
 func (c *Core) acknowledge(l *link, number uint64) {
-	if l.told < number {
-		l.told, l.toldAt = number, c.now
+	if l.announced < number {
+		l.announced, l.announcedAt = number, c.now
 		c.send(l, VersionAck{number})
 	}
 }
 
 // notice takes a peer's word that it holds a version. It may be about to
 // serve it, so that is remembered as its floor.
-func (c *Core) notice(l *link, f VersionNotice) {
+func (c *Core) onVersionNotice(l *link, f VersionNotice) {
 	c.sawUse(l, f.Version)
 	c.remoteFloor(l, f.Version)
 	if f.HeldRemotely {
@@ -93,14 +93,14 @@
 // the other carriers' link has mostly done it at no cost here.
 func (c *Core) tellLazy(l *link) {
 	if !l.lazy || l.version >= c.version.number {
-		l.owed = time.Time{}
+		l.lazyNoticeAt = time.Time{}
 		return
 	}
-	if l.owed.IsZero() {
-		l.owed = c.now.Add(lazyAfter + c.jitter(lazyAfter))
+	if l.lazyNoticeAt.IsZero() {
+		l.lazyNoticeAt = c.now.Add(lazyAfter + c.jitter(lazyAfter))
 		return
 	}
-	if !c.now.Before(l.owed) {
+	if !c.now.Before(l.lazyNoticeAt) {
 		c.peerBehind(l, l.version)
 	}
 }
--- a/briarrockd/peer/report.go
+++ b/briarrockd/peer/report.go
@@ -50,24 +50,24 @@
 	}
 }
 
-func (c *Core) reportChanged() { c.report.dirty = true }
+func (c *Core) reportChanged() { c.reports.dirty = true }
 
 func (c *Core) reportLost(host string) {
-	if _, ok := c.report.children[host]; ok {
-		delete(c.report.children, host)
-		c.report.dirty = true
+	if _, ok := c.reports.children[host]; ok {
+		delete(c.reports.children, host)
+		c.reports.dirty = true
 	}
-	if c.report.parent == host {
-		c.report.parent = ""
+	if c.reports.parent == host {
+		c.reports.parent = ""
 	}
 }
 
-func (c *Core) reported(l *link, f Report) {
+func (c *Core) onReport(l *link, f Report) {
 	if l.domain != c.self.Domain {
 		return
 	}
-	c.report.children[l.host] = f
-	c.report.dirty = true
+	c.reports.children[l.host] = f
+	c.reports.dirty = true
 }
 
 // subtree adds up this node and what its children reported. Reports of hosts
@@ -75,18 +75,18 @@
 // be counted in two places.
 func (c *Core) subtree() Report {
 	children := make(map[string]bool)
-	i := c.position()
+	i := c.orderIndex()
 	order := c.table.members(c.self.Domain)
-	for k := range degree {
-		if j := degree*i + 1 + k; i >= 0 && j < len(order) {
+	for k := range treeDegree {
+		if j := treeDegree*i + 1 + k; i >= 0 && j < len(order) {
 			children[order[j].Host] = true
 		}
 	}
 	t := tally{counts: make(map[uint64]int)}
 	t.counts[c.version.number]++
-	for host, r := range c.report.children {
+	for host, r := range c.reports.children {
 		if !children[host] {
-			delete(c.report.children, host)
+			delete(c.reports.children, host)
 			continue
 		}
 		for _, n := range r.Counts {
@@ -121,10 +121,10 @@
 }
 
 func (c *Core) tickReport() {
-	if c.report.dirty {
+	if c.reports.dirty {
 		c.sendReport()
 	}
-	if c.isRoot() && !c.now.Before(c.report.nextAt) {
+	if c.isRoot() && !c.now.Before(c.reports.nextAt) {
 		c.summarize()
 	}
 	c.noteStale()
@@ -134,25 +134,25 @@
 // the root it goes out to the other domains instead.
 func (c *Core) sendReport() {
 	r := c.subtree()
-	c.report.dirty = false
+	c.reports.dirty = false
 	if c.isRoot() {
-		if !sameReport(r, c.report.sent) {
-			c.report.sent = r
+		if !sameReport(r, c.reports.sent) {
+			c.reports.sent = r
 			c.summarize()
 		}
 		return
 	}
 	p := c.parent()
-	if p == nil || c.byHost[p.Host] == nil {
-		c.report.dirty = true
+	if p == nil || c.linkByHost[p.Host] == nil {
+		c.reports.dirty = true
 		return
 	}
-	if p.Host == c.report.parent && sameReport(r, c.report.sent) {
+	if p.Host == c.reports.parent && sameReport(r, c.reports.sent) {
 		return
 	}
-	c.report.sent = r
-	c.report.parent = p.Host
-	c.send(c.byHost[p.Host], r)
+	c.reports.sent = r
+	c.reports.parent = p.Host
+	c.send(c.linkByHost[p.Host], r)
 }
 
 func sameReport(a, b Report) bool {
@@ -174,7 +174,7 @@
 
 // summarize tells the other domains what this one uses.
 func (c *Core) summarize() {
-	c.report.nextAt = c.now.Add(summaryEvery)
+	c.reports.nextAt = c.now.Add(summaryEvery)
 	r := c.subtree()
 	s := Summary{
 		Domain:   c.self.Domain,
@@ -184,16 +184,16 @@
 		Counts:   r.Counts,
 		Laggards: r.Laggards,
 	}
-	c.report.domains[s.Domain] = summarized{s, c.now}
+	c.reports.domains[s.Domain] = summarized{s, c.now}
 	c.relaySummary(0, s)
 }
 
-func (c *Core) summary(l *link, f Summary) {
-	old, ok := c.report.domains[f.Domain]
-	if f.Domain == c.self.Domain || (ok && f.At <= old.At) || (!ok && len(c.report.domains) >= maxDomains) {
+func (c *Core) onSummary(l *link, f Summary) {
+	old, ok := c.reports.domains[f.Domain]
+	if f.Domain == c.self.Domain || (ok && f.At <= old.At) || (!ok && len(c.reports.domains) >= maxDomains) {
 		return
 	}
-	c.report.domains[f.Domain] = summarized{f, c.now}
+	c.reports.domains[f.Domain] = summarized{f, c.now}
 	c.relaySummary(l.id, f)
 }
 
@@ -201,7 +201,7 @@
 // the first two of the own one, who may have to take over.
 func (c *Core) relaySummary(from LinkID, s Summary) {
 	for _, l := range c.sortedLinks() {
-		if l.id == from || l.lazy || l.domain == s.Domain || !c.carries(l) || c.restricted(l) {
+		if l.id == from || l.lazy || l.domain == s.Domain || !c.carries(l) || c.introductionOnly(l) {
 			continue
 		}
 		c.send(l, s)
@@ -215,9 +215,9 @@
 		return true
 	}
 	order := c.table.members(c.self.Domain)
-	for _, r := range order[:min(len(order), bridges)] {
+	for _, r := range order[:min(len(order), bridgesPerDomain)] {
 		if r.Host == l.host {
-			return c.position() < bridges
+			return c.orderIndex() < bridgesPerDomain
 		}
 	}
 	return false
@@ -230,14 +230,14 @@
 	}
 	for _, name := range c.summaryNames() {
 		if name != l.domain {
-			c.send(l, c.report.domains[name].Summary)
+			c.send(l, c.reports.domains[name].Summary)
 		}
 	}
 }
 
 func (c *Core) summaryNames() []string {
-	names := make([]string, 0, len(c.report.domains))
-	for name := range c.report.domains {
+	names := make([]string, 0, len(c.reports.domains))
+	for name := range c.reports.domains {
 		names = append(names, name)
 	}
 	sort.Strings(names)
@@ -249,12 +249,12 @@
 	if !c.isRoot() {
 		return
 	}
-	for name, s := range c.report.domains {
-		silent := name != c.self.Domain && c.now.Sub(s.at) > summaryEvery+staleAfter
-		if silent && !c.report.stale[name] {
+	for name, s := range c.reports.domains {
+		silent := name != c.self.Domain && c.now.Sub(s.at) > summaryEvery+domainStaleAfter
+		if silent && !c.reports.stale[name] {
 			c.log(event.DomainStale, event.Fields{event.Subject: name, "since": s.at.UTC().Format(time.RFC3339)})
 		}
-		c.report.stale[name] = silent
+		c.reports.stale[name] = silent
 		if silent && c.now.Sub(s.at) > forgetDomain {
 			c.giveUp(name)
 		}
@@ -266,8 +266,8 @@
 // so, and its members would be kept for good. If it was only cut off, they
 // object when they come back.
 func (c *Core) giveUp(name string) {
-	delete(c.report.domains, name)
-	delete(c.report.stale, name)
+	delete(c.reports.domains, name)
+	delete(c.reports.stale, name)
 	for _, host := range c.hostsOf(name) {
 		m := c.table.byHost[host].Member
 		m.State = Dead
@@ -309,13 +309,13 @@
 	if !c.watch.freshAt.IsZero() {
 		s.HeadAgeMillis = now.Sub(c.watch.freshAt).Milliseconds()
 	}
-	s.Held = c.holds.list()
+	s.Held = c.crashes.heldRequests()
 	known := make(map[string]bool)
 	for _, name := range c.summaryNames() {
-		d := c.report.domains[name]
+		d := c.reports.domains[name]
 		known[name] = true
 		out := DomainStatus{Domain: name, Region: d.Region, Members: d.Members, Counts: d.Counts, Laggards: d.Laggards}
-		if silent := now.Sub(d.at); silent > summaryEvery+staleAfter {
+		if silent := now.Sub(d.at); silent > summaryEvery+domainStaleAfter {
 			out.SilentMillis = silent.Milliseconds()
 		}
 		s.Domains = append(s.Domains, out)
--- a/briarrockd/peer/rules_test.go
+++ b/briarrockd/peer/rules_test.go
@@ -154,7 +154,7 @@
 	}
 	for i, a := range order {
 		for j, b := range order {
-			c.Check(a.above(b), qt.Equals, i > j, qt.Commentf("%v above %v", a, b))
+			c.Check(a.supersedes(b), qt.Equals, i > j, qt.Commentf("%v above %v", a, b))
 		}
 	}
 }
@@ -305,7 +305,7 @@
 			}
 		}
 	}
-	c.Check(dialed > 0 && dialed < suspectAfter, qt.IsTrue, qt.Commentf("after %v", dialed))
+	c.Check(dialed > 0 && dialed < suspectDelay, qt.IsTrue, qt.Commentf("after %v", dialed))
 }
 
 // TestLostDomain loses a whole domain for good.
@@ -423,7 +423,7 @@
 		}
 	}
 	c.Check(dials <= 2, qt.IsTrue, qt.Commentf("%d dials in three seconds", dials))
-	c.Check(core.byHost["new"], qt.Not(qt.IsNil))
+	c.Check(core.linkByHost["new"], qt.Not(qt.IsNil))
 }
 
 // TestHoldClear lets word of crashes and word that the request has run to its end
@@ -452,7 +452,7 @@
 		}
 		r.pass(rng, 1000)
 		for _, core := range r.hearts {
-			c.Assert(core.holds.list(), qt.HasLen, 1, qt.Commentf("seed %d", seed))
+			c.Assert(core.crashes.heldRequests(), qt.HasLen, 1, qt.Commentf("seed %d", seed))
 		}
 	}
 }
--- a/briarrockd/peer/stream.go
+++ b/briarrockd/peer/stream.go
@@ -16,15 +16,15 @@
 )
 
 // blob is a message whose bytes are made and read elsewhere.
-type blob struct{ bytes []byte }
+type rawMessage struct{ bytes []byte }
 
 // encoding passes blobs through drpc unchanged: frames are encoded by the
 // CBOR library, so that no generated code is needed.
-type encoding struct{}
+type rawEncoding struct{}
 
 // Marshal implements drpc.Encoding.
-func (encoding) Marshal(m drpc.Message) ([]byte, error) {
-	b, ok := m.(*blob)
+func (rawEncoding) Marshal(m drpc.Message) ([]byte, error) {
+	b, ok := m.(*rawMessage)
 	if !ok {
 		return nil, ErrFrame
 	}
@@ -32,8 +32,8 @@
 }
 
 // Unmarshal implements drpc.Encoding.
-func (encoding) Unmarshal(buf []byte, m drpc.Message) error {
-	b, ok := m.(*blob)
+func (rawEncoding) Unmarshal(buf []byte, m drpc.Message) error {
+	b, ok := m.(*rawMessage)
 	if !ok {
 		return ErrFrame
 	}
@@ -43,26 +43,26 @@
 
 // stream is one open link: a drpc stream and the goroutine that writes it.
 type stream struct {
-	id    LinkID
-	rpc   drpc.Stream
-	conn  *countedConn
-	out   chan []byte
-	done  chan struct{}
-	once  sync.Once
-	drops sync.Once
-	last  chan struct{}
+	id        LinkID
+	rpc       drpc.Stream
+	conn      *countedConn
+	out       chan []byte
+	done      chan struct{}
+	closeOnce sync.Once
+	drainOnce sync.Once
+	draining  chan struct{}
 }
 
 // close ends the link at once.
 func (st *stream) close() {
-	st.once.Do(func() {
+	st.closeOnce.Do(func() {
 		close(st.done)
 		_ = st.conn.Close()
 	})
 }
 
 // drain ends the link after what is in its outbox has been written.
-func (st *stream) drain() { st.drops.Do(func() { close(st.last) }) }
+func (st *stream) drain() { st.drainOnce.Do(func() { close(st.draining) }) }
 
 // inboundPeer is what accepting a connection found out about its other side.
 type inboundPeer struct {
@@ -77,26 +77,26 @@
 }
 
 func (t *Transport) secureServer(conn net.Conn) (net.Conn, string, error) {
-	if t.keys.Server == nil {
+	if t.creds.Server == nil {
 		return conn, "", nil
 	}
-	return t.shake(tls.Server(conn, t.keys.Server()))
+	return t.handshake(tls.Server(conn, t.creds.Server()))
 }
 
 func (t *Transport) secureClient(conn net.Conn) (net.Conn, string, error) {
-	if t.keys.Client == nil {
+	if t.creds.Client == nil {
 		return conn, "", nil
 	}
-	return t.shake(tls.Client(conn, t.keys.Client()))
+	return t.handshake(tls.Client(conn, t.creds.Client()))
 }
 
-func (t *Transport) shake(c *tls.Conn) (net.Conn, string, error) {
-	ctx, cancel := context.WithTimeout(t.ctx, helloWithin)
+func (t *Transport) handshake(c *tls.Conn) (net.Conn, string, error) {
+	ctx, cancel := context.WithTimeout(t.ctx, helloTimeout)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
 		return nil, "", errors.Wrap(err, "peer: handshake")
 	}
-	name, err := t.keys.VerifyPeer(c.ConnectionState())
+	name, err := t.creds.VerifyPeer(c.ConnectionState())
 	return c, name, err
 }
 
@@ -116,7 +116,7 @@
 
 // dial opens a link and reports how it went.
 func (t *Transport) dial(c Dial) {
-	ctx, cancel := context.WithTimeout(t.ctx, helloWithin)
+	ctx, cancel := context.WithTimeout(t.ctx, helloTimeout)
 	defer cancel()
 	conn, err := t.connect(ctx, c.Addr)
 	if err != nil {
@@ -124,7 +124,7 @@
 		return
 	}
 	rpc := drpcconn.New(conn)
-	st, hello, err := t.open(rpc, conn, c.Hello)
+	st, hello, err := t.openStream(rpc, conn, c.Hello)
 	if err != nil {
 		_ = conn.Close()
 		t.Post(DialFailed{Addr: c.Addr})
@@ -132,14 +132,14 @@
 	}
 	t.wg.Go(func() {
 		defer func() { _ = rpc.Close() }()
-		t.converse(st, LinkUp{Link: st.id, Hello: hello, Addr: c.Addr})
+		t.runLink(st, LinkUp{Link: st.id, Hello: hello, Addr: c.Addr})
 	})
 }
 
 // open starts the stream of an outbound link and exchanges hellos.
-func (t *Transport) open(rpc *drpcconn.Conn, conn *countedConn, hi Hello) (*stream, Hello, error) {
-	_ = conn.SetDeadline(time.Now().Add(helloWithin))
-	st, err := rpc.NewStream(t.ctx, rpcLink, encoding{})
+func (t *Transport) openStream(rpc *drpcconn.Conn, conn *countedConn, hi Hello) (*stream, Hello, error) {
+	_ = conn.SetDeadline(time.Now().Add(helloTimeout))
+	st, err := rpc.NewStream(t.ctx, rpcLink, rawEncoding{})
 	if err != nil {
 		return nil, Hello{}, errors.WithStack(err)
 	}
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, Hello{}, err
 	}
-	if err := st.MsgSend(&blob{b}, encoding{}); err != nil {
+	if err := st.MsgSend(&rawMessage{b}, rawEncoding{}); err != nil {
 		return nil, Hello{}, errors.WithStack(err)
 	}
 	hello, err := recvHello(st)
@@ -155,13 +155,13 @@
 		return nil, Hello{}, err
 	}
 	_ = conn.SetDeadline(time.Time{})
-	conn.far(hello.Member)
+	conn.setPeer(hello.Member)
 	return t.newStream(st, conn), hello, nil
 }
 
 func recvHello(rpc drpc.Stream) (Hello, error) {
-	var m blob
-	if err := rpc.MsgRecv(&m, encoding{}); err != nil {
+	var m rawMessage
+	if err := rpc.MsgRecv(&m, rawEncoding{}); err != nil {
 		return Hello{}, errors.WithStack(err)
 	}
 	f, err := DecodeFrame(m.bytes)
@@ -181,7 +181,7 @@
 	t.lastID++
 	st := &stream{
 		id: t.lastID, rpc: rpc, conn: conn,
-		out: make(chan []byte, outboxSize), done: make(chan struct{}), last: make(chan struct{}),
+		out: make(chan []byte, outboxSize), done: make(chan struct{}), draining: make(chan struct{}),
 	}
 	t.streams[st.id] = st
 	return st
@@ -194,7 +194,7 @@
 	if p == nil {
 		return errors.New("peer: connection without identity")
 	}
-	_ = p.conn.SetReadDeadline(time.Now().Add(helloWithin))
+	_ = p.conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	hello, err := recvHello(rpc)
 	if err != nil {
 		t.log.Emit(event.PeerGarbage, event.Fields{event.Subject: p.conn.RemoteAddr().String()})
@@ -206,14 +206,14 @@
 		return errors.Errorf("peer: %q says that it is %q", p.name, hello.Member.Host)
 	}
 	_ = p.conn.SetReadDeadline(time.Time{})
-	p.conn.far(hello.Member)
+	p.conn.setPeer(hello.Member)
 	st := t.newStream(rpc, p.conn)
-	t.converse(st, LinkUp{Link: st.id, Hello: hello})
+	t.runLink(st, LinkUp{Link: st.id, Hello: hello})
 	return nil
 }
 
-// converse runs an open link until either side ends it.
-func (t *Transport) converse(st *stream, up LinkUp) {
+// runLink runs an open link until either side ends it.
+func (t *Transport) runLink(st *stream, up LinkUp) {
 	stop := context.AfterFunc(t.ctx, st.close)
 	defer stop()
 	t.wg.Go(func() { t.write(st) })
@@ -229,8 +229,8 @@
 
 func (t *Transport) read(st *stream) {
 	for {
-		var m blob
-		if err := st.rpc.MsgRecv(&m, encoding{}); err != nil {
+		var m rawMessage
+		if err := st.rpc.MsgRecv(&m, rawEncoding{}); err != nil {
 			return
 		}
 		f, err := DecodeFrame(m.bytes)
@@ -251,12 +251,12 @@
 		case <-st.done:
 			return
 		case b := <-st.out:
-			if !st.put(b) {
+			if !st.writeFrame(b) {
 				return
 			}
-		case <-st.last:
+		case <-st.draining:
 			for len(st.out) > 0 {
-				if !st.put(<-st.out) {
+				if !st.writeFrame(<-st.out) {
 					return
 				}
 			}
@@ -265,7 +265,7 @@
 	}
 }
 
-func (st *stream) put(b []byte) bool {
-	_ = st.conn.SetWriteDeadline(time.Now().Add(sendWithin))
-	return st.rpc.MsgSend(&blob{b}, encoding{}) == nil
+func (st *stream) writeFrame(b []byte) bool {
+	_ = st.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
+	return st.rpc.MsgSend(&rawMessage{b}, rawEncoding{}) == nil
 }
--- a/briarrockd/peer/topology.go
+++ b/briarrockd/peer/topology.go
@@ -11,29 +11,29 @@
 // The shape of the graph of links.
 const (
 	// degree is the number of children of a node in its domain's tree.
-	degree = 4
+	treeDegree = 4
 	// bridges is the number of members of a domain that link to other domains.
-	bridges = 2
+	bridgesPerDomain = 2
 	// maxLinks bounds the links of a node, those that peers open included.
 	maxLinks = 512
 )
 
 // The times by which links are sought and given up.
 const (
-	dialFirst    = 100 * time.Millisecond
-	maxDialPause = 5 * time.Second
+	minDialBackoff = 100 * time.Millisecond
+	maxDialBackoff = 5 * time.Second
 	// linger is how long a link stays that the topology has no more use for.
-	linger = 5 * time.Second
-	// tryEvery is the mean time between attempts at contacts that are not
+	unusedLinkTimeout = 5 * time.Second
+	// rejoinInterval is the mean time between attempts at contacts that are not
 	// known as members, and at members that were declared dead. These are
 	// what heals a partition after which the two sides have forgotten each
 	// other.
-	tryEvery = 10 * time.Second
+	rejoinInterval = 10 * time.Second
 	// isolatedDials is how many contacts a node without links tries at each tick:
 	// some of them may be gone, and an attempt at these takes seconds.
 	isolatedDials = 3
-	// joinSpread spreads out first attempts when many nodes start at once.
-	joinSpread = 300 * time.Millisecond
+	// startJitter spreads out first attempts when many nodes start at once.
+	startJitter = 300 * time.Millisecond
 )
 
 // desiredLink is a link that this node should have and has to dial.
@@ -44,7 +44,7 @@
 }
 
 // position is this node's place in the order of its domain, -1 if it has none.
-func (c *Core) position() int {
+func (c *Core) orderIndex() int {
 	for i, r := range c.table.members(c.self.Domain) {
 		if r.Host == c.self.Host {
 			return i
@@ -55,11 +55,11 @@
 
 // parent is the member that this node reports to; nil at the root.
 func (c *Core) parent() *record {
-	i := c.position()
+	i := c.orderIndex()
 	if i <= 0 {
 		return nil
 	}
-	return c.table.members(c.self.Domain)[(i-1)/degree]
+	return c.table.members(c.self.Domain)[(i-1)/treeDegree]
 }
 
 // root is the first member of this node's domain.
@@ -71,37 +71,37 @@
 	return order[0]
 }
 
-func (c *Core) isRoot() bool { return c.position() == 0 }
+func (c *Core) isRoot() bool { return c.orderIndex() == 0 }
 
 // desiredLinks lists the links that this node has to dial.
 func (c *Core) desiredLinks() []desiredLink {
-	i := c.position()
+	i := c.orderIndex()
 	if i < 0 {
 		return nil
 	}
 	order := c.table.members(c.self.Domain)
 	var out []desiredLink
 	if i > 0 {
-		out = append(out, desiredLink{addr: order[(i-1)/degree].PeerAddr, host: order[(i-1)/degree].Host})
-		if (i-1)/degree != i-1 {
+		out = append(out, desiredLink{addr: order[(i-1)/treeDegree].PeerAddr, host: order[(i-1)/treeDegree].Host})
+		if (i-1)/treeDegree != i-1 {
 			out = append(out, desiredLink{addr: order[i-1].PeerAddr, host: order[i-1].Host})
 		}
 	}
-	if i < bridges {
-		out = append(out, c.domainLinks(i)...)
+	if i < bridgesPerDomain {
+		out = append(out, c.interDomainLinks(i)...)
 	}
 	return append(out, c.interRegionLinks()...)
 }
 
 // domainLinks links bridge i to bridge i of each domain of the region that
 // sorts after this one; those before it dial this one.
-func (c *Core) domainLinks(i int) []desiredLink {
+func (c *Core) interDomainLinks(i int) []desiredLink {
 	var out []desiredLink
 	for _, name := range c.table.names() {
 		if name <= c.self.Domain || c.table.domains[name].region != c.self.Region {
 			continue
 		}
-		if r := c.pick(name, i); r != nil {
+		if r := c.pickMember(name, i); r != nil {
 			out = append(out, desiredLink{addr: r.PeerAddr, host: r.Host})
 		}
 	}
@@ -112,7 +112,7 @@
 // sorts after it. The second carrier's links are lazy: they carry news only
 // when the first one's fail to.
 func (c *Core) interRegionLinks() []desiredLink {
-	own := c.carriers(c.self.Region)
+	own := c.gateways(c.self.Region)
 	i := slices.IndexFunc(own, func(r *record) bool { return r.Host == c.self.Host })
 	if i < 0 {
 		return nil
@@ -122,7 +122,7 @@
 		if region <= c.self.Region {
 			continue
 		}
-		theirs := c.carriers(region)
+		theirs := c.gateways(region)
 		if len(theirs) == 0 {
 			continue
 		}
@@ -135,26 +135,26 @@
 // carriers are the up to two members that keep a region's links to other
 // regions: the first of its first two domains, or the first two of its only
 // one. A domain that has not been heard of gives none if another can.
-func (c *Core) carriers(region string) []*record {
+func (c *Core) gateways(region string) []*record {
 	var out []*record
 	for pass := range 2 {
 		for _, name := range c.table.names() {
 			d := c.table.domains[name]
-			if d.region != region || c.stale(d) != (pass == 1) {
+			if d.region != region || c.isStale(d) != (pass == 1) {
 				continue
 			}
-			if r := c.pick(name, 0); r != nil {
+			if r := c.pickMember(name, 0); r != nil {
 				out = append(out, r)
 			}
 		}
 	}
 	if len(out) == 1 {
-		if r := c.pick(out[0].Domain, 1); r != nil && r.Host != out[0].Host {
+		if r := c.pickMember(out[0].Domain, 1); r != nil && r.Host != out[0].Host {
 			out = append(out, r)
 		}
 	}
-	if len(out) > bridges {
-		out = out[:bridges]
+	if len(out) > bridgesPerDomain {
+		out = out[:bridgesPerDomain]
 	}
 	return out
 }
@@ -162,15 +162,15 @@
 // stale tells whether this node, as one that should hear of the domain, has
 // not done so for too long. Members that hold no link to a domain never learn
 // of it first hand, so for them no domain is stale.
-func (c *Core) stale(d *domain) bool {
-	if d.name == c.self.Domain || d.heardAt.IsZero() {
+func (c *Core) isStale(d *domain) bool {
+	if d.name == c.self.Domain || d.lastReceived.IsZero() {
 		return false
 	}
-	return c.now.Sub(d.heardAt) > staleAfter && !c.linked(d.name)
+	return c.now.Sub(d.lastReceived) > domainStaleAfter && !c.linkedToDomain(d.name)
 }
 
-func (c *Core) linked(name string) bool {
-	for _, l := range c.byHost {
+func (c *Core) linkedToDomain(name string) bool {
+	for _, l := range c.linkByHost {
 		if l.domain == name {
 			return true
 		}
@@ -195,21 +195,21 @@
 // pick takes member i of a domain; while that can't be linked to, another one
 // at random. So a domain whose first members all died unheard, while it was
 // cut off, is still found again.
-func (c *Core) pick(name string, i int) *record {
+func (c *Core) pickMember(name string, i int) *record {
 	order := c.table.members(name)
 	if len(order) == 0 {
 		return nil
 	}
 	r := order[min(i, len(order)-1)]
 	d := c.dials[r.PeerAddr]
-	if d == nil || d.fails < 2 || c.byHost[r.Host] != nil || name == c.self.Domain {
+	if d == nil || d.failures < 2 || c.linkByHost[r.Host] != nil || name == c.self.Domain {
 		return r
 	}
-	return order[(i+d.fails)%len(order)]
+	return order[(i+d.failures)%len(order)]
 }
 
 // topology dials what is desired and closes what is not.
-func (c *Core) topology() {
+func (c *Core) maintainLinks() {
 	if c.self.State == Leaving {
 		return
 	}
@@ -219,7 +219,7 @@
 	}
 	for _, w := range c.desiredLinks() {
 		wanted[w.host] = true
-		if l := c.byHost[w.host]; l != nil {
+		if l := c.linkByHost[w.host]; l != nil {
 			l.lazy = l.outbound && w.lazy
 			continue
 		}
@@ -227,22 +227,22 @@
 	}
 	c.rejoin()
 	for _, l := range c.sortedLinks() {
-		c.release(l, wanted[l.host])
+		c.closeUnwanted(l, wanted[l.host])
 	}
 }
 
 // release closes a link that this node opened and has no use for any more.
-func (c *Core) release(l *link, wanted bool) {
+func (c *Core) closeUnwanted(l *link, wanted bool) {
 	if wanted || !l.outbound || len(c.links) == 1 {
-		l.unwanted = time.Time{}
+		l.unwantedSince = time.Time{}
 		return
 	}
-	if l.unwanted.IsZero() {
-		l.unwanted = c.now
+	if l.unwantedSince.IsZero() {
+		l.unwantedSince = c.now
 		return
 	}
-	if c.now.Sub(l.unwanted) >= linger {
-		c.do(CloseLink{l.id})
+	if c.now.Sub(l.unwantedSince) >= unusedLinkTimeout {
+		c.emit(CloseLink{l.id})
 	}
 }
 
@@ -251,11 +251,11 @@
 // domain, who may have declared us dead too.
 func (c *Core) rejoin() {
 	alone := len(c.links) == 0
-	if !alone && c.now.Before(c.nextTry) {
+	if !alone && c.now.Before(c.nextRejoin) {
 		return
 	}
 	if !alone {
-		c.nextTry = c.now.Add(tryEvery/2 + c.jitter(tryEvery))
+		c.nextRejoin = c.now.Add(rejoinInterval/2 + c.jitter(rejoinInterval))
 	}
 	var addrs []string
 	known := make(map[string]bool)
@@ -267,7 +267,7 @@
 			addrs = append(addrs, r.PeerAddr)
 		}
 	}
-	for _, addr := range slices.Concat(c.cfg.Contacts, c.stored.addrs) {
+	for _, addr := range slices.Concat(c.cfg.Contacts, c.contacts.addrs) {
 		if addr != c.self.PeerAddr && (alone || !known[addr]) {
 			addrs = append(addrs, addr)
 		}
@@ -295,71 +295,71 @@
 func (c *Core) dial(addr, host string, lazy bool) {
 	d := c.dials[addr]
 	if d == nil {
-		d = &dialing{nextAt: c.now}
+		d = &dialState{nextAt: c.now}
 		if len(c.links) > 0 {
-			d.nextAt = c.now.Add(c.jitter(dialFirst))
+			d.nextAt = c.now.Add(c.jitter(minDialBackoff))
 		}
 		c.dials[addr] = d
 	}
 	if host != "" {
 		d.host = host
 	}
-	if d.busy || c.now.Before(d.nextAt) {
+	if d.inProgress || c.now.Before(d.nextAt) {
 		return
 	}
-	d.busy = true
+	d.inProgress = true
 	to := &link{host: host, lazy: lazy}
 	if r := c.table.byHost[host]; r != nil {
 		to.domain = r.Domain
 	}
-	c.do(Dial{Addr: addr, Hello: c.hello(to)})
+	c.emit(Dial{Addr: addr, Hello: c.newHello(to)})
 }
 
-func (c *Core) dialFailed(m DialFailed) {
+func (c *Core) onDialFailed(m DialFailed) {
 	d := c.dials[m.Addr]
 	if d == nil {
 		return
 	}
-	d.busy = false
-	d.fails++
-	wait := min(dialFirst<<min(d.fails, 10), maxDialPause)
+	d.inProgress = false
+	d.failures++
+	wait := min(minDialBackoff<<min(d.failures, 10), maxDialBackoff)
 	d.nextAt = c.now.Add(wait/2 + c.jitter(wait/2))
 	// A host on which nobody listens has no process: waiting out the usual
 	// time would only send it calls that are bound to fail.
 	r := c.table.byHost[d.host]
-	if m.Refused && d.fails >= 2 && r != nil && r.State == Alive && r.Domain == c.self.Domain {
+	if m.Refused && d.failures >= 2 && r != nil && r.State == Alive && r.Domain == c.self.Domain {
 		c.suspect(r)
 	}
 }
 
-func (c *Core) linkUp(m LinkUp) {
+func (c *Core) onLinkUp(m LinkUp) {
 	hi := m.Hello
-	if m.Addr != "" && c.otherHost(m) {
-		c.do(CloseLink{m.Link})
+	if m.Addr != "" && c.addressReused(m) {
+		c.emit(CloseLink{m.Link})
 		return
 	}
 	if hi.Member.Host == c.self.Host || len(c.links) >= maxLinks {
-		c.do(CloseLink{m.Link})
+		c.emit(CloseLink{m.Link})
 		return
 	}
-	c.linkReplace(hi.Member.Host)
+	c.replaceLink(hi.Member.Host)
 	l := &link{
 		id: m.Link, host: hi.Member.Host, domain: hi.Member.Domain, region: hi.Member.Region,
-		outbound: m.Addr != "", lazy: m.Addr == "" && hi.Lazy, heardAt: c.now, openedAt: c.now,
-		beatAt: c.now.Add(c.jitter(beatEvery)), version: hi.Version,
+		outbound: m.Addr != "", lazy: m.Addr == "" && hi.Lazy, lastReceived: c.now, openedAt: c.now,
+		nextHeartbeat: c.now.Add(c.jitter(heartbeatInterval)), version: hi.Version,
 	}
 	c.links[l.id] = l
-	c.byHost[l.host] = l
-	delete(c.lost, l.host)
-	c.table.domain(l.domain, l.region).heardAt = c.now
+	c.linkByHost[l.host] = l
+	delete(c.missingSince, l.host)
+	c.table.domain(l.domain, l.region).lastReceived = c.now
 	c.log(event.LinkUp, event.Fields{event.Subject: l.host})
 	if !l.outbound {
-		c.do(SendHello{l.id, c.hello(l)})
+		c.emit(SendHello{l.id, c.newHello(l)})
 	}
-	c.greeted(l, hi)
+	c.onHello(l, hi)
 }
 
-// otherHost notes who has answered at an address. It tells whether that is
+// addressReused notes who has answered at an address. It tells whether that is
 // another host than the one that was sought, with which there is a link already.
 //
 // Addresses are used again. The record of the host that had one before lives on
@@ -367,23 +367,23 @@
 // for a success it would be sought at once again, at each tick, and each of the
 // links would replace the last one, with all that a new link costs. That another
 // host answers also says that the old one's process is gone.
-func (c *Core) otherHost(m LinkUp) bool {
+func (c *Core) addressReused(m LinkUp) bool {
 	answers := m.Hello.Member.Host
 	d := c.dials[m.Addr]
-	c.dials[m.Addr] = &dialing{host: answers}
+	c.dials[m.Addr] = &dialState{host: answers}
 	if d == nil || d.host == "" || d.host == answers {
 		return false
 	}
-	c.dials[m.Addr].nextAt = c.now.Add(maxDialPause)
+	c.dials[m.Addr].nextAt = c.now.Add(maxDialBackoff)
 	if r := c.table.byHost[d.host]; r != nil && r.State == Alive && r.Domain == c.self.Domain {
 		c.suspect(r)
 	}
-	return c.byHost[answers] != nil
+	return c.linkByHost[answers] != nil
 }
 
 // greeted takes in what the peer's hello says.
-func (c *Core) greeted(l *link, hi Hello) {
-	c.reincarnate(hi.KnownIncarnation)
+func (c *Core) onHello(l *link, hi Hello) {
+	c.raiseIncarnation(hi.KnownIncarnation)
 	c.merge(l.id, hi.Member)
 	c.heardFresh(poll{version: hi.Version, seen: hi.Cursor, at: c.ago(hi.HeadAge)})
 	c.raiseFloor(hi.Floor)
@@ -394,8 +394,8 @@
 		c.observeFloor(l.id, hi.RemoteFloor)
 	}
 	c.heardVersion(l, hi.Version, hi.Hash)
-	if c.introduces(l, hi) {
-		l.introduces = c.now.Add(introduceFor)
+	if c.shouldIntroduce(l, hi) {
+		l.introductionUntil = c.now.Add(introductionPeriod)
 		c.introduce(l)
 		return
 	}
@@ -408,26 +408,26 @@
 
 // linkReplace closes an older link to the same host: the peer opened a new
 // one because the old one is dead to it.
-func (c *Core) linkReplace(host string) {
-	if old := c.byHost[host]; old != nil {
-		c.do(CloseLink{old.id})
-		c.drop(old)
+func (c *Core) replaceLink(host string) {
+	if old := c.linkByHost[host]; old != nil {
+		c.emit(CloseLink{old.id})
+		c.removeLink(old)
 	}
 }
 
-func (c *Core) linkDown(id LinkID) {
+func (c *Core) onLinkDown(id LinkID) {
 	l := c.links[id]
 	if l == nil {
 		return
 	}
 	c.log(event.LinkDown, event.Fields{event.Subject: l.host})
-	c.drop(l)
+	c.removeLink(l)
 }
 
-func (c *Core) drop(l *link) {
+func (c *Core) removeLink(l *link) {
 	delete(c.links, l.id)
-	if c.byHost[l.host] == l {
-		delete(c.byHost, l.host)
+	if c.linkByHost[l.host] == l {
+		delete(c.linkByHost, l.host)
 		c.reportLost(l.host)
 	}
 	c.version.linkGone(l.id)
@@ -436,16 +436,16 @@
 // tickLinks sends heartbeats and closes links that have gone silent.
 func (c *Core) tickLinks() {
 	for _, l := range c.sortedLinks() {
-		if c.now.Sub(l.heardAt) > silentAfter {
-			c.do(CloseLink{l.id})
-			c.drop(l)
+		if c.now.Sub(l.lastReceived) > linkSilenceTimeout {
+			c.emit(CloseLink{l.id})
+			c.removeLink(l)
 			continue
 		}
-		if c.now.Before(l.beatAt) {
+		if c.now.Before(l.nextHeartbeat) {
 			continue
 		}
-		l.beatAt = c.now.Add(beatEvery)
-		c.send(l, Heartbeat{Root: c.table.digestRoot(), Version: c.version.number, HeadAge: age(c.now, c.watch.freshAt), Cursor: c.watch.seen})
+		l.nextHeartbeat = c.now.Add(heartbeatInterval)
+		c.send(l, Heartbeat{Root: c.table.rootDigest(), Version: c.version.number, HeadAge: age(c.now, c.watch.freshAt), Cursor: c.watch.seen})
 	}
 }
 
--- a/briarrockd/peer/traffic.go
+++ b/briarrockd/peer/traffic.go
@@ -12,10 +12,10 @@
 
 // traffic counts the bytes of links, TLS included.
 type traffic struct {
-	self   Member
-	domain [2]*metrics.Counter // written, read; within the failure domain
-	region [2]*metrics.Counter // within the region
-	paid   [2]*metrics.Counter // between regions
+	self        Member
+	domain      [2]*metrics.Counter // written, read; within the failure domain
+	region      [2]*metrics.Counter // within the region
+	interRegion [2]*metrics.Counter // between regions
 }
 
 func newTraffic(set *metrics.Set, self Member) *traffic {
@@ -26,54 +26,54 @@
 			set.GetOrCreateCounter(name + `"in"}`),
 		}
 	}
-	return &traffic{self: self, domain: pair("domain"), region: pair("region"), paid: pair("paid")}
+	return &traffic{self: self, domain: pair("domain"), region: pair("region"), interRegion: pair("paid")}
 }
 
 // countedConn counts its bytes. What passes before the other side is known is
 // counted once it is.
 type countedConn struct {
 	net.Conn
-	t     *traffic
-	pair  atomic.Pointer[[2]*metrics.Counter]
-	early [2]atomic.Int64
+	traffic   *traffic
+	counters  atomic.Pointer[[2]*metrics.Counter]
+	uncounted [2]atomic.Int64
 }
 
-func (t *traffic) wrap(c net.Conn) *countedConn { return &countedConn{Conn: c, t: t} }
+func (t *traffic) wrap(c net.Conn) *countedConn { return &countedConn{Conn: c, traffic: t} }
 
 // far says who is at the other side.
-func (c *countedConn) far(m Member) {
-	pair := &c.t.paid
+func (c *countedConn) setPeer(m Member) {
+	pair := &c.traffic.interRegion
 	switch {
-	case m.Domain == c.t.self.Domain:
-		pair = &c.t.domain
-	case m.Region == c.t.self.Region:
-		pair = &c.t.region
+	case m.Domain == c.traffic.self.Domain:
+		pair = &c.traffic.domain
+	case m.Region == c.traffic.self.Region:
+		pair = &c.traffic.region
 	}
-	c.pair.Store(pair)
-	for way := range c.early {
-		pair[way].Add(int(c.early[way].Swap(0)))
+	c.counters.Store(pair)
+	for way := range c.uncounted {
+		pair[way].Add(int(c.uncounted[way].Swap(0)))
 	}
 }
 
-func (c *countedConn) count(way, n int) {
-	if pair := c.pair.Load(); pair != nil {
+func (c *countedConn) add(way, n int) {
+	if pair := c.counters.Load(); pair != nil {
 		pair[way].Add(n)
 		return
 	}
-	c.early[way].Add(int64(n))
+	c.uncounted[way].Add(int64(n))
 }
 
 // Write implements net.Conn.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.count(0, n)
+	c.add(0, n)
 	return n, err
 }
 
 // Read implements net.Conn.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.count(1, n)
+	c.add(1, n)
 	return n, err
 }
 
@@ -90,5 +90,5 @@
 // Traffic returns the control bytes so far.
 func (t *Transport) Traffic() Traffic {
 	sum := func(p [2]*metrics.Counter) uint64 { return p[0].Get() + p[1].Get() }
-	return Traffic{sum(t.traffic.domain), sum(t.traffic.region), sum(t.traffic.paid), t.traffic.paid[0].Get()}
+	return Traffic{sum(t.traffic.domain), sum(t.traffic.region), sum(t.traffic.interRegion), t.traffic.interRegion[0].Get()}
 }
--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -205,7 +205,7 @@
 		return
 	}
 	w.reading = true
-	c.do(ReadObject{w.hash})
+	c.emit(ReadObject{w.hash})
 }
 
 func (c *Core) tickVersion() {
@@ -251,7 +251,7 @@
 }
 
 // fetch answers a peer that asks for a version.
-func (c *Core) fetch(l *link, f Fetch) {
+func (c *Core) onFetch(l *link, f Fetch) {
 	c.remembered(l, f.Version)
 	b, ok := c.version.content[f.Hash]
 	if !ok {
@@ -275,7 +275,7 @@
 
 // content takes a version from a peer. What doesn't fit is dropped whole: the
 // node goes on with the version that it has and asks somebody else.
-func (c *Core) content(l *link, f Content) {
+func (c *Core) onContent(l *link, f Content) {
 	if f.Push && f.Version > c.version.number && c.unpackPush(f) {
 		c.pushed(l, f)
 		return
@@ -316,7 +316,7 @@
 	c.log(event.VersionRefused, event.Fields{event.Subject: from, "version": number, "error": err.Error()})
 }
 
-func (c *Core) objectRead(m ObjectRead) {
+func (c *Core) onObjectRead(m ObjectRead) {
 	w := &c.version.want
 	if m.Hash != w.hash || w.number <= c.version.number {
 		return
@@ -329,7 +329,7 @@
 	c.arrived(w.number, m.Hash, m.Content)
 }
 
-func (c *Core) committed(m Committed) {
+func (c *Core) onCommitted(m Committed) {
 	c.arrived(m.Version, m.Hash, m.Content)
 	at := m.At
 	if at.IsZero() {
--- a/briarrockd/peer/watch.go
+++ b/briarrockd/peer/watch.go
@@ -119,13 +119,13 @@
 
 // threshold is how old the last read may be before this node reads itself.
 func (c *Core) threshold() time.Duration {
-	i := c.position()
+	i := c.orderIndex()
 	switch {
 	case i == 0 && c.leads():
 		return leadReads
 	case i == 0:
 		return rootReads
-	case i > 0 && i < bridges:
+	case i > 0 && i < bridgesPerDomain:
 		return bridgeReads
 	default:
 		return otherReads
@@ -163,7 +163,7 @@
 	}
 	w.reading = true
 	w.readAt = c.now
-	c.do(ReadHead{})
+	c.emit(ReadHead{})
 }
 
 // firstRead spreads the first reads of a herd that starts together, by the
@@ -174,7 +174,7 @@
 	return whole * time.Duration(score(c.self.Host)%1000) / 1000
 }
 
-func (c *Core) headRead(m HeadRead) {
+func (c *Core) onHeadRead(m HeadRead) {
 	w := &c.watch
 	w.reading = false
 	if m.Err != nil {
@@ -186,7 +186,7 @@
 	}
 	w.fails = 0
 	w.nextAt = c.now.Add(leadReads/2 + c.jitter(leadReads/4))
-	if c.position() >= bridges {
+	if c.orderIndex() >= bridgesPerDomain {
 		w.nextAt = c.now.Add(c.jitter(otherSpread))
 	}
 	c.version.quarantine(m.Version)
@@ -225,7 +225,7 @@
 	}
 	w.fails++
 	pause := min(leadReads<<min(w.fails, 6), maxBackoff)
-	if c.position() >= bridges {
+	if c.orderIndex() >= bridgesPerDomain {
 		pause = otherSpread
 	}
 	w.nextAt = c.now.Add(pause/2 + c.jitter(pause))
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -15,9 +15,9 @@
 // losing all watchers costs lapseAfter, well within the time in which a change must be
 // in force.
 const (
-	// wholeDomain is the size of a domain up to which all of its members watch, each
+	// smallDomainSize is the size of a domain up to which all of its members watch, each
 	// for itself, if no domain of the region is larger.
-	wholeDomain = 4
+	smallDomainSize = 4
 	// watchLong is how long one question waits for a change where all watch. A
 	// longer one costs fewer calls; but one whose store has fallen silent and come
 	// back meanwhile is waited for in vain until its end.
@@ -111,7 +111,7 @@
 // large.
 func (c *Core) allWatch() bool {
 	for _, d := range c.table.domains {
-		if d.region == c.self.Region && d.count > wholeDomain {
+		if d.region == c.self.Region && d.count > smallDomainSize {
 			return false
 		}
 	}
@@ -124,7 +124,7 @@
 	if c.now.Sub(c.watch.role.nearAt) <= lapseAfter {
 		return false
 	}
-	return slices.ContainsFunc(c.carriers(c.self.Region), func(r *record) bool { return r.Host == c.self.Host })
+	return slices.ContainsFunc(c.gateways(c.self.Region), func(r *record) bool { return r.Host == c.self.Host })
 }
 
 // updateWatchRole decides whether this node is to poll the platform, and how.
@@ -142,7 +142,7 @@
 		c.broadcastTry()
 	}
 	d.now, d.told = w, true
-	c.do(w)
+	c.emit(w)
 }
 
 func (c *Core) watchRole() Watch {
@@ -175,14 +175,14 @@
 	switch {
 	case c.cfg.Bootstrap:
 		return since >= bootFirst || (since >= peersFirst && carrier)
-	case c.version.number > 0 || c.stored.small:
+	case c.version.number > 0 || c.contacts.smallDomain:
 		return true
 	case carrier:
 		return since >= carriersFirst
 	case len(c.links) == 0:
 		return since >= peersFirst
 	default:
-		return since >= peersFirst+readSpread*time.Duration(max(c.position(), 0))
+		return since >= peersFirst+readSpread*time.Duration(max(c.orderIndex(), 0))
 	}
 }
 
@@ -192,7 +192,7 @@
 func (c *Core) lapsed() bool {
 	d := &c.watch.role
 	n := len(c.table.members(c.self.Domain))
-	spread := lapseSpread * time.Duration(max(c.position(), 0)) / time.Duration(n+1)
+	spread := lapseSpread * time.Duration(max(c.orderIndex(), 0)) / time.Duration(n+1)
 	// A version that has come says as well that somebody polls.
 	silent := c.now.Sub(later(d.heardAt, c.version.stagedAt)) > lapseAfter+spread
 	if silent && c.now.Sub(d.triedAt) > d.pause {
@@ -203,7 +203,7 @@
 
 // pollFailed notes that this node's own poll had no answer. A spare node leaves the
 // next try to the others.
-func (c *Core) pollFailed() {
+func (c *Core) onPollFailed() {
 	c.watch.fails++
 	d := &c.watch.role
 	if !d.now.Fallback {
@@ -222,7 +222,7 @@
 
 // polled takes this node's own poll of the platform, which found nothing newer
 // than what it has told.
-func (c *Core) polled(m Polled) {
+func (c *Core) onPolled(m Polled) {
 	c.watch.seen = max(c.watch.seen, m.Cursor)
 	c.watch.role.measured(m.RTT)
 	c.headIs(c.version.number, m.At)
@@ -286,7 +286,7 @@
 // could come back to a node by another way it would seem younger each time, and
 // over slow links a region would go on telling itself that somebody polls long
 // after nobody did.
-func (c *Core) fresh(l *link, f PollNotice) {
+func (c *Core) onPollNotice(l *link, f PollNotice) {
 	d := &c.watch.role
 	name := noticeName{f.Incarnation, f.Serial}
 	last, known := d.pollers[f.Host]
@@ -310,7 +310,7 @@
 
 func (c *Core) floodFresh(from LinkID, f PollNotice) {
 	for _, l := range c.sortedLinks() {
-		if l.id != from && !l.lazy && !c.restricted(l) {
+		if l.id != from && !l.lazy && !c.introductionOnly(l) {
 			c.send(l, f)
 		}
 	}
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -24,7 +24,7 @@
 	order := probe.members("erie-a")
 	self := order[n-1].Host
 	core := New(Config{Self: member(self), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	for i := range bridges {
+	for i := range bridgesPerDomain {
 		m := member(order[i].Host)
 		core.Step(now, LinkUp{Link: LinkID(i + 1), Hello: Hello{Member: m}, Addr: m.PeerAddr})
 	}
