--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -18,7 +18,7 @@
 // commit them, or the one that gathers could not be connected to.
 var ErrNotForwarded = errors.New("peer: no node gathers")
 
-// rootConn is a lasting connection to the first node of the domain. A drpc
+// claimsConn is a lasting connection to the first node of the domain. A drpc
 // connection carries one call at a time, and there is one batch at a time.
 type claimsConn struct {
 	mu   sync.Mutex
--- a/briarrockd/peer/contact.go
+++ b/briarrockd/peer/contact.go
@@ -38,21 +38,21 @@
 	maxContacts = 256
 )
 
-// contacts is what a node knows of the rows.
+// contactRows is what a node knows of the rows.
 type contactRows struct {
 	written   []string
 	nextWrite time.Time
 	lastRead  time.Time
 	addrs     []string
-	// readFrom is from when on a node without links reads the rows.
+	// readAfter is from when on a node without links reads the rows.
 	readAfter time.Time
-	// rootAt is since when this node has been the first of its domain.
+	// rootSince is since when this node has been the first of its domain.
 	rootSince time.Time
 	// reads counts the reads since the node was last linked, and came is set
 	// once one has been answered.
 	reads  int
 	loaded bool
-	// small is set where the row of the own domain names no more members than
+	// smallDomain is set where the row of the own domain names no more members than
 	// may all watch the platform.
 	smallDomain bool
 }
@@ -79,7 +79,7 @@
 	c.emit(ReadContacts{})
 }
 
-// readPause is how long a node that has lost its last link, or has none yet,
+// contactsReadDelay is how long a node that has lost its last link, or has none yet,
 // waits before it reads the rows.
 func (c *Core) contactsReadDelay() time.Duration {
 	if c.readContactsAtOnce() {
@@ -100,10 +100,10 @@
 // configuration at once, instead of waiting for a peer that has it: after the
 // loss of a whole mesh nobody has.
 func (c *Core) readContactsAtOnce() bool {
-	return c.cfg.DelegatePolling && !c.cfg.Bootstrap && !c.version.peered && !c.contacts.loaded
+	return c.cfg.DelegatePolling && !c.cfg.Bootstrap && !c.version.everLinked && !c.contacts.loaded
 }
 
-// leaveContacts writes the row of this domain, at its root, when the first
+// publishContacts writes the row of this domain, at its root, when the first
 // members are others than those in it. A node that has read the rows and still
 // has no link may be the first of all: it leaves its address for the others.
 func (c *Core) publishContacts() {
@@ -150,6 +150,6 @@
 	}
 	// Callers wait for a node that has just been started, so it doesn't wait for
 	// the next tick.
-	c.updateWatchRole()
+	c.updatePollRole()
 	c.rejoin()
 }
--- a/briarrockd/peer/contact_test.go
+++ b/briarrockd/peer/contact_test.go
@@ -49,7 +49,7 @@
 		c.Check(count[ReadContacts](cmds), qt.Equals, 1)
 		cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1"}, OwnDomain: near})
 		c.Check(turns(cmds), qt.Equals, want, qt.Commentf("%d near", near))
-		_, more := ticks(core, now, peersFirst)
+		_, more := ticks(core, now, startReadDelay)
 		c.Check(turns(append(cmds, more...)), qt.IsTrue)
 	}
 }
@@ -84,7 +84,7 @@
 		if failed {
 			core.Step(now, PollFailed{})
 		}
-		_, cmds := ticks(core, now, joinedAfter+confirmWithin+2*TickInterval)
+		_, cmds := ticks(core, now, linkSettleTime+confirmTimeout+2*TickInterval)
 		c.Check(len(used(cmds)) > 0, qt.Equals, failed)
 	}
 }
--- a/briarrockd/peer/fed_test.go
+++ b/briarrockd/peer/fed_test.go
@@ -66,7 +66,7 @@
 	b, hash = bytesOf(c, 5)
 	cmds := core.Step(now, Received{1, VersionNotice{5, hash, true}})
 	c.Check(fetches(cmds), qt.Equals, 0)
-	brought := now.Add(hedgeAfter / 2)
+	brought := now.Add(hedgeDelay / 2)
 	cmds = core.Step(brought, Committed{Version: 5, Hash: hash, Content: b})
 	now, more := ticks(core, brought, 3*time.Second)
 	cmds = append(cmds, more...)
@@ -77,7 +77,7 @@
 	// The next one comes from the peer alone: this host is cut off.
 	next := content(c, 6, 6)
 	core.Step(now, Received{1, VersionNotice{6, next.Hash, true}})
-	now, cmds = ticks(core, now, hedgeAfter+2*TickInterval)
+	now, cmds = ticks(core, now, hedgeDelay+2*TickInterval)
 	c.Check(fetches(cmds), qt.Equals, 1)
 	cmds = core.Step(now, Received{1, next})
 	_, more = ticks(core, now, time.Second)
--- a/briarrockd/peer/floor.go
+++ b/briarrockd/peer/floor.go
@@ -5,15 +5,15 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// sawUse remembers what a peer uses, so that it can be told its floor after a
+// recordPeerVersion remembers what a peer uses, so that it can be told its floor after a
 // restart: the peer itself if it is of the own domain, and its whole domain,
 // in case all of its nodes restart.
-func (c *Core) sawUse(l *link, version uint64) {
+func (c *Core) recordPeerVersion(l *link, version uint64) {
 	v := &c.version
-	v.peered = true
-	v.domains[l.domain] = max(v.domains[l.domain], version)
+	v.everLinked = true
+	v.domainVersions[l.domain] = max(v.domainVersions[l.domain], version)
 	if l.domain == c.self.Domain {
-		v.seen[l.host] = max(v.seen[l.host], version)
+		v.peerVersions[l.host] = max(v.peerVersions[l.host], version)
 	}
 }
 
@@ -22,24 +22,24 @@
 	c.version.floor = max(c.version.floor, floor)
 }
 
-// remoteFloor notes that a peer of another domain holds a version, and so
+// noteRemoteVersion notes that a peer of another domain holds a version, and so
 // remembers that this domain uses it.
-func (c *Core) remoteFloor(l *link, version uint64) {
+func (c *Core) noteRemoteVersion(l *link, version uint64) {
 	if l.domain == c.self.Domain || version == 0 {
 		return
 	}
-	c.observeFloor(l.id, min(version, max(c.version.number, c.version.outside)))
+	c.raiseRemoteFloor(l.id, min(version, max(c.version.number, c.version.remoteFloor)))
 }
 
-// observeFloor takes in that other domains know that this one uses a version,
+// raiseRemoteFloor takes in that other domains know that this one uses a version,
 // and passes it on within the domain. A node that has not served yet takes it
 // for its floor.
-func (c *Core) observeFloor(from LinkID, version uint64) {
+func (c *Core) raiseRemoteFloor(from LinkID, version uint64) {
 	v := &c.version
-	if version <= v.outside {
+	if version <= v.remoteFloor {
 		return
 	}
-	v.outside = version
+	v.remoteFloor = version
 	if !v.ready {
 		c.raiseFloor(version)
 	}
@@ -51,31 +51,31 @@
 	c.serve()
 }
 
-// use puts a version into use. It is the only place where the number changes,
+// setVersion puts a version into use. It is the only place where the number changes,
 // and the one check that keeps a node from ever going back stands in arrived.
-func (c *Core) use(number uint64, hash snapshot.Hash, s *snapshot.Snapshot) {
+func (c *Core) setVersion(number uint64, hash snapshot.Hash, s *snapshot.Snapshot) {
 	v := &c.version
-	v.before, v.numberBefore = v.hash, v.number
+	v.previousHash, v.previousNumber = v.hash, v.number
 	v.number = number
 	v.hash = hash
 	v.staged = s
 	v.stagedAt = c.now
-	v.known = false
-	if v.want.number <= number {
-		v.want = want{}
+	v.confirmedInDomain = false
+	if v.pending.number <= number {
+		v.pending = pendingFetch{}
 	}
 	for _, l := range c.sortedLinks() {
 		if !l.lazy {
-			c.peerBehind(l, l.version)
+			c.notifyIfBehind(l, l.version)
 		}
 	}
-	c.caughtUp()
+	c.recordPendingPoll()
 	c.becomeReady()
 	if !v.ready {
-		c.updateWatchRole() // callers wait for the poll that confirms the version
+		c.updatePollRole() // callers wait for the poll that confirms the version
 	}
 	c.serve()
-	c.reportChanged()
+	c.markReportDirty()
 }
 
 // serve hands the newest verified version to the proxy, once the node may.
@@ -86,7 +86,7 @@
 // another node of the domain, whoever sent the content here or asked for it,
 // and, in case the whole domain dies, by another domain. That costs a round
 // trip or two, and only in the domain where the version came in; where nobody
-// answers, a node waits confirmWithin. docs/design/floor.md has what is left.
+// answers, a node waits confirmTimeout. docs/design/floor.md has what is left.
 func (c *Core) serve() {
 	v := &c.version
 	if !v.ready || v.staged == nil {
@@ -102,13 +102,13 @@
 
 func (c *Core) confirmed() bool {
 	v := &c.version
-	if c.now.Sub(v.stagedAt) >= confirmWithin {
+	if c.now.Sub(v.stagedAt) >= confirmTimeout {
 		return true
 	}
-	if !v.known && c.hasNeighbour() {
+	if !v.confirmedInDomain && c.hasNeighbour() {
 		return false
 	}
-	return v.outside >= v.number || len(c.table.names()) < 2
+	return v.remoteFloor >= v.number || len(c.table.names()) < 2
 }
 
 // hasNeighbour tells whether there is a link within the domain.
@@ -121,25 +121,25 @@
 	return false
 }
 
-// remembered notes that a peer knows that this node holds a version.
-func (c *Core) remembered(l *link, number uint64) {
+// confirmInDomain notes that a peer knows that this node holds a version.
+func (c *Core) confirmInDomain(l *link, number uint64) {
 	v := &c.version
 	if l.domain != c.self.Domain || number < v.number || v.number == 0 {
 		return
 	}
-	v.known = true
+	v.confirmedInDomain = true
 	c.serve()
 }
 
-// joined tells whether this node has been linked for a while with everybody who
+// linkedToAll tells whether this node has been linked for a while with everybody who
 // remembers what it served, while the platform can't be asked: its neighbours in
 // the domain, and one member of each other domain of the region. A version is
 // served only once one of them holds it.
-func (c *Core) joined() bool {
-	if len(c.links) == 0 || c.watch.fails == 0 {
+func (c *Core) linkedToAll() bool {
+	if len(c.links) == 0 || c.watch.failures == 0 {
 		return false
 	}
-	long := func(l *link) bool { return l != nil && c.now.Sub(l.openedAt) >= joinedAfter }
+	long := func(l *link) bool { return l != nil && c.now.Sub(l.openedAt) >= linkSettleTime }
 	for _, r := range c.neighbours() {
 		if !long(c.linkByHost[r.Host]) {
 			return false
@@ -171,18 +171,18 @@
 // new as anything that it ever served, since versions are served only after
 // they are the head. Where the store can't be reached, the node waits for its
 // domain's peers and never goes below what they saw it use: once a poll has failed,
-// until it has met all of those who would remember, or else for serveAfter.
+// until it has met all of those who would remember, or else for startServeDelay.
 func (c *Core) becomeReady() {
 	v := &c.version
 	if v.ready || v.number == 0 || v.number < v.floor {
 		return
 	}
-	fresh := c.watch.freshAt.After(c.watch.startedAt.Add(freshMargin)) || c.watch.own
-	waited := !v.started.IsZero() && c.now.Sub(v.started) >= serveAfter
-	if !fresh && !c.joined() && (!waited || !v.peered) {
+	fresh := c.watch.headReadAt.After(c.watch.startedAt.Add(headAgeMargin)) || c.watch.ownPollCounted
+	waited := !v.startedAt.IsZero() && c.now.Sub(v.startedAt) >= startServeDelay
+	if !fresh && !c.linkedToAll() && (!waited || !v.everLinked) {
 		return
 	}
 	v.ready = true
-	c.watch.role.heardAt = later(c.watch.role.heardAt, c.now)
+	c.watch.role.noticedAt = laterOf(c.watch.role.noticedAt, c.now)
 	c.serve()
 }
--- a/briarrockd/peer/frame.go
+++ b/briarrockd/peer/frame.go
@@ -19,16 +19,16 @@
 // are its memory.
 type Hello struct {
 	Member Member `cbor:"1,keyasint"`
-	// Known is the highest incarnation of the receiver that the sender holds.
+	// KnownIncarnation is the highest incarnation of the receiver that the sender holds.
 	KnownIncarnation uint64 `cbor:"2,keyasint,omitempty"`
 	// Floor is the highest version that the sender saw the receiver use.
 	Floor   uint64        `cbor:"3,keyasint,omitempty"`
 	Version uint64        `cbor:"4,keyasint,omitempty"`
 	Hash    snapshot.Hash `cbor:"5,keyasint"`
-	// Fresh is the age in milliseconds of the last read of the head, as far
+	// HeadAge is the age in milliseconds of the last read of the head, as far
 	// as the sender has heard; 0 for never.
 	HeadAge uint64 `cbor:"6,keyasint,omitempty"`
-	// Domain is the highest version that the receiver's domain is known to
+	// DomainFloor is the highest version that the receiver's domain is known to
 	// have used.
 	DomainFloor uint64 `cbor:"8,keyasint,omitempty"`
 	// Lazy asks that this link carries news only as a reserve.
@@ -36,14 +36,14 @@
 	// Seen is the position in the platform's record of changes up to which the
 	// sender's version is the newest; 0 if it doesn't know.
 	Cursor uint64 `cbor:"9,keyasint,omitempty"`
-	// Outside is the highest version that other domains are known to remember as one
+	// RemoteFloor is the highest version that other domains are known to remember as one
 	// that the sender's domain uses.
 	RemoteFloor uint64 `cbor:"10,keyasint,omitempty"`
 	// Members is how many live members the sender knows, itself included.
 	Members int `cbor:"11,keyasint,omitempty"`
 }
 
-// Beat is the heartbeat of a link. It carries just enough to notice that the
+// Heartbeat is the heartbeat of a link. It carries just enough to notice that the
 // two sides differ.
 type Heartbeat struct {
 	Root    uint64 `cbor:"1,keyasint"`
@@ -52,7 +52,7 @@
 	Cursor  uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Fresh floods through the mesh: one poll of the platform, how long ago it was,
+// PollNotice floods through the mesh: one poll of the platform, how long ago it was,
 // and which version was the newest then. Host, Incarnation and Serial name it, so
 // that each node passes it on once.
 type PollNotice struct {
@@ -62,7 +62,7 @@
 	Host        string `cbor:"4,keyasint"`
 	Incarnation uint64 `cbor:"5,keyasint"`
 	Serial      uint64 `cbor:"6,keyasint"` // counts the notices of this incarnation
-	// Try is set where a node says that it begins to poll; it has no answer yet.
+	// Started is set where a node says that it begins to poll; it has no answer yet.
 	Started bool `cbor:"7,keyasint,omitempty"`
 	// Region is that of the host, and Delay the milliseconds of its way to the
 	// platform and back; 0 if it doesn't know.
@@ -108,7 +108,7 @@
 	Members []Member `cbor:"1,keyasint"`
 }
 
-// Notice says which version the sender holds.
+// VersionNotice says which version the sender holds.
 type VersionNotice struct {
 	Version uint64        `cbor:"1,keyasint"`
 	Hash    snapshot.Hash `cbor:"2,keyasint"`
@@ -116,12 +116,12 @@
 	HeldRemotely bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Have tells the sender of a pushed version that it has arrived.
+// VersionAck tells the sender of a pushed version that it has arrived.
 type VersionAck struct {
 	Version uint64 `cbor:"1,keyasint"`
 }
 
-// Known floods within a domain: other domains know that it uses a version.
+// FloorNotice floods within a domain: other domains know that it uses a version.
 type FloorNotice struct {
 	Version uint64 `cbor:"1,keyasint"`
 }
@@ -146,7 +146,7 @@
 	Push         bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Count is how many nodes serve one version.
+// VersionCount is how many nodes serve one version.
 type VersionCount struct {
 	Version uint64 `cbor:"1,keyasint" json:"version"`
 	Nodes   int    `cbor:"2,keyasint" json:"nodes"`
@@ -168,7 +168,7 @@
 	Laggards []string       `cbor:"6,keyasint,omitempty"`
 }
 
-// Hold says that a request that crashes targets is held back everywhere.
+// CrashReport says that a request that crashes targets is held back everywhere.
 type CrashReport struct {
 	Print   uint64 `cbor:"1,keyasint"` // fingerprint of the request
 	Service string `cbor:"2,keyasint"`
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -14,7 +14,7 @@
 // sweepInterval is how often tombstones are polled over.
 const sweepInterval = 5 * time.Second
 
-// reincarnate makes this process younger than any that a peer remembers.
+// raiseIncarnation makes this process younger than any that a peer remembers.
 //
 // A host's clock may have gone back between two of its processes. Then the
 // new one would count as the older, and its peers would ignore it for as long
@@ -71,7 +71,7 @@
 	}
 	if !m.live() && wasLive {
 		delete(c.missingSince, m.Host)
-		delete(c.version.seen, m.Host)
+		delete(c.version.peerVersions, m.Host)
 		c.logDeparture(m)
 	}
 	c.queueUpdate(m.Host, from)
@@ -153,12 +153,12 @@
 }
 
 func (c *Core) onHeartbeat(l *link, f Heartbeat) {
-	c.heardFresh(poll{version: f.Version, seen: f.Cursor, at: c.ago(f.HeadAge)})
-	c.sawUse(l, f.Version)
-	c.remoteFloor(l, f.Version)
+	c.onPeerPoll(poll{version: f.Version, cursor: f.Cursor, at: c.ago(f.HeadAge)})
+	c.recordPeerVersion(l, f.Version)
+	c.noteRemoteVersion(l, f.Version)
 	l.version = max(l.version, f.Version)
-	c.peerBehind(l, f.Version)
-	c.remembered(l, f.Version)
+	c.notifyIfBehind(l, f.Version)
+	c.confirmInDomain(l, f.Version)
 	if f.Root == c.table.rootDigest() {
 		l.digestMismatches = 0
 		return
@@ -179,7 +179,7 @@
 	return f
 }
 
-// digests compares tables, domain by domain. A domain of which one side has
+// onDigests compares tables, domain by domain. A domain of which one side has
 // nothing is sent whole or asked for whole; of another that differs, the
 // listing of ranks goes first, since it is much smaller than the records.
 func (c *Core) onDigests(l *link, f Digests) {
@@ -210,7 +210,7 @@
 	return hosts
 }
 
-// listingOf lists all of a domain's records, tombstones included.
+// newListing lists all of a domain's records, tombstones included.
 func (c *Core) newListing(name string) Listing {
 	f := Listing{Domain: name}
 	for _, host := range c.hosts() {
@@ -222,7 +222,7 @@
 	return f
 }
 
-// listing answers with what the peer lacks and asks for what it has better.
+// onListing answers with what the peer lacks and asks for what it has better.
 func (c *Core) onListing(l *link, f Listing) {
 	listed := make(map[string]bool, len(f.Entries))
 	var wants, better []string
@@ -338,7 +338,7 @@
 	}
 }
 
-// removeDead declares suspects of the own domain dead. Other domains are left
+// declareDead declares suspects of the own domain dead. Other domains are left
 // to their own members, who hear of them first: a domain that is cut off as a
 // whole would otherwise be declared dead from afar, and keep nothing.
 func (c *Core) declareDead() {
--- a/briarrockd/peer/hold.go
+++ b/briarrockd/peer/hold.go
@@ -22,7 +22,7 @@
 	maxCrashReports = 64
 )
 
-// held is what is known of one request that was in flight at a crash.
+// crashRecord is what is known of one request that was in flight at a crash.
 type crashRecord struct {
 	service   string
 	reportIDs map[uint64]bool // reports, so that a relayed one counts once
@@ -30,14 +30,14 @@
 	updatedAt time.Time
 }
 
-// holds are the requests that are suspected of crashing targets.
+// crashTable are the requests that are suspected of crashing targets.
 type crashTable struct {
 	records map[uint64]*crashRecord
 }
 
 func newCrashTable() crashTable { return crashTable{records: make(map[uint64]*crashRecord)} }
 
-// crashed takes what this node saw at its own target.
+// onCrashed takes what this node saw at its own target.
 func (c *Core) onCrashed(m Crashed) {
 	f := CrashReport{Print: m.Print, Service: m.Service, Crashes: 1, Clear: m.Clear, ID: c.rng.Uint64()}
 	if p := c.crashes.records[m.Print]; m.Clear && (p == nil || p.crashes == 0) {
@@ -48,7 +48,7 @@
 
 func (c *Core) onCrashReport(l *link, f CrashReport) { c.applyCrashReport(l.id, f) }
 
-// takeHold counts a report once and passes it on to every link, the lazy ones
+// applyCrashReport counts a report once and passes it on to every link, the lazy ones
 // included: a request that crashes targets must not get through to another
 // region because one link was quiet.
 //
@@ -103,7 +103,7 @@
 	}
 }
 
-// list returns what is held back now.
+// heldRequests returns what is held back now.
 func (t *crashTable) heldRequests() []HeldRequest {
 	var out []HeldRequest
 	for mark, p := range t.records {
--- a/briarrockd/peer/introduce.go
+++ b/briarrockd/peer/introduce.go
@@ -15,7 +15,7 @@
 	introductionPeriod = 5 * time.Second
 )
 
-// introduces tells whether a link that has just come up need only lead its peer to
+// shouldIntroduce tells whether a link that has just come up need only lead its peer to
 // others of its region: it knows hardly anybody, and this node knows some of them.
 func (c *Core) shouldIntroduce(l *link, hi Hello) bool {
 	if l.outbound || l.domain == c.self.Domain || hi.Members == 0 || hi.Members > maxNewcomerMembers {
@@ -33,7 +33,7 @@
 	return false
 }
 
-// restricted tells whether a link still only leads a newcomer to its own domain.
+// introductionOnly tells whether a link still only leads a newcomer to its own domain.
 func (c *Core) introductionOnly(l *link) bool { return c.now.Before(l.introductionUntil) }
 
 // introduce sends a newcomer the members of its domain and the bridges of its region.
--- a/briarrockd/peer/member.go
+++ b/briarrockd/peer/member.go
@@ -99,7 +99,7 @@
 
 func (m *Member) rank() rank { return rank{m.Incarnation, m.Seq, m.State} }
 
-// above tells whether a record with rank r replaces one with rank o.
+// supersedes tells whether a record with rank r replaces one with rank o.
 func (r rank) supersedes(o rank) bool {
 	if r.incarnation != o.incarnation {
 		return r.incarnation > o.incarnation
@@ -252,7 +252,7 @@
 	return names
 }
 
-// digestRoot is one number for the whole table.
+// rootDigest is one number for the whole table.
 func (t *table) rootDigest() uint64 {
 	if t.rootValid {
 		return t.root
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -62,7 +62,7 @@
 // ContactsRead is the answer to ReadContacts.
 type ContactsRead struct {
 	Addrs []string
-	// Near is how many of them this node's own domain has left; 0 if it has left
+	// OwnDomain is how many of them this node's own domain has left; 0 if it has left
 	// none yet.
 	OwnDomain int
 }
@@ -130,13 +130,13 @@
 	Hello Hello
 }
 
-// Greet sends this node's hello on a link that its peer opened.
+// SendHello sends this node's hello on a link that its peer opened.
 type SendHello struct {
 	Link  LinkID
 	Hello Hello
 }
 
-// Close asks to close a link. LinkDown follows.
+// CloseLink asks to close a link. LinkDown follows.
 type CloseLink struct{ Link LinkID }
 
 // Send puts a frame on a link.
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -110,7 +110,7 @@
 	self  Member
 	table *table
 	links map[LinkID]*link
-	// byHost is the one link that is used for each linked host.
+	// linkByHost is the one link that is used for each linked host.
 	linkByHost map[string]*link
 	dials      map[string]*dialState
 
@@ -122,7 +122,7 @@
 	nextSweep      time.Time
 
 	version  versions
-	watch    watch
+	watch    headWatch
 	contacts contactRows
 	reports  reports
 	crashes  crashTable
@@ -139,22 +139,22 @@
 	lastReceived  time.Time
 	nextHeartbeat time.Time // next heartbeat to send
 	openedAt      time.Time
-	// differs counts the heartbeats in a row whose digest was not ours.
+	// digestMismatches counts the heartbeats in a row whose digest was not ours.
 	digestMismatches int
 	// version is the highest version that the peer is known to hold, told the
 	// one that it was last told of.
 	version     uint64
 	announced   uint64
 	announcedAt time.Time
-	// owed is when a lazy link is to be told of a version, if still needed.
+	// lazyNoticeAt is when a lazy link is to be told of a version, if still needed.
 	lazyNoticeAt time.Time
-	// introduces is until when the link only leads a newcomer to its own domain.
+	// introductionUntil is until when the link only leads a newcomer to its own domain.
 	introductionUntil time.Time
-	// unwanted is since when the topology has had no use for the link.
+	// unwantedSince is since when the topology has had no use for the link.
 	unwantedSince time.Time
 }
 
-// dialing is what is known of an address that links were sought to.
+// dialState is what is known of an address that links were sought to.
 type dialState struct {
 	host       string
 	inProgress bool
@@ -243,7 +243,7 @@
 	c.tickMembers()
 	c.tickVersion()
 	c.tickWatch()
-	c.updateWatchRole()
+	c.updatePollRole()
 	c.tickContacts()
 	c.tickReport()
 	c.tickCrashes()
@@ -253,7 +253,7 @@
 	}
 }
 
-// members copies the live members, this node included.
+// liveMembers copies the live members, this node included.
 func (c *Core) liveMembers() []Member {
 	out := make([]Member, 0, len(c.table.byHost))
 	for _, name := range c.table.names() {
@@ -297,7 +297,7 @@
 	case VersionAck:
 		c.onVersionAck(l, f)
 	case FloorNotice:
-		c.observeFloor(l.id, f.Version)
+		c.raiseRemoteFloor(l.id, f.Version)
 	case PollNotice:
 		c.onPollNotice(l, f)
 	default:
@@ -312,15 +312,15 @@
 		Member:      c.self,
 		Version:     c.version.number,
 		Hash:        c.version.hash,
-		HeadAge:     age(c.now, c.watch.freshAt),
-		Cursor:      c.watch.seen,
-		RemoteFloor: c.version.outside,
+		HeadAge:     age(c.now, c.watch.headReadAt),
+		Cursor:      c.watch.cursor,
+		RemoteFloor: c.version.remoteFloor,
 		Members:     c.Members(),
 	}
 	if l != nil {
 		hi.Lazy = l.lazy
-		hi.Floor = c.version.seen[l.host]
-		hi.DomainFloor = c.version.domains[l.domain]
+		hi.Floor = c.version.peerVersions[l.host]
+		hi.DomainFloor = c.version.domainVersions[l.domain]
 		if r := c.table.byHost[l.host]; r != nil {
 			hi.KnownIncarnation = r.Incarnation
 		}
--- a/briarrockd/peer/report.go
+++ b/briarrockd/peer/report.go
@@ -7,13 +7,13 @@
 	"briarrock.example/mesh/event"
 )
 
-// summaryEvery is how often a root tells its summary again, so that a domain
+// summaryInterval is how often a root tells its summary again, so that a domain
 // that falls silent can be told from one where nothing happens.
-const summaryEvery = 10 * time.Second
+const summaryInterval = 10 * time.Second
 
-// forgetDomain is how long a whole domain may be silent before its members are
+// domainForgetAfter is how long a whole domain may be silent before its members are
 // forgotten: longer than domains and regions are ever cut off.
-const forgetDomain = 6 * time.Hour
+const domainForgetAfter = 6 * time.Hour
 
 // tally counts nodes by the version that they use.
 type tally struct {
@@ -25,18 +25,18 @@
 type reports struct {
 	// children are the last reports of the children in the tree.
 	children map[string]Report
-	// sent is the last report that went to parent.
-	sent   Report
-	parent string
-	dirty  bool
+	// lastSent is the last report that went to parent.
+	lastSent Report
+	parent   string
+	dirty    bool
 	// domains are the latest summaries, this domain's own included at its root.
-	domains map[string]summarized
-	nextAt  time.Time
-	stale   map[string]bool
+	domains     map[string]receivedSummary
+	nextSummary time.Time
+	stale       map[string]bool
 }
 
-// summarized is a summary and when it came.
-type summarized struct {
+// receivedSummary is a summary and when it came.
+type receivedSummary struct {
 	Summary
 	at time.Time
 }
@@ -44,15 +44,15 @@
 func newReports() reports {
 	return reports{
 		children: make(map[string]Report),
-		domains:  make(map[string]summarized),
+		domains:  make(map[string]receivedSummary),
 		stale:    make(map[string]bool),
 		dirty:    true,
 	}
 }
 
-func (c *Core) reportChanged() { c.reports.dirty = true }
+func (c *Core) markReportDirty() { c.reports.dirty = true }
 
-func (c *Core) reportLost(host string) {
+func (c *Core) removeReport(host string) {
 	if _, ok := c.reports.children[host]; ok {
 		delete(c.reports.children, host)
 		c.reports.dirty = true
@@ -70,10 +70,10 @@
 	c.reports.dirty = true
 }
 
-// subtree adds up this node and what its children reported. Reports of hosts
+// subtreeReport adds up this node and what its children reported. Reports of hosts
 // that are no longer children are dropped: after the order changed they would
 // be counted in two places.
-func (c *Core) subtree() Report {
+func (c *Core) subtreeReport() Report {
 	children := make(map[string]bool)
 	i := c.orderIndex()
 	order := c.table.members(c.self.Domain)
@@ -124,20 +124,20 @@
 	if c.reports.dirty {
 		c.sendReport()
 	}
-	if c.isRoot() && !c.now.Before(c.reports.nextAt) {
+	if c.isRoot() && !c.now.Before(c.reports.nextSummary) {
 		c.summarize()
 	}
-	c.noteStale()
+	c.checkStaleDomains()
 }
 
 // sendReport sends this node's report to its parent, if either changed. At
 // the root it goes out to the other domains instead.
 func (c *Core) sendReport() {
-	r := c.subtree()
+	r := c.subtreeReport()
 	c.reports.dirty = false
 	if c.isRoot() {
-		if !sameReport(r, c.reports.sent) {
-			c.reports.sent = r
+		if !sameReport(r, c.reports.lastSent) {
+			c.reports.lastSent = r
 			c.summarize()
 		}
 		return
@@ -147,10 +147,10 @@
 		c.reports.dirty = true
 		return
 	}
-	if p.Host == c.reports.parent && sameReport(r, c.reports.sent) {
+	if p.Host == c.reports.parent && sameReport(r, c.reports.lastSent) {
 		return
 	}
-	c.reports.sent = r
+	c.reports.lastSent = r
 	c.reports.parent = p.Host
 	c.send(c.linkByHost[p.Host], r)
 }
@@ -174,8 +174,8 @@
 
 // summarize tells the other domains what this one uses.
 func (c *Core) summarize() {
-	c.reports.nextAt = c.now.Add(summaryEvery)
-	r := c.subtree()
+	c.reports.nextSummary = c.now.Add(summaryInterval)
+	r := c.subtreeReport()
 	s := Summary{
 		Domain:   c.self.Domain,
 		Region:   c.self.Region,
@@ -184,7 +184,7 @@
 		Counts:   r.Counts,
 		Laggards: r.Laggards,
 	}
-	c.reports.domains[s.Domain] = summarized{s, c.now}
+	c.reports.domains[s.Domain] = receivedSummary{s, c.now}
 	c.relaySummary(0, s)
 }
 
@@ -193,7 +193,7 @@
 	if f.Domain == c.self.Domain || (ok && f.At <= old.At) || (!ok && len(c.reports.domains) >= maxDomains) {
 		return
 	}
-	c.reports.domains[f.Domain] = summarized{f, c.now}
+	c.reports.domains[f.Domain] = receivedSummary{f, c.now}
 	c.relaySummary(l.id, f)
 }
 
@@ -201,16 +201,16 @@
 // the first two of the own one, who may have to take over.
 func (c *Core) relaySummary(from LinkID, s Summary) {
 	for _, l := range c.sortedLinks() {
-		if l.id == from || l.lazy || l.domain == s.Domain || !c.carries(l) || c.introductionOnly(l) {
+		if l.id == from || l.lazy || l.domain == s.Domain || !c.carriesSummaries(l) || c.introductionOnly(l) {
 			continue
 		}
 		c.send(l, s)
 	}
 }
 
-// carries tells whether summaries go over a link: those between domains, and
+// carriesSummaries tells whether summaries go over a link: those between domains, and
 // the one between the two bridges of this domain.
-func (c *Core) carries(l *link) bool {
+func (c *Core) carriesSummaries(l *link) bool {
 	if l.domain != c.self.Domain {
 		return true
 	}
@@ -225,7 +225,7 @@
 
 // sendSummaries brings a new link up to date.
 func (c *Core) sendSummaries(l *link) {
-	if l.lazy || !c.carries(l) {
+	if l.lazy || !c.carriesSummaries(l) {
 		return
 	}
 	for _, name := range c.summaryNames() {
@@ -244,28 +244,28 @@
 	return names
 }
 
-// noteStale logs, at the root, when another domain falls silent.
-func (c *Core) noteStale() {
+// checkStaleDomains logs, at the root, when another domain falls silent.
+func (c *Core) checkStaleDomains() {
 	if !c.isRoot() {
 		return
 	}
 	for name, s := range c.reports.domains {
-		silent := name != c.self.Domain && c.now.Sub(s.at) > summaryEvery+domainStaleAfter
+		silent := name != c.self.Domain && c.now.Sub(s.at) > summaryInterval+domainStaleAfter
 		if silent && !c.reports.stale[name] {
 			c.log(event.DomainStale, event.Fields{event.Subject: name, "since": s.at.UTC().Format(time.RFC3339)})
 		}
 		c.reports.stale[name] = silent
-		if silent && c.now.Sub(s.at) > forgetDomain {
-			c.giveUp(name)
+		if silent && c.now.Sub(s.at) > domainForgetAfter {
+			c.declareDomainDead(name)
 		}
 	}
 }
 
-// giveUp declares the members of a domain dead that has been silent for
+// declareDomainDead declares the members of a domain dead that has been silent for
 // so long that it was most likely given up: nobody of its own is left to say
 // so, and its members would be kept for good. If it was only cut off, they
 // object when they come back.
-func (c *Core) giveUp(name string) {
+func (c *Core) declareDomainDead(name string) {
 	delete(c.reports.domains, name)
 	delete(c.reports.stale, name)
 	for _, host := range c.hostsOf(name) {
@@ -306,8 +306,8 @@
 // node to ask instead when this one is not the root of its domain.
 func (c *Core) Status(now time.Time) (Status, string) {
 	s := Status{Version: c.version.number, Hash: c.version.hash.String(), Complete: c.isRoot(), HeadAgeMillis: -1}
-	if !c.watch.freshAt.IsZero() {
-		s.HeadAgeMillis = now.Sub(c.watch.freshAt).Milliseconds()
+	if !c.watch.headReadAt.IsZero() {
+		s.HeadAgeMillis = now.Sub(c.watch.headReadAt).Milliseconds()
 	}
 	s.Held = c.crashes.heldRequests()
 	known := make(map[string]bool)
@@ -315,7 +315,7 @@
 		d := c.reports.domains[name]
 		known[name] = true
 		out := DomainStatus{Domain: name, Region: d.Region, Members: d.Members, Counts: d.Counts, Laggards: d.Laggards}
-		if silent := now.Sub(d.at); silent > summaryEvery+domainStaleAfter {
+		if silent := now.Sub(d.at); silent > summaryInterval+domainStaleAfter {
 			out.SilentMillis = silent.Milliseconds()
 		}
 		s.Domains = append(s.Domains, out)
--- a/briarrockd/peer/rules_test.go
+++ b/briarrockd/peer/rules_test.go
@@ -61,7 +61,7 @@
 	core, now := lone(c)
 	b, hash := bytesOf(c, 5)
 	cmds := core.Step(now, Committed{Version: 5, Hash: hash, Content: b})
-	now = now.Add(confirmWithin)
+	now = now.Add(confirmTimeout)
 	cmds = append(cmds, core.Step(now, Tick{})...)
 	c.Assert(used(cmds), qt.DeepEquals, []uint64{5})
 	return core, now
@@ -322,7 +322,7 @@
 	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: far}, Addr: "z:1"})
 	core.Step(now, Received{1, Summary{Domain: "superior-a", Region: "superior", At: 1, Members: 1}})
 	core.Step(now, LinkDown{1})
-	now = now.Add(forgetDomain - time.Minute)
+	now = now.Add(domainForgetAfter - time.Minute)
 	core.Step(now, Tick{})
 	c.Check(core.Members(), qt.Equals, 2)
 	now = now.Add(2 * time.Minute)
--- a/briarrockd/peer/stream.go
+++ b/briarrockd/peer/stream.go
@@ -15,10 +15,10 @@
 	"briarrock.example/mesh/event"
 )
 
-// blob is a message whose bytes are made and read elsewhere.
+// rawMessage is a message whose bytes are made and read elsewhere.
 type rawMessage struct{ bytes []byte }
 
-// encoding passes blobs through drpc unchanged: frames are encoded by the
+// rawEncoding passes blobs through drpc unchanged: frames are encoded by the
 // CBOR library, so that no generated code is needed.
 type rawEncoding struct{}
 
@@ -136,7 +136,7 @@
 	})
 }
 
-// open starts the stream of an outbound link and exchanges hellos.
+// openStream starts the stream of an outbound link and exchanges hellos.
 func (t *Transport) openStream(rpc *drpcconn.Conn, conn *countedConn, hi Hello) (*stream, Hello, error) {
 	_ = conn.SetDeadline(time.Now().Add(helloTimeout))
 	st, err := rpc.NewStream(t.ctx, rpcLink, rawEncoding{})
--- a/briarrockd/peer/topology.go
+++ b/briarrockd/peer/topology.go
@@ -10,9 +10,9 @@
 
 // The shape of the graph of links.
 const (
-	// degree is the number of children of a node in its domain's tree.
+	// treeDegree is the number of children of a node in its domain's tree.
 	treeDegree = 4
-	// bridges is the number of members of a domain that link to other domains.
+	// bridgesPerDomain is the number of members of a domain that link to other domains.
 	bridgesPerDomain = 2
 	// maxLinks bounds the links of a node, those that peers open included.
 	maxLinks = 512
@@ -22,7 +22,7 @@
 const (
 	minDialBackoff = 100 * time.Millisecond
 	maxDialBackoff = 5 * time.Second
-	// linger is how long a link stays that the topology has no more use for.
+	// unusedLinkTimeout is how long a link stays that the topology has no more use for.
 	unusedLinkTimeout = 5 * time.Second
 	// rejoinInterval is the mean time between attempts at contacts that are not
 	// known as members, and at members that were declared dead. These are
@@ -43,7 +43,7 @@
 	lazy bool
 }
 
-// position is this node's place in the order of its domain, -1 if it has none.
+// orderIndex is this node's place in the order of its domain, -1 if it has none.
 func (c *Core) orderIndex() int {
 	for i, r := range c.table.members(c.self.Domain) {
 		if r.Host == c.self.Host {
@@ -93,7 +93,7 @@
 	return append(out, c.interRegionLinks()...)
 }
 
-// domainLinks links bridge i to bridge i of each domain of the region that
+// interDomainLinks links bridge i to bridge i of each domain of the region that
 // sorts after this one; those before it dial this one.
 func (c *Core) interDomainLinks(i int) []desiredLink {
 	var out []desiredLink
@@ -132,7 +132,7 @@
 	return out
 }
 
-// carriers are the up to two members that keep a region's links to other
+// gateways are the up to two members that keep a region's links to other
 // regions: the first of its first two domains, or the first two of its only
 // one. A domain that has not been heard of gives none if another can.
 func (c *Core) gateways(region string) []*record {
@@ -159,7 +159,7 @@
 	return out
 }
 
-// stale tells whether this node, as one that should hear of the domain, has
+// isStale tells whether this node, as one that should hear of the domain, has
 // not done so for too long. Members that hold no link to a domain never learn
 // of it first hand, so for them no domain is stale.
 func (c *Core) isStale(d *domain) bool {
@@ -192,7 +192,7 @@
 	return out
 }
 
-// pick takes member i of a domain; while that can't be linked to, another one
+// pickMember takes member i of a domain; while that can't be linked to, another one
 // at random. So a domain whose first members all died unheard, while it was
 // cut off, is still found again.
 func (c *Core) pickMember(name string, i int) *record {
@@ -208,7 +208,7 @@
 	return order[(i+d.failures)%len(order)]
 }
 
-// topology dials what is desired and closes what is not.
+// maintainLinks dials what is desired and closes what is not.
 func (c *Core) maintainLinks() {
 	if c.self.State == Leaving {
 		return
@@ -231,7 +231,7 @@
 	}
 }
 
-// release closes a link that this node opened and has no use for any more.
+// closeUnwanted closes a link that this node opened and has no use for any more.
 func (c *Core) closeUnwanted(l *link, wanted bool) {
 	if wanted || !l.outbound || len(c.links) == 1 {
 		l.unwantedSince = time.Time{}
@@ -381,19 +381,19 @@
 	return c.linkByHost[answers] != nil
 }
 
-// greeted takes in what the peer's hello says.
+// onHello takes in what the peer's hello says.
 func (c *Core) onHello(l *link, hi Hello) {
 	c.raiseIncarnation(hi.KnownIncarnation)
 	c.merge(l.id, hi.Member)
-	c.heardFresh(poll{version: hi.Version, seen: hi.Cursor, at: c.ago(hi.HeadAge)})
+	c.onPeerPoll(poll{version: hi.Version, cursor: hi.Cursor, at: c.ago(hi.HeadAge)})
 	c.raiseFloor(hi.Floor)
 	c.raiseFloor(hi.DomainFloor)
-	c.sawUse(l, hi.Version)
-	c.remoteFloor(l, hi.Version)
+	c.recordPeerVersion(l, hi.Version)
+	c.noteRemoteVersion(l, hi.Version)
 	if l.domain == c.self.Domain {
-		c.observeFloor(l.id, hi.RemoteFloor)
+		c.raiseRemoteFloor(l.id, hi.RemoteFloor)
 	}
-	c.heardVersion(l, hi.Version, hi.Hash)
+	c.onPeerVersion(l, hi.Version, hi.Hash)
 	if c.shouldIntroduce(l, hi) {
 		l.introductionUntil = c.now.Add(introductionPeriod)
 		c.introduce(l)
@@ -406,7 +406,7 @@
 	c.sendSummaries(l)
 }
 
-// linkReplace closes an older link to the same host: the peer opened a new
+// replaceLink closes an older link to the same host: the peer opened a new
 // one because the old one is dead to it.
 func (c *Core) replaceLink(host string) {
 	if old := c.linkByHost[host]; old != nil {
@@ -428,9 +428,9 @@
 	delete(c.links, l.id)
 	if c.linkByHost[l.host] == l {
 		delete(c.linkByHost, l.host)
-		c.reportLost(l.host)
+		c.removeReport(l.host)
 	}
-	c.version.linkGone(l.id)
+	c.version.removeSource(l.id)
 }
 
 // tickLinks sends heartbeats and closes links that have gone silent.
@@ -445,7 +445,7 @@
 			continue
 		}
 		l.nextHeartbeat = c.now.Add(heartbeatInterval)
-		c.send(l, Heartbeat{Root: c.table.rootDigest(), Version: c.version.number, HeadAge: age(c.now, c.watch.freshAt), Cursor: c.watch.seen})
+		c.send(l, Heartbeat{Root: c.table.rootDigest(), Version: c.version.number, HeadAge: age(c.now, c.watch.headReadAt), Cursor: c.watch.cursor})
 	}
 }
 
--- a/briarrockd/peer/traffic.go
+++ b/briarrockd/peer/traffic.go
@@ -40,7 +40,7 @@
 
 func (t *traffic) wrap(c net.Conn) *countedConn { return &countedConn{Conn: c, traffic: t} }
 
-// far says who is at the other side.
+// setPeer says who is at the other side.
 func (c *countedConn) setPeer(m Member) {
 	pair := &c.traffic.interRegion
 	switch {
--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -8,101 +8,101 @@
 )
 
 const (
-	// keepVersions is how many versions' contents a node keeps, to make
-	// differences from and to answer peers that are behind, keepBytes how many
+	// maxKeptVersions is how many versions' contents a node keeps, to make
+	// differences from and to answer peers that are behind, maxKeptBytes how many
 	// bytes of them at most beside the newest two: eight of 400 KB would be the
 	// largest thing in a node's memory.
-	keepVersions = 8
-	keepBytes    = 512 << 10
-	// hedgeAfter is how long a fetch may take before another source is asked.
-	hedgeAfter = 400 * time.Millisecond
-	// lazyAfter is how much later a lazy link is told of a version.
-	lazyAfter = 400 * time.Millisecond
+	maxKeptVersions = 8
+	maxKeptBytes    = 512 << 10
+	// hedgeDelay is how long a fetch may take before another source is asked.
+	hedgeDelay = 400 * time.Millisecond
+	// lazyDelay is how much later a lazy link is told of a version.
+	lazyDelay = 400 * time.Millisecond
 	// maxSources bounds the links that are remembered as having a version.
 	maxSources = 16
-	// maxTries bounds the attempts at one version, after which the node goes
+	// maxFetchTries bounds the attempts at one version, after which the node goes
 	// back to believing its peers and the head anew.
-	maxTries = 12
-	// quarantineAfter is the number of attempts from which on a version that the
+	maxFetchTries = 12
+	// minTriesBeforeDrop is the number of attempts from which on a version that the
 	// head has not reached is given up; before, the head may have been read
 	// just before the version was accepted.
-	quarantineAfter = 4
-	// pushNear and pushPaid bound the differences that are pushed unasked, in
+	minTriesBeforeDrop = 4
+	// maxPushInRegion and maxPushInterRegion bound the differences that are pushed unasked, in
 	// bytes, within a region and over the paid link.
-	pushNear = 256
-	pushPaid = 4 << 10
-	// confirmWithin bounds the wait for a neighbour to remember a version.
-	confirmWithin = 250 * time.Millisecond
-	// serveAfter is how long a node that has just started waits for word that
+	maxPushInRegion    = 256
+	maxPushInterRegion = 4 << 10
+	// confirmTimeout bounds the wait for a neighbour to remember a version.
+	confirmTimeout = 250 * time.Millisecond
+	// startServeDelay is how long a node that has just started waits for word that
 	// is newer than its start, before it serves what its peers hold.
-	serveAfter = 3 * time.Second
-	// joinedAfter is how long a link is open until all that its peer remembers has
+	startServeDelay = 3 * time.Second
+	// linkSettleTime is how long a link is open until all that its peer remembers has
 	// come over it.
-	joinedAfter = 500 * time.Millisecond
+	linkSettleTime = 500 * time.Millisecond
 )
 
 // versions is what a node holds of the configuration.
 type versions struct {
-	number  uint64
-	hash    snapshot.Hash
-	content map[snapshot.Hash][]byte
-	kept    []snapshot.Hash // the keys of content, oldest first
-	// before and numberBefore are the version that was in use before.
-	before       snapshot.Hash
-	numberBefore uint64
+	number       uint64
+	hash         snapshot.Hash
+	content      map[snapshot.Hash][]byte
+	contentOrder []snapshot.Hash // the keys of content, oldest first
+	// previousHash and numberBefore are the version that was in use before.
+	previousHash   snapshot.Hash
+	previousNumber uint64
 	// floor is the highest version that this host is known to have served,
 	// before a restart too.
 	floor uint64
 	// ready is set once the node may serve; it is never unset.
 	ready bool
-	// started is the time of the first Tick.
-	started time.Time
-	// peered is set once any peer has been linked with.
-	peered bool
-	// seen is the highest version that each neighbour was seen to use.
-	seen map[string]uint64
-	want want
-	pack packed
+	// startedAt is the time of the first Tick.
+	startedAt time.Time
+	// everLinked is set once any peer has been linked with.
+	everLinked bool
+	// peerVersions is the highest version that each neighbour was seen to use.
+	peerVersions map[string]uint64
+	pending      pendingFetch
+	lastDelta    delta
 	// staged is verified but not yet served: the node is not ready, or nobody
 	// else is known to remember it yet.
 	staged   *snapshot.Snapshot
 	stagedAt time.Time
-	// known is set once another node of the domain is known to remember that
+	// confirmedInDomain is set once another node of the domain is known to remember that
 	// this one holds the version.
-	known bool
-	// outside is the highest version that is known to be held in another
+	confirmedInDomain bool
+	// remoteFloor is the highest version that is known to be held in another
 	// domain, with the knowledge that this one uses it.
-	outside uint64
-	// domains is the highest version that each domain was seen to use.
-	domains map[string]uint64
+	remoteFloor uint64
+	// domainVersions is the highest version that each domain was seen to use.
+	domainVersions map[string]uint64
 }
 
-// want is a version that is being fetched.
-type want struct {
-	number  uint64
-	hash    snapshot.Hash
-	sources []LinkID // who has it, best last
-	asked   bool
-	askedAt time.Time
-	tries   int
-	// whole is set when a difference turned out not to fit.
-	whole bool
-	// reading is set while the object store is asked.
-	reading bool
+// pendingFetch is a version that is being fetched.
+type pendingFetch struct {
+	number      uint64
+	hash        snapshot.Hash
+	sources     []LinkID // who has it, best last
+	requested   bool
+	requestedAt time.Time
+	tries       int
+	// fullOnly is set when a difference turned out not to fit.
+	fullOnly bool
+	// readingStore is set while the object store is asked.
+	readingStore bool
 }
 
-// packed is the last difference that was made: the children of a node mostly
+// delta is the last difference that was made: the children of a node mostly
 // ask for the same one.
-type packed struct {
+type delta struct {
 	base, hash snapshot.Hash
 	bytes      []byte
 }
 
 func newVersions() versions {
 	return versions{
-		content: make(map[snapshot.Hash][]byte),
-		seen:    make(map[string]uint64),
-		domains: make(map[string]uint64),
+		content:        make(map[snapshot.Hash][]byte),
+		peerVersions:   make(map[string]uint64),
+		domainVersions: make(map[string]uint64),
 	}
 }
 
@@ -111,10 +111,10 @@
 		return
 	}
 	v.content[hash] = b
-	v.kept = append(v.kept, hash)
-	for len(v.kept) > keepVersions || (len(v.kept) > 2 && v.keptBytes() > keepBytes) {
-		delete(v.content, v.kept[0])
-		v.kept = v.kept[1:]
+	v.contentOrder = append(v.contentOrder, hash)
+	for len(v.contentOrder) > maxKeptVersions || (len(v.contentOrder) > 2 && v.keptBytes() > maxKeptBytes) {
+		delete(v.content, v.contentOrder[0])
+		v.contentOrder = v.contentOrder[1:]
 	}
 }
 
@@ -126,66 +126,66 @@
 	return n
 }
 
-// quarantine gives up a version above the head: the head is the authority, and
+// dropAboveHead gives up a version above the head: the head is the authority, and
 // a number that it has not reached can only have come from a peer in error.
-func (v *versions) quarantine(head uint64) {
-	if v.want.number > head && v.want.tries >= quarantineAfter {
-		v.want = want{}
+func (v *versions) dropAboveHead(head uint64) {
+	if v.pending.number > head && v.pending.tries >= minTriesBeforeDrop {
+		v.pending = pendingFetch{}
 	}
 }
 
-func (v *versions) linkGone(id LinkID) {
-	for i, s := range v.want.sources {
+func (v *versions) removeSource(id LinkID) {
+	for i, s := range v.pending.sources {
 		if s == id {
-			v.want.sources = append(v.want.sources[:i:i], v.want.sources[i+1:]...)
+			v.pending.sources = append(v.pending.sources[:i:i], v.pending.sources[i+1:]...)
 			return
 		}
 	}
 }
 
-// heardVersion notes that a peer holds a version.
-func (c *Core) heardVersion(l *link, number uint64, hash snapshot.Hash) {
+// onPeerVersion notes that a peer holds a version.
+func (c *Core) onPeerVersion(l *link, number uint64, hash snapshot.Hash) {
 	l.version = max(l.version, number)
 	if number > c.version.number {
-		c.wantVersion(number, hash, l.id)
+		c.requestVersion(number, hash, l.id)
 		return
 	}
-	c.peerBehind(l, number)
+	c.notifyIfBehind(l, number)
 }
 
-// wantVersion starts to fetch a version, or adds one more source for it.
-func (c *Core) wantVersion(number uint64, hash snapshot.Hash, from LinkID) {
-	w := &c.version.want
+// requestVersion starts to fetch a version, or adds one more source for it.
+func (c *Core) requestVersion(number uint64, hash snapshot.Hash, from LinkID) {
+	w := &c.version.pending
 	if number < w.number || number <= c.version.number {
 		return
 	}
 	if number > w.number || hash != w.hash {
-		c.version.want = want{number: number, hash: hash}
-		w = &c.version.want
+		c.version.pending = pendingFetch{number: number, hash: hash}
+		w = &c.version.pending
 	}
 	if from != 0 && len(w.sources) < maxSources {
 		w.sources = append(w.sources, from)
 	}
 	if b, ok := c.version.content[hash]; ok {
-		c.arrived(number, hash, b)
+		c.acceptVersion(number, hash, b)
 		return
 	}
-	if w.asked {
+	if w.requested {
 		return
 	}
-	if at := c.fetchAt(); at.After(c.now) {
-		// As if it had been asked for then in vain: retryRequest goes on from there.
-		w.asked, w.askedAt, w.tries = true, at.Add(-hedgeAfter), 1
+	if at := c.earliestFetch(); at.After(c.now) {
+		// As if it had been asked for then in vain: retryFetch goes on from there.
+		w.requested, w.requestedAt, w.tries = true, at.Add(-hedgeDelay), 1
 		return
 	}
-	c.ask()
+	c.requestFromNext()
 }
 
-// ask asks the next source for the wanted version, in the end the store.
-func (c *Core) ask() {
-	w := &c.version.want
-	w.asked = true
-	w.askedAt = c.now
+// requestFromNext asks the next source for the wanted version, in the end the store.
+func (c *Core) requestFromNext() {
+	w := &c.version.pending
+	w.requested = true
+	w.requestedAt = c.now
 	w.tries++
 	for len(w.sources) > 0 {
 		id := w.sources[len(w.sources)-1]
@@ -195,54 +195,54 @@
 			continue
 		}
 		have := c.version.hash
-		if w.whole {
+		if w.fullOnly {
 			have = snapshot.Hash{}
 		}
 		c.send(l, Fetch{w.number, w.hash, have})
 		return
 	}
-	if w.reading || c.cfg.DelegatePolling {
+	if w.readingStore || c.cfg.DelegatePolling {
 		return
 	}
-	w.reading = true
+	w.readingStore = true
 	c.emit(ReadObject{w.hash})
 }
 
 func (c *Core) tickVersion() {
 	v := &c.version
-	if v.started.IsZero() {
-		v.started = c.now
+	if v.startedAt.IsZero() {
+		v.startedAt = c.now
 	}
-	c.retryRequest()
+	c.retryFetch()
 	for _, l := range c.sortedLinks() {
-		c.tellLazy(l)
+		c.notifyLazy(l)
 	}
 	c.becomeReady()
 	c.serve()
 }
 
-// retryRequest goes on to the next source when one has not answered in time. A
+// retryFetch goes on to the next source when one has not answered in time. A
 // version that nobody can give in the end is given up: its number may have
 // come from a peer in error, and must not keep the node from the true head.
-func (c *Core) retryRequest() {
-	w := &c.version.want
-	if !w.asked || c.now.Sub(w.askedAt) <= hedgeAfter*time.Duration(w.tries) {
+func (c *Core) retryFetch() {
+	w := &c.version.pending
+	if !w.requested || c.now.Sub(w.requestedAt) <= hedgeDelay*time.Duration(w.tries) {
 		return
 	}
-	if w.tries >= maxTries {
+	if w.tries >= maxFetchTries {
 		c.log(event.VersionNotFound, event.Fields{"version": w.number, "tries": w.tries})
-		c.version.want = want{}
+		c.version.pending = pendingFetch{}
 		return
 	}
 	if len(w.sources) == 0 {
 		c.addSources()
 	}
-	c.ask()
+	c.requestFromNext()
 }
 
 // addSources collects the links whose peers are known to have the version.
 func (c *Core) addSources() {
-	w := &c.version.want
+	w := &c.version.pending
 	for _, l := range c.sortedLinks() {
 		if l.version >= w.number && len(w.sources) < maxSources {
 			w.sources = append(w.sources, l.id)
@@ -250,9 +250,9 @@
 	}
 }
 
-// fetch answers a peer that asks for a version.
+// onFetch answers a peer that asks for a version.
 func (c *Core) onFetch(l *link, f Fetch) {
-	c.remembered(l, f.Version)
+	c.confirmInDomain(l, f.Version)
 	b, ok := c.version.content[f.Hash]
 	if !ok {
 		c.send(l, Content{Version: f.Version, Hash: f.Hash})
@@ -264,90 +264,90 @@
 		base = have
 		out.Base = f.Base
 	}
-	p, err := c.packOnce(out.Base, f.Hash, base, b)
+	p, err := c.cachedDelta(out.Base, f.Hash, base, b)
 	if err != nil {
 		return
 	}
 	out.Packed = p
-	c.sawUse(l, f.Version)
+	c.recordPeerVersion(l, f.Version)
 	c.send(l, out)
 }
 
-// content takes a version from a peer. What doesn't fit is dropped whole: the
+// onContent takes a version from a peer. What doesn't fit is dropped whole: the
 // node goes on with the version that it has and asks somebody else.
 func (c *Core) onContent(l *link, f Content) {
-	if f.Push && f.Version > c.version.number && c.unpackPush(f) {
-		c.pushed(l, f)
+	if f.Push && f.Version > c.version.number && c.applyPush(f) {
+		c.onPush(l, f)
 		return
 	}
 	if f.Push {
-		c.pushed(l, f)
+		c.onPush(l, f)
 	}
-	w := &c.version.want
+	w := &c.version.pending
 	if f.Push || f.Version != w.number || f.Hash != w.hash || f.Version <= c.version.number {
 		return
 	}
 	if len(f.Packed) == 0 {
-		c.ask()
+		c.requestFromNext()
 		return
 	}
 	base := c.version.content[f.Base]
 	if !f.Base.IsZero() && base == nil {
-		w.whole = true
-		c.requestAgain(l)
+		w.fullOnly = true
+		c.requestFull(l)
 		return
 	}
-	if !c.unpack(l.host, base, f) {
-		w.whole = true
-		c.ask()
+	if !c.applyContent(l.host, base, f) {
+		w.fullOnly = true
+		c.requestFromNext()
 		return
 	}
 	c.acknowledge(l, f.Version)
-	c.remembered(l, f.Version)
+	c.confirmInDomain(l, f.Version)
 }
 
-// requestAgain asks the same source once more, for the whole this time.
-func (c *Core) requestAgain(l *link) {
-	c.version.want.sources = append(c.version.want.sources, l.id)
-	c.ask()
+// requestFull asks the same source once more, for the whole this time.
+func (c *Core) requestFull(l *link) {
+	c.version.pending.sources = append(c.version.pending.sources, l.id)
+	c.requestFromNext()
 }
 
-func (c *Core) refuse(from string, number uint64, err error) {
+func (c *Core) logRefused(from string, number uint64, err error) {
 	c.log(event.VersionRefused, event.Fields{event.Subject: from, "version": number, "error": err.Error()})
 }
 
 func (c *Core) onObjectRead(m ObjectRead) {
-	w := &c.version.want
+	w := &c.version.pending
 	if m.Hash != w.hash || w.number <= c.version.number {
 		return
 	}
-	w.reading = false
+	w.readingStore = false
 	if m.Err != nil {
 		c.log(event.VersionNotFound, event.Fields{"version": w.number, "error": m.Err.Error()})
 		return
 	}
-	c.arrived(w.number, m.Hash, m.Content)
+	c.acceptVersion(w.number, m.Hash, m.Content)
 }
 
 func (c *Core) onCommitted(m Committed) {
-	c.arrived(m.Version, m.Hash, m.Content)
+	c.acceptVersion(m.Version, m.Hash, m.Content)
 	at := m.At
 	if at.IsZero() {
 		at = c.now
 	}
-	c.watch.seen = max(c.watch.seen, m.Cursor)
-	c.headIs(m.Version, at)
+	c.watch.cursor = max(c.watch.cursor, m.Cursor)
+	c.recordHeadRead(m.Version, at)
 	if m.Cursor > 0 {
 		c.broadcastPoll(at)
 	}
 }
 
-// arrived verifies a version and, if it is whole and newer, puts it into use.
+// acceptVersion verifies a version and, if it is whole and newer, puts it into use.
 // It tells whether the content was whole.
-func (c *Core) arrived(number uint64, hash snapshot.Hash, b []byte) bool {
+func (c *Core) acceptVersion(number uint64, hash snapshot.Hash, b []byte) bool {
 	s, err := snapshot.Open(b, hash)
 	if err != nil {
-		c.refuse("", number, err)
+		c.logRefused("", number, err)
 		return false
 	}
 	if number <= c.version.number {
@@ -355,6 +355,6 @@
 		return true
 	}
 	c.version.keep(hash, b)
-	c.use(number, hash, s)
+	c.setVersion(number, hash, s)
 	return true
 }
--- a/briarrockd/peer/watch.go
+++ b/briarrockd/peer/watch.go
@@ -11,59 +11,59 @@
 // reads it, by its place. The first of the list reads as a rule; the others
 // only notice that nobody else has, and so the role needs no handover.
 const (
-	leadReads   = 1 * time.Second
-	rootReads   = 5 * time.Second
-	bridgeReads = 8 * time.Second
-	otherReads  = 20 * time.Second
-	// otherSpread spreads out those who are left when all bridges are gone.
-	otherSpread = 30 * time.Second
-	// firstSpread is the time over which firstPer nodes that start together
+	leaderReadAge = 1 * time.Second
+	rootReadAge   = 5 * time.Second
+	bridgeReadAge = 8 * time.Second
+	otherReadAge  = 20 * time.Second
+	// otherReadJitter spreads out those who are left when all bridges are gone.
+	otherReadJitter = 30 * time.Second
+	// startReadSpread is the time over which startReadsPerSpread nodes that start together
 	// spread their first read, if no peer spares them it: together they take a
 	// quarter of the platform's two thousand reads a second.
-	firstSpread = time.Second
-	firstPer    = 500
-	// freshMargin is how much later than this node's start a peer's read must
+	startReadSpread     = time.Second
+	startReadsPerSpread = 500
+	// headAgeMargin is how much later than this node's start a peer's read must
 	// seem to be to count as later: more than a message is ever on its way.
-	freshMargin = time.Second
-	// maxBackoff bounds the pause after reads that failed.
-	maxBackoff = 20 * time.Second
+	headAgeMargin = time.Second
+	// maxReadBackoff bounds the pause after reads that failed.
+	maxReadBackoff = 20 * time.Second
 )
 
-// watch is what a node knows of the head row.
-type watch struct {
+// headWatch is what a node knows of the head row.
+type headWatch struct {
 	startedAt time.Time
-	// freshAt is when the head was last read by anybody, as far as is known.
+	// headReadAt is when the head was last read by anybody, as far as is known.
 	// This node's version is never below what the head was then: a read counts
 	// only once the version that it named has arrived, here and at whoever
 	// passes the time on.
-	freshAt time.Time
-	// own is set once a read of this node itself has counted.
-	own bool
-	// ahead is a poll that named a version which has not arrived.
-	ahead poll
-	// seen is the position in the platform's record of changes up to which this
+	headReadAt time.Time
+	// ownPollCounted is set once a read of this node itself has counted.
+	ownPollCounted bool
+	// pendingPoll is a poll that named a version which has not arrived.
+	pendingPoll poll
+	// cursor is the position in the platform's record of changes up to which this
 	// node holds everything; 0 where that is not known or not used.
-	seen    uint64
-	role    role
-	nextAt  time.Time
-	reading bool
-	readAt  time.Time
-	fails   int
+	cursor   uint64
+	role     pollRole
+	nextRead time.Time
+	reading  bool
+	lastRead time.Time
+	failures int
 }
 
-func newWatch(now time.Time, spread time.Duration) watch {
-	return watch{startedAt: now, nextAt: now.Add(spread)}
+func newWatch(now time.Time, spread time.Duration) headWatch {
+	return headWatch{startedAt: now, nextRead: now.Add(spread)}
 }
 
 // poll is one read of the head, by this node or another one.
 type poll struct {
 	version uint64 // the newest version at that time
-	seen    uint64 // position in the platform's record of changes
+	cursor  uint64 // position in the platform's record of changes
 	at      time.Time
 	own     bool
-	// told is when a freshness notice of the poll came; zero for one that is a part
+	// noticedAt is when a freshness notice of the poll came; zero for one that is a part
 	// of what a peer knows.
-	told time.Time
+	noticedAt time.Time
 }
 
 // ago is the time that a peer says was so many milliseconds ago; zero for 0,
@@ -77,68 +77,68 @@
 	return c.now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// heardFresh takes a peer's word of a read of the head.
+// onPeerPoll takes a peer's word of a read of the head.
 //
 // The peer's version is at least the head of that time, so the word counts
 // only once this node has that version too.
-func (c *Core) heardFresh(k poll) {
+func (c *Core) onPeerPoll(k poll) {
 	if k.at.IsZero() || k.at.After(c.now) {
 		return
 	}
 	if k.version > c.version.number {
-		if k.at.After(c.watch.ahead.at) {
-			c.watch.ahead = k
+		if k.at.After(c.watch.pendingPoll.at) {
+			c.watch.pendingPoll = k
 		}
 		return
 	}
-	c.counts(k)
+	c.recordPoll(k)
 }
 
-// counts takes in a poll whose version this node has.
-func (c *Core) counts(k poll) {
+// recordPoll takes in a poll whose version this node has.
+func (c *Core) recordPoll(k poll) {
 	w := &c.watch
-	if k.at.After(w.freshAt) {
-		w.freshAt = k.at
+	if k.at.After(w.headReadAt) {
+		w.headReadAt = k.at
 	}
-	w.seen = max(w.seen, k.seen)
+	w.cursor = max(w.cursor, k.cursor)
 	if k.own {
-		w.own = true
-		w.fails = 0
-		w.role.ownAt = later(w.role.ownAt, k.at)
+		w.ownPollCounted = true
+		w.failures = 0
+		w.role.ownPollAt = laterOf(w.role.ownPollAt, k.at)
 		return
 	}
-	w.role.heardAt = later(w.role.heardAt, k.told)
+	w.role.noticedAt = laterOf(w.role.noticedAt, k.noticedAt)
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// threshold is how old the last read may be before this node reads itself.
-func (c *Core) threshold() time.Duration {
+// readThreshold is how old the last read may be before this node reads itself.
+func (c *Core) readThreshold() time.Duration {
 	i := c.orderIndex()
 	switch {
-	case i == 0 && c.leads():
-		return leadReads
+	case i == 0 && c.inLeaderDomain():
+		return leaderReadAge
 	case i == 0:
-		return rootReads
+		return rootReadAge
 	case i > 0 && i < bridgesPerDomain:
-		return bridgeReads
+		return bridgeReadAge
 	default:
-		return otherReads
+		return otherReadAge
 	}
 }
 
 // Leads tells whether this node is the one that reads the head as a rule, and
 // does the mesh's other small regular work at the platform.
-func (c *Core) IsLeader() bool { return c.isRoot() && c.leads() }
+func (c *Core) IsLeader() bool { return c.isRoot() && c.inLeaderDomain() }
 
-// leads tells whether this node's domain is the first of all, those in the
+// inLeaderDomain tells whether this node's domain is the first of all, those in the
 // store's region before the others.
-func (c *Core) leads() bool {
+func (c *Core) inLeaderDomain() bool {
 	first := ""
 	for _, name := range c.table.names() {
 		d := c.table.domains[name]
@@ -152,25 +152,25 @@
 // tickWatch reads the head when nobody else seems to.
 func (c *Core) tickWatch() {
 	w := &c.watch
-	if c.cfg.DelegatePolling || w.reading || c.now.Before(w.nextAt) || c.self.State == Leaving {
+	if c.cfg.DelegatePolling || w.reading || c.now.Before(w.nextRead) || c.self.State == Leaving {
 		return
 	}
-	if c.version.ready && c.now.Sub(w.freshAt) < c.threshold() {
+	if c.version.ready && c.now.Sub(w.headReadAt) < c.readThreshold() {
 		return
 	}
-	if c.now.Sub(w.startedAt) < c.firstRead() {
+	if c.now.Sub(w.startedAt) < c.firstReadDelay() {
 		return
 	}
 	w.reading = true
-	w.readAt = c.now
+	w.lastRead = c.now
 	c.emit(ReadHead{})
 }
 
-// firstRead spreads the first reads of a herd that starts together, by the
+// firstReadDelay spreads the first reads of a herd that starts together, by the
 // number of nodes and this node's place among the hosts.
-func (c *Core) firstRead() time.Duration {
+func (c *Core) firstReadDelay() time.Duration {
 	n := time.Duration(max(c.Members(), c.cfg.ExpectedHosts))
-	whole := firstSpread * n / firstPer
+	whole := startReadSpread * n / startReadsPerSpread
 	return whole * time.Duration(score(c.self.Host)%1000) / 1000
 }
 
@@ -181,63 +181,63 @@
 		c.headFailed(m.Err)
 		return
 	}
-	if w.fails > 0 {
-		c.log(event.StoreUp, event.Fields{"fails": w.fails})
+	if w.failures > 0 {
+		c.log(event.StoreUp, event.Fields{"fails": w.failures})
 	}
-	w.fails = 0
-	w.nextAt = c.now.Add(leadReads/2 + c.jitter(leadReads/4))
+	w.failures = 0
+	w.nextRead = c.now.Add(leaderReadAge/2 + c.jitter(leaderReadAge/4))
 	if c.orderIndex() >= bridgesPerDomain {
-		w.nextAt = c.now.Add(c.jitter(otherSpread))
+		w.nextRead = c.now.Add(c.jitter(otherReadJitter))
 	}
-	c.version.quarantine(m.Version)
+	c.version.dropAboveHead(m.Version)
 	if m.Version > c.version.number {
-		w.ahead = poll{version: m.Version, at: w.readAt, own: true}
-		c.headAhead(m.Version, m.Hash)
+		w.pendingPoll = poll{version: m.Version, at: w.lastRead, own: true}
+		c.fetchHead(m.Version, m.Hash)
 		return
 	}
-	c.headIs(c.version.number, w.readAt)
+	c.recordHeadRead(c.version.number, w.lastRead)
 }
 
-// headIs notes that the head was read no earlier than at, and that this node
+// recordHeadRead notes that the head was read no earlier than at, and that this node
 // has the version that it named.
-func (c *Core) headIs(version uint64, at time.Time) {
+func (c *Core) recordHeadRead(version uint64, at time.Time) {
 	if c.version.number < version {
 		return
 	}
-	c.counts(poll{version: version, at: at, own: true})
+	c.recordPoll(poll{version: version, at: at, own: true})
 	c.becomeReady()
 }
 
-// caughtUp lets a poll count once the version that it named has arrived.
-func (c *Core) caughtUp() {
-	k := c.watch.ahead
+// recordPendingPoll lets a poll count once the version that it named has arrived.
+func (c *Core) recordPendingPoll() {
+	k := c.watch.pendingPoll
 	if k.version == 0 || c.version.number < k.version {
 		return
 	}
-	c.watch.ahead = poll{}
-	c.counts(k)
+	c.watch.pendingPoll = poll{}
+	c.recordPoll(k)
 }
 
 func (c *Core) headFailed(err error) {
 	w := &c.watch
-	if w.fails == 0 {
+	if w.failures == 0 {
 		c.log(event.StoreDown, event.Fields{"error": err.Error()})
 	}
-	w.fails++
-	pause := min(leadReads<<min(w.fails, 6), maxBackoff)
+	w.failures++
+	pause := min(leaderReadAge<<min(w.failures, 6), maxReadBackoff)
 	if c.orderIndex() >= bridgesPerDomain {
-		pause = otherSpread
+		pause = otherReadJitter
 	}
-	w.nextAt = c.now.Add(pause/2 + c.jitter(pause))
+	w.nextRead = c.now.Add(pause/2 + c.jitter(pause))
 }
 
-// headAhead fetches a version that the head names: from a peer that is known
+// fetchHead fetches a version that the head names: from a peer that is known
 // to have it, or else from the store.
-func (c *Core) headAhead(number uint64, hash snapshot.Hash) {
+func (c *Core) fetchHead(number uint64, hash snapshot.Hash) {
 	for _, l := range c.sortedLinks() {
 		if l.version >= number {
-			c.wantVersion(number, hash, l.id)
+			c.requestVersion(number, hash, l.id)
 		}
 	}
-	c.wantVersion(number, hash, 0)
+	c.requestVersion(number, hash, 0)
 }
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -44,7 +44,7 @@
 		f.Serial++
 		out = append(out, core.Step(now, Received{1, f})...)
 		var cmds []Cmd
-		now, cmds = ticks(core, now, announceEvery)
+		now, cmds = ticks(core, now, pollNoticeInterval)
 		out = append(out, cmds...)
 	}
 	return now, out
@@ -86,16 +86,16 @@
 	for ok = false; !ok || !w.On; {
 		now, cmds = ticks(core, now, TickInterval)
 		w, ok = watchOf(cmds)
-		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread, qt.IsTrue)
+		c.Assert(now.Sub(quiet) <= pollNoticeTimeout+pollNoticeTimeoutSpread, qt.IsTrue)
 	}
-	c.Check(now.Sub(quiet) >= lapseAfter-announceEvery, qt.IsTrue)
+	c.Check(now.Sub(quiet) >= pollNoticeTimeout-pollNoticeInterval, qt.IsTrue)
 	c.Check(w, qt.Equals, Watch{On: true, Cursor: 40, Fallback: true})
 	core.Step(now, Polled{Cursor: 41, At: now})
 	now, cmds = ticks(core, now, TickInterval)
 	w, _ = watchOf(cmds)
-	c.Check(w, qt.Equals, Watch{On: true, Cursor: 41, Wait: watchShort, Fallback: true})
+	c.Check(w, qt.Equals, Watch{On: true, Cursor: 41, Wait: shortPollWait, Fallback: true})
 
-	_, cmds = beats(core, now, lapseKeep+2*time.Second, told(1, 41))
+	_, cmds = beats(core, now, minFallbackPolling+2*time.Second, told(1, 41))
 	w, ok = watchOf(cmds)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(w.On, qt.IsFalse)
@@ -115,10 +115,10 @@
 	c.Check(w.Cursor, qt.Equals, uint64(10))
 	next := content(c, 2, 2)
 	core.Step(now, Received{1, VersionNotice{2, next.Hash, true}})
-	now, _ = ticks(core, now, hedgeAfter+2*TickInterval)
+	now, _ = ticks(core, now, hedgeDelay+2*TickInterval)
 	core.Step(now, Received{1, told(2, 50)})
 	core.Step(now, Received{1, next})
-	c.Check(core.watch.seen, qt.Equals, uint64(50))
+	c.Check(core.watch.cursor, qt.Equals, uint64(50))
 }
 
 // TestDutyFetch has a peer tell of a version to a node that does not watch.
@@ -135,7 +135,7 @@
 	core.Step(now, Received{1, next})
 	after := content(c, 3, 3)
 	c.Check(fetches(core.Step(now, Received{1, VersionNotice{3, after.Hash, true}})), qt.Equals, 0)
-	_, cmds := ticks(core, now, fetchEvery+2*TickInterval)
+	_, cmds := ticks(core, now, minFetchInterval+2*TickInterval)
 	c.Check(fetches(cmds), qt.Equals, 1)
 }
 
@@ -162,7 +162,7 @@
 	c.Check(core.Ready(), qt.IsTrue)
 
 	core = New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	_, cmds = ticks(core, now, peersFirst+2*TickInterval)
+	_, cmds = ticks(core, now, startReadDelay+2*TickInterval)
 	w, _ = watchOf(cmds)
 	c.Check(w, qt.Equals, Watch{On: true})
 }
@@ -188,6 +188,6 @@
 		now, cmds = ticks(core, now, TickInterval)
 		w, _ = watchOf(cmds)
 		on = w.On && w.Fallback
-		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread+TickInterval, qt.IsTrue)
+		c.Assert(now.Sub(quiet) <= pollNoticeTimeout+pollNoticeTimeoutSpread+TickInterval, qt.IsTrue)
 	}
 }
