--- a/briarrockd/peer/contact_test.go
+++ b/briarrockd/peer/contact_test.go
@@ -18,10 +18,10 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1", "gone:2"}}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(core, now, isolatedDelay+startJitter+2*TickInterval)
-	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
+	now, cmds := runTicks(core, now, isolatedDelay+startJitter+2*TickInterval)
+	c.Check(countCmds[ReadContacts](cmds), qt.Equals, 1)
 	cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1", "c:1", "d:1"}})
-	_, more := ticks(core, now, time.Second)
+	_, more := runTicks(core, now, time.Second)
 	cmds = append(cmds, more...)
 	dialed := make(map[string]bool)
 	for _, x := range cmds {
@@ -45,17 +45,17 @@
 	for near, want := range map[int]bool{1: true, smallDomainSize: true, contactsPerDomain: false, 0: false} {
 		now := time.Unix(1000, 0)
 		core := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
-		now, cmds := ticks(core, now, 2*TickInterval)
-		c.Check(count[ReadContacts](cmds), qt.Equals, 1)
+		now, cmds := runTicks(core, now, 2*TickInterval)
+		c.Check(countCmds[ReadContacts](cmds), qt.Equals, 1)
 		cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1"}, OwnDomain: near})
-		c.Check(turns(cmds), qt.Equals, want, qt.Commentf("%d near", near))
-		_, more := ticks(core, now, startReadDelay)
-		c.Check(turns(append(cmds, more...)), qt.IsTrue)
+		c.Check(startsPolling(cmds), qt.Equals, want, qt.Commentf("%d near", near))
+		_, more := runTicks(core, now, startReadDelay)
+		c.Check(startsPolling(append(cmds, more...)), qt.IsTrue)
 	}
 }
 
-// turns tells whether a Core has decided to poll the platform.
-func turns(cmds []Cmd) bool {
+// startsPolling tells whether a Core has decided to poll the platform.
+func startsPolling(cmds []Cmd) bool {
 	on := false
 	for _, x := range cmds {
 		if w, ok := x.(Watch); ok {
@@ -77,14 +77,14 @@
 	for _, failed := range []bool{true, false} {
 		now := time.Unix(1000, 0)
 		core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-		version := content(c, 4, 4)
+		version := fullContent(c, 4, 4)
 		core.Step(now, Tick{})
 		core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: version.Hash}, Addr: "b:1"})
 		core.Step(now, Received{1, version})
 		if failed {
 			core.Step(now, PollFailed{})
 		}
-		_, cmds := ticks(core, now, linkSettleTime+confirmTimeout+2*TickInterval)
-		c.Check(len(used(cmds)) > 0, qt.Equals, failed)
+		_, cmds := runTicks(core, now, linkSettleTime+confirmTimeout+2*TickInterval)
+		c.Check(len(servedVersions(cmds)) > 0, qt.Equals, failed)
 	}
 }
--- a/briarrockd/peer/fed_test.go
+++ b/briarrockd/peer/fed_test.go
@@ -10,8 +10,8 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// fed is a Core whose node watches the platform itself, with one link.
-func fed(c *qt.C) (*Core, time.Time) {
+// delegatingCore is a Core whose node watches the platform itself, with one link.
+func delegatingCore(c *qt.C) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
@@ -19,8 +19,8 @@
 	return core, now
 }
 
-// ticks steps a Core through a time and returns what it did.
-func ticks(core *Core, now time.Time, d time.Duration) (time.Time, []Cmd) {
+// runTicks steps a Core through a time and returns what it did.
+func runTicks(core *Core, now time.Time, d time.Duration) (time.Time, []Cmd) {
 	var out []Cmd
 	for end := now.Add(d); now.Before(end); {
 		now = now.Add(TickInterval)
@@ -29,7 +29,7 @@
 	return now, out
 }
 
-func count[T Cmd](cmds []Cmd) int {
+func countCmds[T Cmd](cmds []Cmd) int {
 	n := 0
 	for _, x := range cmds {
 		if _, ok := x.(T); ok {
@@ -39,7 +39,7 @@
 	return n
 }
 
-func fetches(cmds []Cmd) int {
+func countFetches(cmds []Cmd) int {
 	n := 0
 	for _, x := range cmds {
 		if s, ok := x.(Send); ok {
@@ -59,46 +59,46 @@
 // did, a host that is cut off from the platform would never get it.
 func TestFed(t *testing.T) {
 	c := qt.New(t)
-	core, now := fed(c)
-	b, hash := bytesOf(c, 4)
+	core, now := delegatingCore(c)
+	b, hash := encodeSample(c, 4)
 	core.Step(now, Committed{Version: 4, Hash: hash, Content: b})
-	now, _ = ticks(core, now, time.Second)
-	b, hash = bytesOf(c, 5)
+	now, _ = runTicks(core, now, time.Second)
+	b, hash = encodeSample(c, 5)
 	cmds := core.Step(now, Received{1, VersionNotice{5, hash, true}})
-	c.Check(fetches(cmds), qt.Equals, 0)
+	c.Check(countFetches(cmds), qt.Equals, 0)
 	brought := now.Add(hedgeDelay / 2)
 	cmds = core.Step(brought, Committed{Version: 5, Hash: hash, Content: b})
-	now, more := ticks(core, brought, 3*time.Second)
+	now, more := runTicks(core, brought, 3*time.Second)
 	cmds = append(cmds, more...)
-	c.Check(used(cmds), qt.DeepEquals, []uint64{5})
-	c.Check(fetches(cmds), qt.Equals, 0)
-	c.Check(count[ReadHead](cmds), qt.Equals, 0)
+	c.Check(servedVersions(cmds), qt.DeepEquals, []uint64{5})
+	c.Check(countFetches(cmds), qt.Equals, 0)
+	c.Check(countCmds[ReadHead](cmds), qt.Equals, 0)
 
 	// The next one comes from the peer alone: this host is cut off.
-	next := content(c, 6, 6)
+	next := fullContent(c, 6, 6)
 	core.Step(now, Received{1, VersionNotice{6, next.Hash, true}})
-	now, cmds = ticks(core, now, hedgeDelay+2*TickInterval)
-	c.Check(fetches(cmds), qt.Equals, 1)
+	now, cmds = runTicks(core, now, hedgeDelay+2*TickInterval)
+	c.Check(countFetches(cmds), qt.Equals, 1)
 	cmds = core.Step(now, Received{1, next})
-	_, more = ticks(core, now, time.Second)
+	_, more = runTicks(core, now, time.Second)
 	cmds = append(cmds, more...)
-	c.Check(used(cmds), qt.DeepEquals, []uint64{6})
-	c.Check(count[ReadObject](cmds), qt.Equals, 0)
+	c.Check(servedVersions(cmds), qt.DeepEquals, []uint64{6})
+	c.Check(countCmds[ReadObject](cmds), qt.Equals, 0)
 }
 
 // TestFedBack feeds a Core an older version, as a store that is restored
 // could: what is served stays.
 func TestFedBack(t *testing.T) {
 	c := qt.New(t)
-	core, now := fed(c)
+	core, now := delegatingCore(c)
 	for _, v := range []uint64{5, 4} {
-		b, hash := bytesOf(c, int(v))
+		b, hash := encodeSample(c, int(v))
 		core.Step(now, Committed{Version: v, Hash: hash, Content: b})
-		now, _ = ticks(core, now, time.Second)
+		now, _ = runTicks(core, now, time.Second)
 	}
 	got, hash := core.Version()
 	c.Check(got, qt.Equals, uint64(5))
-	_, want := bytesOf(c, 5)
+	_, want := encodeSample(c, 5)
 	c.Check(hash, qt.Equals, want)
 	c.Check(snapshot.Hash{} == hash, qt.IsFalse)
 }
@@ -112,14 +112,14 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(core, now, startJitter+2*TickInterval)
-	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
-	c.Check(count[WriteContacts](cmds), qt.Equals, 0)
+	now, cmds := runTicks(core, now, startJitter+2*TickInterval)
+	c.Check(countCmds[ReadContacts](cmds), qt.Equals, 1)
+	c.Check(countCmds[WriteContacts](cmds), qt.Equals, 0)
 	core.Step(now, ContactsRead{})
-	now, cmds = ticks(core, now, TickInterval)
-	c.Check(count[WriteContacts](cmds), qt.Equals, 1)
-	_, cmds = ticks(core, now, 15*time.Second)
-	reads := count[ReadContacts](cmds)
+	now, cmds = runTicks(core, now, TickInterval)
+	c.Check(countCmds[WriteContacts](cmds), qt.Equals, 1)
+	_, cmds = runTicks(core, now, 15*time.Second)
+	reads := countCmds[ReadContacts](cmds)
 	c.Check(reads >= 2 && reads <= 4, qt.IsTrue, qt.Commentf("%d", reads))
 }
 
@@ -130,12 +130,12 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), DelegatePolling: true, Bootstrap: true}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(core, now, bootstrapJitter+2*TickInterval)
-	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
+	now, cmds := runTicks(core, now, bootstrapJitter+2*TickInterval)
+	c.Check(countCmds[ReadContacts](cmds), qt.Equals, 1)
 	cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1"}})
-	now, more := ticks(core, now, minDialBackoff+2*TickInterval)
-	c.Check(count[Dial](append(cmds, more...)) > 0, qt.IsTrue)
+	now, more := runTicks(core, now, minDialBackoff+2*TickInterval)
+	c.Check(countCmds[Dial](append(cmds, more...)) > 0, qt.IsTrue)
 	cmds = core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	_, more = ticks(core, now, rootSettleTime-2*TickInterval)
-	c.Check(count[WriteContacts](append(cmds, more...)), qt.Equals, 0)
+	_, more = runTicks(core, now, rootSettleTime-2*TickInterval)
+	c.Check(countCmds[WriteContacts](append(cmds, more...)), qt.Equals, 0)
 }
--- a/briarrockd/peer/frame.go
+++ b/briarrockd/peer/frame.go
@@ -14,7 +14,7 @@
 // fields can be added without breaking older nodes.
 type Frame interface{ code() byte }
 
-// Hello opens a link, in both directions. Floor and Known are what the sender
+// Hello opens a link, in both directions. Floor and KnownIncarnation are what the sender
 // remembers of the receiver from before: a host keeps nothing, so its peers
 // are its memory.
 type Hello struct {
@@ -141,7 +141,7 @@
 	Hash    snapshot.Hash `cbor:"2,keyasint"`
 	Base    snapshot.Hash `cbor:"3,keyasint"`
 	Packed  []byte        `cbor:"4,keyasint,omitempty"`
-	// Out is as in Notice. Push is set when the version was not asked for.
+	// HeldRemotely is as in VersionNotice. Push is set when the version was not asked for.
 	HeldRemotely bool `cbor:"5,keyasint,omitempty"`
 	Push         bool `cbor:"6,keyasint,omitempty"`
 }
--- a/briarrockd/peer/introduce_test.go
+++ b/briarrockd/peer/introduce_test.go
@@ -41,7 +41,7 @@
 			core.merge(0, place(p[0], p[1], i))
 		}
 	}
-	now, _ = ticks(core, now, TickInterval)
+	now, _ = runTicks(core, now, TickInterval)
 
 	fresh := place("superior-b", "superior", 30)
 	cmds := core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: fresh, Members: 1}})
@@ -52,13 +52,13 @@
 
 	// What changes elsewhere is not its concern.
 	core.merge(0, place("erie-b", "erie", 40))
-	now, cmds = ticks(core, now, TickInterval)
+	now, cmds = runTicks(core, now, TickInterval)
 	c.Check(sentRecords(cmds, 1), qt.HasLen, 0)
 
 	// A link that lasts is like any other: the tables are compared.
-	now, _ = ticks(core, now, introductionPeriod-time.Second)
+	now, _ = runTicks(core, now, introductionPeriod-time.Second)
 	core.Step(now, Received{1, Heartbeat{Root: 1}})
-	now, _ = ticks(core, now, 2*time.Second)
+	now, _ = runTicks(core, now, 2*time.Second)
 	core.Step(now, Received{1, Digests{}})
 	cmds = core.Step(now, Received{1, Digests{}})
 	c.Check(sentRecords(cmds, 1)["erie-b-40"], qt.IsTrue)
--- a/briarrockd/peer/matrix_test.go
+++ b/briarrockd/peer/matrix_test.go
@@ -132,8 +132,8 @@
 	var broken []string
 	synctest.Test(t, func(*testing.T) {
 		r := newRun(c)
-		broken = r.play()
-		if r.forgotten > 0 {
+		broken = r.runPath()
+		if r.lostVersions > 0 {
 			t.Logf("%s: forgotten by all, store unreachable", c)
 		}
 	})
@@ -142,17 +142,17 @@
 
 // run is one cell being played.
 type run struct {
-	*fabric
-	cell  cell
-	armed bool
-	edits int
+	*simMesh
+	cell      cell
+	injecting bool
+	edits     int
 }
 
 func newRun(c cell) *run {
-	r := &run{fabric: newFabric(c.seed, places, perDomain), cell: c}
+	r := &run{simMesh: newSimMesh(c.seed, places, perDomain), cell: c}
 	pending := append([]string(nil), c.steps...)
-	r.seen = func(word string, x *fake) {
-		if !r.armed {
+	r.onStep = func(word string, x *simHost) {
+		if !r.injecting {
 			return
 		}
 		for i, step := range pending {
@@ -167,33 +167,33 @@
 
 // The times of a run.
 const (
-	untilWhole = 12 * time.Second // from the start to a mesh at rest
-	untilCalm  = 45 * time.Second // the longest fault and what follows it
+	settleTime = 12 * time.Second // from the start to a mesh at rest
+	faultTime  = 45 * time.Second // the longest fault and what follows it
 )
 
-func (r *run) play() []string {
+func (r *run) runPath() []string {
 	late := r.nodes[len(r.nodes)-1]
 	for _, x := range r.nodes {
 		if r.cell.path != "join" || x != late {
 			r.start(x)
 		}
 	}
-	r.run(untilWhole)
+	r.advance(settleTime)
 	r.editAt(r.nodes[0])
-	r.run(untilWhole)
-	r.armed = true
-	r.begin(late)
-	r.run(untilCalm)
-	r.armed = false
+	r.advance(settleTime)
+	r.injecting = true
+	r.startPath(late)
+	r.advance(faultTime)
+	r.injecting = false
 	// A last edit must reach everybody, and everybody must be the same.
 	r.editAt(r.nodes[0])
-	r.run(untilCalm)
-	r.settled()
-	return r.broken
+	r.advance(faultTime)
+	r.checkConverged()
+	return r.violations
 }
 
-// begin starts the path that the faults are put on.
-func (r *run) begin(late *fake) {
+// startPath starts the path that the faults are put on.
+func (r *run) startPath(late *simHost) {
 	switch r.cell.path {
 	case "apply", "distribute":
 		r.editAt(r.nodes[1])
@@ -201,23 +201,23 @@
 		r.start(late)
 	case "restart":
 		r.kill(late)
-		r.in(500*time.Millisecond, func() { r.revive(late) })
+		r.after(500*time.Millisecond, func() { r.restart(late) })
 	case "leave":
-		late.left = true
-		r.tell(late, Leave{})
-		r.in(2*time.Second, func() { r.kill(late) })
+		late.leaving = true
+		r.deliver(late, Leave{})
+		r.after(2*time.Second, func() { r.kill(late) })
 	}
 }
 
-func (r *run) revive(x *fake) {
-	if !x.alive && !x.left {
+func (r *run) restart(x *simHost) {
+	if !x.alive && !x.leaving {
 		r.start(x)
 	}
 }
 
 // editAt lets an operator put the next version in at a host, trying again
 // with the same id as long as the answer is not final.
-func (r *run) editAt(x *fake) {
+func (r *run) editAt(x *simHost) {
 	r.edits++
 	s := sample(r.edits)
 	id := fmt.Sprintf("write-%d", r.edits)
@@ -229,7 +229,7 @@
 		base := uint64(len(r.store.versions))
 		r.edit(x, s, base, id, func(f platform.Finish) {
 			if f.Outcome == platform.Refused || f.Outcome == platform.Undecided {
-				r.in(2*time.Second, func() { try(n - 1) })
+				r.after(2*time.Second, func() { try(n - 1) })
 			}
 		})
 	}
@@ -251,8 +251,8 @@
 
 // inject begins a fault at the host where its step was seen, and ends it
 // after its time.
-func (r *run) inject(f fault, x *fake) {
-	end := func(do func()) { r.in(time.Duration(f.For)*time.Second, do) }
+func (r *run) inject(f fault, x *simHost) {
+	end := func(do func()) { r.after(time.Duration(f.For)*time.Second, do) }
 	switch f.Kind {
 	case "kill":
 		r.killSome(x, f.Nodes, end)
@@ -266,7 +266,7 @@
 		r.pauseFor(x, end)
 	case "pause-bridge":
 		for _, y := range r.nodes {
-			if y.alive && y.heart.isRoot() && y.cfg.Self.Domain == x.cfg.Self.Domain {
+			if y.alive && y.core.isRoot() && y.cfg.Self.Domain == x.cfg.Self.Domain {
 				r.pauseFor(y, end)
 			}
 		}
@@ -274,60 +274,60 @@
 		r.store.down = true
 		end(func() { r.store.down = false })
 	case "store-slow":
-		r.store.slow = 3 * time.Second
-		end(func() { r.store.slow = 0 })
+		r.store.extraDelay = 3 * time.Second
+		end(func() { r.store.extraDelay = 0 })
 	case "answer-lost":
-		r.store.lose = 3
-		end(func() { r.store.lose = 0 })
+		r.store.lostReplies = 3
+		end(func() { r.store.lostReplies = 0 })
 	case "cut-domain":
 		r.cutFor(x.cfg.Self.Domain, end)
 	case "cut-region":
 		r.cutFor(x.cfg.Self.Region, end)
 	case "silent":
-		for _, w := range r.wiresOf(x) {
-			w.silent = true
+		for _, w := range r.linksOf(x) {
+			w.dropsFrames = true
 		}
 	case "jumble":
-		r.jumble = 300 * time.Millisecond
-		end(func() { r.jumble = 0 })
+		r.extraDelay = 300 * time.Millisecond
+		end(func() { r.extraDelay = 0 })
 	case "garbage":
-		r.garbage = 4
-		end(func() { r.garbage = 0 })
+		r.corruptNext = 4
+		end(func() { r.corruptNext = 0 })
 	case "edit":
 		r.editAt(r.nodes[2])
 		r.editAt(r.nodes[3])
 	}
 }
 
-func (r *run) killSome(x *fake, n int, end func(func())) {
+func (r *run) killSome(x *simHost, n int, end func(func())) {
 	r.killFor(x, end)
 	for i := 1; i < n; i++ {
 		r.killFor(r.nodes[(i*5+int(r.cell.seed))%len(r.nodes)], end)
 	}
 }
 
-func (r *run) killFor(x *fake, end func(func())) {
+func (r *run) killFor(x *simHost, end func(func())) {
 	if !x.alive {
 		return
 	}
 	r.kill(x)
-	end(func() { r.revive(x) })
+	end(func() { r.restart(x) })
 }
 
-func (r *run) pauseFor(x *fake, end func(func())) {
+func (r *run) pauseFor(x *simHost, end func(func())) {
 	if !x.alive {
 		return
 	}
-	process := x.started
+	process := x.processes
 	x.paused = true
 	end(func() {
-		if x.started == process {
+		if x.processes == process {
 			r.resume(x)
 		}
 	})
 }
 
 func (r *run) cutFor(name string, end func(func())) {
-	r.cutOff[name] = true
-	end(func() { delete(r.cutOff, name) })
+	r.isolated[name] = true
+	end(func() { delete(r.isolated, name) })
 }
--- a/briarrockd/peer/polls_test.go
+++ b/briarrockd/peer/polls_test.go
@@ -10,23 +10,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// carriersPer is how many freshness notices the carriers of two regions send in a second
+// maxNoticesPerSecond is how many freshness notices the carriers of two regions send in a second
 // at most: four of them, one while a poll waits and one for each poll of two seconds. Each
 // crosses a link once in each direction.
-const carriersPer = 6
+const maxNoticesPerSecond = 6
 
 // Pauses of the fake watch loop after a poll that failed.
 const (
-	pollFails = 50 * time.Millisecond
-	pollAgain = time.Second
+	failedPollTime = 50 * time.Millisecond
+	pollRetryDelay = time.Second
 )
 
-// fedFabric is a fabric whose hosts poll the platform only when their Cores say so, as
+// pollMesh is a simMesh whose hosts poll the platform only when their Cores say so, as
 // the platform's adapter does.
-type fedFabric struct {
-	*fabric
+type pollMesh struct {
+	*simMesh
 	c     *qt.C
-	hosts map[*fake]*poller
+	hosts map[*simHost]*poller
 	polls int
 	// notices counts the freshness notices that were sent over links.
 	notices int
@@ -34,20 +34,20 @@
 
 // poller is the watch loop of a host's present process.
 type poller struct {
-	watch   Watch
-	process int
-	busy    bool
-	told    uint64
+	watch     Watch
+	process   int
+	polling   bool
+	delivered uint64
 }
 
-func newFed(c *qt.C, seed uint64, perDomain int) *fedFabric {
+func newPollMesh(c *qt.C, seed uint64, perDomain int) *pollMesh {
 	var eight []Member
 	for _, p := range places {
 		eight = append(eight, p, Member{Domain: p.Domain + "x", Region: p.Region})
 	}
-	f := &fedFabric{fabric: newFabric(seed, eight, perDomain), c: c, hosts: make(map[*fake]*poller)}
-	f.watched = f.turn
-	f.seen = func(word string, _ *fake) {
+	f := &pollMesh{simMesh: newSimMesh(seed, eight, perDomain), c: c, hosts: make(map[*simHost]*poller)}
+	f.onWatch = f.setWatch
+	f.onStep = func(word string, _ *simHost) {
 		if word == "fresh" {
 			f.notices++
 		}
@@ -59,82 +59,82 @@
 	return f
 }
 
-// turn takes a Core's decision on polling.
-func (f *fedFabric) turn(x *fake, w Watch) {
+// setWatch takes a Core's decision on polling.
+func (f *pollMesh) setWatch(x *simHost, w Watch) {
 	p := f.hosts[x]
-	if p == nil || p.process != x.started {
-		p = &poller{process: x.started}
+	if p == nil || p.process != x.processes {
+		p = &poller{process: x.processes}
 		f.hosts[x] = p
 	}
 	p.watch = w
 	f.poll(x, p)
 }
 
-func (f *fedFabric) poll(x *fake, p *poller) {
-	if p.busy || !p.watch.On || !x.alive || p.process != x.started {
+func (f *pollMesh) poll(x *simHost, p *poller) {
+	if p.polling || !p.watch.On || !x.alive || p.process != x.processes {
 		return
 	}
-	p.busy = true
+	p.polling = true
 	f.polls++
 	if !f.storeReachable(x) {
-		f.in(pollFails, func() {
-			f.tellProcess(x, p, PollFailed{})
-			f.in(pollAgain, func() { f.next(x, p) })
+		f.after(failedPollTime, func() {
+			f.deliverTo(x, p, PollFailed{})
+			f.after(pollRetryDelay, func() { f.pollNext(x, p) })
 		})
 		return
 	}
 	delay := f.storeDelay(x)
-	if f.newest() > p.told {
-		f.in(delay, func() { f.found(x, p) })
+	if f.newest() > p.delivered {
+		f.after(delay, func() { f.deliverNewest(x, p) })
 		return
 	}
 	wait := p.watch.Wait
-	f.in(delay+wait, func() {
+	f.after(delay+wait, func() {
 		switch {
 		case !f.storeReachable(x):
-			f.tellProcess(x, p, PollFailed{})
-			f.next(x, p)
-		case f.newest() > p.told:
-			f.found(x, p)
+			f.deliverTo(x, p, PollFailed{})
+			f.pollNext(x, p)
+		case f.newest() > p.delivered:
+			f.deliverNewest(x, p)
 		default:
-			f.tellProcess(x, p, Polled{Cursor: f.newest(), At: time.Now().Add(-delay), RTT: delay})
-			f.next(x, p)
+			f.deliverTo(x, p, Polled{Cursor: f.newest(), At: time.Now().Add(-delay), RTT: delay})
+			f.pollNext(x, p)
 		}
 	})
 }
 
-func (f *fedFabric) newest() uint64 { return uint64(len(f.store.versions)) }
+func (f *pollMesh) newest() uint64 { return uint64(len(f.store.versions)) }
 
-func (f *fedFabric) found(x *fake, p *poller) {
+func (f *pollMesh) deliverNewest(x *simHost, p *poller) {
 	n := f.newest()
-	b, hash := bytesOf(f.c, int(n))
-	f.tellProcess(x, p, Committed{Version: n, Hash: hash, Content: b, Cursor: n, At: time.Now().Add(-f.storeDelay(x))})
-	p.told = n
-	f.next(x, p)
+	b, hash := encodeSample(f.c, int(n))
+	f.deliverTo(x, p, Committed{Version: n, Hash: hash, Content: b, Cursor: n, At: time.Now().Add(-f.storeDelay(x))})
+	p.delivered = n
+	f.pollNext(x, p)
 }
 
-func (f *fedFabric) tellProcess(x *fake, p *poller, m Msg) {
-	if x.alive && x.started == p.process {
-		f.tell(x, m)
+func (f *pollMesh) deliverTo(x *simHost, p *poller, m Msg) {
+	if x.alive && x.processes == p.process {
+		f.deliver(x, m)
 	}
 }
 
-func (f *fedFabric) next(x *fake, p *poller) {
-	p.busy = false
+func (f *pollMesh) pollNext(x *simHost, p *poller) {
+	p.polling = false
 	f.poll(x, p)
 }
 
-// change has the operator accept the next version. Open polls see it: the fake ends
+// commitVersion has the operator accept the next version. Open polls see it: the fake ends
 // their wait by the next time that they are due.
-func (f *fedFabric) change() {
+func (f *pollMesh) commitVersion() {
 	n := f.newest() + 1
-	b, hash := bytesOf(f.c, int(n))
+	b, hash := encodeSample(f.c, int(n))
 	f.store.versions[n], f.store.objects[hash] = hash, b
-	f.seen("change", f.nodes[0])
+	f.onStep("change", f.nodes[0])
 }
 
-// lagging counts the live hosts that don't serve the newest version.
-func (f *fedFabric) lagging() int {
+// countLagging counts the live hosts that don't serve the newest version.
+func (f *pollMesh) countLagging() int {
 	n := 0
 	for _, x := range f.nodes {
 		if x.alive && x.serving != f.newest() {
@@ -144,11 +144,11 @@
 	return n
 }
 
-// watching are the hosts whose Cores have them poll now.
-func (f *fedFabric) watching() []*fake {
-	var out []*fake
+// pollingHosts are the hosts whose Cores have them poll now.
+func (f *pollMesh) pollingHosts() []*simHost {
+	var out []*simHost
 	for _, x := range f.nodes {
-		if p := f.hosts[x]; x.alive && p != nil && p.process == x.started && p.watch.On {
+		if p := f.hosts[x]; x.alive && p != nil && p.process == x.processes && p.watch.On {
 			out = append(out, x)
 		}
 	}
@@ -160,21 +160,21 @@
 func TestPolls(t *testing.T) {
 	datadriven.Walk(t, "testdata/polls", func(t *testing.T, path string) {
 		synctest.Test(t, func(t *testing.T) {
-			var f *fedFabric
+			var f *pollMesh
 			datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 				if d.Cmd == "start" {
 					perDomain := 0
 					d.ScanArgs(t, "per-domain", &perDomain)
-					f = newFed(qt.New(t), 1, perDomain)
+					f = newPollMesh(qt.New(t), 1, perDomain)
 				}
 				return f.command(t, d)
 			})
-			f.c.Check(f.broken, qt.HasLen, 0)
+			f.c.Check(f.violations, qt.HasLen, 0)
 		})
 	})
 }
 
-func (f *fedFabric) command(t *testing.T, d *datadriven.TestData) string {
+func (f *pollMesh) command(t *testing.T, d *datadriven.TestData) string {
 	var span, most int
 	if d.HasArg("for") {
 		d.ScanArgs(t, "for", &span)
@@ -185,7 +185,7 @@
 	before, notices := f.polls, f.notices
 	switch d.Cmd {
 	case "start":
-		f.change()
+		f.commitVersion()
 		for _, x := range f.nodes {
 			x.cfg.Bootstrap = true
 			f.start(x)
@@ -198,13 +198,13 @@
 	case "cut", "heal":
 		domain := ""
 		d.ScanArgs(t, "domain", &domain)
-		f.cutOff[domain] = d.Cmd == "cut"
+		f.isolated[domain] = d.Cmd == "cut"
 	case "kill":
-		for _, x := range f.watching() {
+		for _, x := range f.pollingHosts() {
 			f.kill(x)
 		}
 	case "change":
-		f.change()
+		f.commitVersion()
 	case "herd":
 		for _, x := range f.nodes {
 			f.kill(x)
@@ -219,14 +219,14 @@
 			}
 		}
 	}
-	f.run(time.Duration(span) * time.Second)
+	f.advance(time.Duration(span) * time.Second)
 	switch {
 	case d.HasArg("most") && f.polls-before > most:
 		return fmt.Sprintf("%d polls", f.polls-before)
-	case d.HasArg("notices") && f.notices-notices > carriersPer*span*len(f.links):
+	case d.HasArg("notices") && f.notices-notices > maxNoticesPerSecond*span*len(f.links):
 		return fmt.Sprintf("%d notices over %d links", f.notices-notices, len(f.links)/2)
-	case d.HasArg("in-force") && f.lagging() > 0:
-		return fmt.Sprintf("%d hosts lag", f.lagging())
+	case d.HasArg("in-force") && f.countLagging() > 0:
+		return fmt.Sprintf("%d hosts lag", f.countLagging())
 	}
 	return "ok"
 }
--- a/briarrockd/peer/rules_test.go
+++ b/briarrockd/peer/rules_test.go
@@ -15,8 +15,8 @@
 	return Member{Host: host, Domain: "erie-a", Region: "erie", PeerAddr: host + ":1", CallAddr: host + ":2", Incarnation: 1}
 }
 
-// lone is a Core with one link, to a peer of its domain.
-func lone(c *qt.C) (*Core, time.Time) {
+// linkedCore is a Core with one link, to a peer of its domain.
+func linkedCore(c *qt.C) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
@@ -24,20 +24,20 @@
 	return core, now
 }
 
-func bytesOf(c *qt.C, n int) ([]byte, snapshot.Hash) {
+func encodeSample(c *qt.C, n int) ([]byte, snapshot.Hash) {
 	b, err := snapshot.Encode(sample(n))
 	c.Assert(err, qt.IsNil)
 	return b, snapshot.Sum(b)
 }
 
-func content(c *qt.C, version uint64, n int) Content {
-	b, hash := bytesOf(c, n)
+func fullContent(c *qt.C, version uint64, n int) Content {
+	b, hash := encodeSample(c, n)
 	p, err := snapshot.Pack(nil, b)
 	c.Assert(err, qt.IsNil)
 	return Content{Version: version, Hash: hash, Packed: p}
 }
 
-func used(cmds []Cmd) []uint64 {
+func servedVersions(cmds []Cmd) []uint64 {
 	var out []uint64
 	for _, c := range cmds {
 		if u, ok := c.(ServeVersion); ok {
@@ -56,14 +56,14 @@
 	return false
 }
 
-// serving is a Core that serves version 5.
-func serving(c *qt.C) (*Core, time.Time) {
-	core, now := lone(c)
-	b, hash := bytesOf(c, 5)
+// servingCore is a Core that serves version 5.
+func servingCore(c *qt.C) (*Core, time.Time) {
+	core, now := linkedCore(c)
+	b, hash := encodeSample(c, 5)
 	cmds := core.Step(now, Committed{Version: 5, Hash: hash, Content: b})
 	now = now.Add(confirmTimeout)
 	cmds = append(cmds, core.Step(now, Tick{})...)
-	c.Assert(used(cmds), qt.DeepEquals, []uint64{5})
+	c.Assert(servedVersions(cmds), qt.DeepEquals, []uint64{5})
 	return core, now
 }
 
@@ -75,9 +75,9 @@
 // it has.
 func TestOlder(t *testing.T) {
 	c := qt.New(t)
-	core, now := serving(c)
-	old := content(c, 4, 4)
-	oldBytes, oldHash := bytesOf(c, 4)
+	core, now := servingCore(c)
+	old := fullContent(c, 4, 4)
+	oldBytes, oldHash := encodeSample(c, 4)
 	push := old
 	push.Push = true
 	for _, m := range []Msg{
@@ -91,7 +91,7 @@
 		cmds := core.Step(now, m)
 		cmds = append(cmds, core.Step(now.Add(time.Second), Tick{})...)
 		now = now.Add(time.Second)
-		c.Check(used(cmds), qt.HasLen, 0, qt.Commentf("%T", m))
+		c.Check(servedVersions(cmds), qt.HasLen, 0, qt.Commentf("%T", m))
 		n, _ := core.Version()
 		c.Check(n, qt.Equals, uint64(5), qt.Commentf("%T", m))
 	}
@@ -101,8 +101,8 @@
 // is dropped whole, logged, and asked for again; the sound one is then used.
 func TestDamaged(t *testing.T) {
 	c := qt.New(t)
-	core, now := serving(c)
-	good := content(c, 6, 6)
+	core, now := servingCore(c)
+	good := fullContent(c, 6, 6)
 	core.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
 	short, flipped := good, good
 	short.Packed = good.Packed[:len(good.Packed)-3]
@@ -110,15 +110,15 @@
 	flipped.Packed[len(flipped.Packed)/2] ^= 0x40
 	for _, bad := range []Content{short, flipped} {
 		cmds := core.Step(now, Received{1, bad})
-		c.Check(used(cmds), qt.HasLen, 0)
+		c.Check(servedVersions(cmds), qt.HasLen, 0)
 		c.Check(logged(cmds, event.VersionRefused), qt.IsTrue)
 		n, _ := core.Version()
 		c.Check(n, qt.Equals, uint64(5))
 	}
 	strange := good
 	strange.Base = snapshot.Sum([]byte("unheard of"))
-	c.Check(used(core.Step(now, Received{1, strange})), qt.HasLen, 0)
-	c.Check(used(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
+	c.Check(servedVersions(core.Step(now, Received{1, strange})), qt.HasLen, 0)
+	c.Check(servedVersions(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
 // TestFalseNotice tells of a version that does not exist.
@@ -127,16 +127,16 @@
 // version, whose number is lower.
 func TestFalseNotice(t *testing.T) {
 	c := qt.New(t)
-	core, now := serving(c)
+	core, now := servingCore(c)
 	core.Step(now, Received{1, VersionNotice{Version: 900, Hash: snapshot.Sum([]byte("nothing"))}})
 	for range 600 {
 		now = now.Add(TickInterval)
 		core.Step(now, Received{1, Heartbeat{Version: 5}})
 		core.Step(now, Tick{})
 	}
-	good := content(c, 6, 6)
+	good := fullContent(c, 6, 6)
 	core.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
-	c.Check(used(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
+	c.Check(servedVersions(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
 // TestRank orders records as every node must.
@@ -186,7 +186,7 @@
 			case Dial:
 				core.Step(now, DialFailed{Addr: cmd.Addr, Refused: true})
 			case ReadHead:
-				core.Step(now, HeadRead{Err: errDown})
+				core.Step(now, HeadRead{Err: errStoreDown})
 			case ServeVersion:
 				t.Fatal("serves something")
 			}
@@ -220,7 +220,7 @@
 	c.Check(dialed, qt.IsTrue)
 	c.Check(asked <= 3, qt.IsTrue, qt.Commentf("asked %d times in 30 s", asked))
 
-	core, now = lone(c)
+	core, now = linkedCore(c)
 	var left []string
 	for range 100 {
 		now = now.Add(TickInterval)
@@ -250,10 +250,10 @@
 	for _, storeUp := range []bool{true, false} {
 		now := time.Unix(1000, 0)
 		core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-		old, next := content(c, 4, 4), content(c, 5, 5)
+		old, next := fullContent(c, 4, 4), fullContent(c, 5, 5)
 		var served []uint64
 		step := func(m Msg) {
-			served = append(served, used(core.Step(now, m))...)
+			served = append(served, servedVersions(core.Step(now, m))...)
 		}
 		step(Tick{})
 		step(LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: old.Hash}, Addr: "b:1"})
@@ -267,7 +267,7 @@
 			step(HeadRead{Version: 5, Hash: next.Hash})
 			step(Received{1, next})
 		} else {
-			step(HeadRead{Err: errDown})
+			step(HeadRead{Err: errStoreDown})
 		}
 		for range 20 {
 			now = now.Add(TickInterval)
@@ -391,7 +391,7 @@
 		if err != nil {
 			return
 		}
-		core, now := lone(qt.New(t))
+		core, now := linkedCore(qt.New(t))
 		core.Step(now, Received{1, frame})
 		core.Step(now.Add(time.Second), Tick{})
 	})
@@ -439,19 +439,19 @@
 		r := newRing(5)
 		rng := rand.New(rand.NewPCG(seed, 1))
 		for range 3 {
-			r.happens(rng.IntN(5), Crashed{Print: 7, Service: "posting"})
-			r.pass(rng, rng.IntN(8))
-			r.happens(rng.IntN(5), Crashed{Print: 7, Service: "posting", Clear: true})
-			r.pass(rng, rng.IntN(8))
+			r.deliver(rng.IntN(5), Crashed{Print: 7, Service: "posting"})
+			r.deliverFrames(rng, rng.IntN(8))
+			r.deliver(rng.IntN(5), Crashed{Print: 7, Service: "posting", Clear: true})
+			r.deliverFrames(rng, rng.IntN(8))
 		}
-		c.Assert(r.pass(rng, 1000) < 200, qt.IsTrue, qt.Commentf("seed %d goes on", seed))
+		c.Assert(r.deliverFrames(rng, 1000) < 200, qt.IsTrue, qt.Commentf("seed %d goes on", seed))
 
 		// A request that goes on crashing targets is held back all the same.
 		for _, i := range []int{1, 3} {
-			r.happens(i, Crashed{Print: 7, Service: "posting"})
+			r.deliver(i, Crashed{Print: 7, Service: "posting"})
 		}
-		r.pass(rng, 1000)
-		for _, core := range r.hearts {
+		r.deliverFrames(rng, 1000)
+		for _, core := range r.cores {
 			c.Assert(core.crashes.heldRequests(), qt.HasLen, 1, qt.Commentf("seed %d", seed))
 		}
 	}
@@ -460,9 +460,9 @@
 // ring is some Cores, each linked to the next and the last one, and the frames
 // about crashes that are on their way.
 type ring struct {
-	now    time.Time
-	hearts []*Core
-	way    []ringFrame
+	now      time.Time
+	cores    []*Core
+	inFlight []ringFrame
 }
 
 // ringFrame is a frame on its way to a node over one of its two links.
@@ -480,42 +480,42 @@
 		for link, j := range []int{i + 1, i - 1} {
 			core.Step(r.now, LinkUp{Link: LinkID(link + 1), Hello: Hello{Member: member(name(j))}, Addr: name(j) + ":1"})
 		}
-		r.hearts = append(r.hearts, core)
+		r.cores = append(r.cores, core)
 	}
 	return r
 }
 
-// happens gives a node a message and puts what it sends on the way.
-func (r *ring) happens(i int, m Msg) {
-	n := len(r.hearts)
-	for _, x := range r.hearts[i].Step(r.now, m) {
+// deliver gives a node a message and puts what it sends on the way.
+func (r *ring) deliver(i int, m Msg) {
+	n := len(r.cores)
+	for _, x := range r.cores[i].Step(r.now, m) {
 		s, _ := x.(Send)
 		f, ok := s.Frame.(CrashReport)
 		switch {
 		case !ok:
 		case s.Link == 1:
-			r.way = append(r.way, ringFrame{(i + 1) % n, 2, f})
+			r.inFlight = append(r.inFlight, ringFrame{(i + 1) % n, 2, f})
 		default:
-			r.way = append(r.way, ringFrame{(i + n - 1) % n, 1, f})
+			r.inFlight = append(r.inFlight, ringFrame{(i + n - 1) % n, 1, f})
 		}
 	}
 }
 
-// pass delivers up to most frames, those of one link in their order, and returns
+// deliverFrames delivers up to most frames, those of one link in their order, and returns
 // how many there were.
-func (r *ring) pass(rng *rand.Rand, most int) int {
+func (r *ring) deliverFrames(rng *rand.Rand, most int) int {
 	n := 0
-	for ; n < most && len(r.way) > 0; n++ {
-		at := rng.IntN(len(r.way))
-		for i, x := range r.way[:at] {
-			if x.to == r.way[at].to && x.link == r.way[at].link {
+	for ; n < most && len(r.inFlight) > 0; n++ {
+		at := rng.IntN(len(r.inFlight))
+		for i, x := range r.inFlight[:at] {
+			if x.to == r.inFlight[at].to && x.link == r.inFlight[at].link {
 				at = i
 				break
 			}
 		}
-		x := r.way[at]
-		r.way = append(r.way[:at], r.way[at+1:]...)
-		r.happens(x.to, Received{x.link, x.f})
+		x := r.inFlight[at]
+		r.inFlight = append(r.inFlight[:at], r.inFlight[at+1:]...)
+		r.deliver(x.to, Received{x.link, x.f})
 	}
 	return n
 }
--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -47,7 +47,7 @@
 	hash         snapshot.Hash
 	content      map[snapshot.Hash][]byte
 	contentOrder []snapshot.Hash // the keys of content, oldest first
-	// previousHash and numberBefore are the version that was in use before.
+	// previousHash and previousNumber are the version that was in use before.
 	previousHash   snapshot.Hash
 	previousNumber uint64
 	// floor is the highest version that this host is known to have served,
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -59,7 +59,7 @@
 	// carriers read the version then, and callers come only after that.
 	bootstrapReadDelay = 3 * time.Second
 	// nearerRegionFactor is how many times nearer the platform another region must be for this
-	// one to leave the polling to it, delayPart the inverse weight of a longer delay
+	// one to leave the polling to it, rttSmoothing the inverse weight of a longer delay
 	// than the usual one.
 	nearerRegionFactor = 3
 	rttSmoothing       = 10
@@ -77,11 +77,11 @@
 	emitted bool
 	// pollUntil is how long a node that polls since nobody else did goes on.
 	pollUntil time.Time
-	// noticedAt is when the newest freshness notice came, ownAt the time of this
+	// noticedAt is when the newest freshness notice came, ownPollAt the time of this
 	// node's own newest poll.
 	noticedAt time.Time
 	ownPollAt time.Time
-	// lastSerial counts this node's own freshness notices, announcedAt is the time of
+	// lastSerial counts this node's own freshness notices, noticeSentAt is the time of
 	// the newest.
 	lastSerial   uint64
 	noticeSentAt time.Time
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -9,9 +9,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// large is a fed Core in a domain of n members, linked to the two that watch
+// largeDomainCore is a fed Core in a domain of n members, linked to the two that watch
 // there, with version 1 in use.
-func large(c *qt.C, n int) (*Core, time.Time) {
+func largeDomainCore(c *qt.C, n int) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	hosts := make([]string, 0, n)
 	for i := range n {
@@ -31,31 +31,31 @@
 	for _, host := range hosts {
 		core.Step(now, Received{1, Records{[]Member{member(host)}}})
 	}
-	b, hash := bytesOf(c, 1)
+	b, hash := encodeSample(c, 1)
 	core.Step(now, Committed{Version: 1, Hash: hash, Content: b, Cursor: 10, At: now})
 	c.Assert(core.Members(), qt.Equals, n)
 	return core, now
 }
 
-// beats steps a Core while its first peer tells of polls of the platform.
-func beats(core *Core, now time.Time, d time.Duration, f PollNotice) (time.Time, []Cmd) {
+// runWithNotices steps a Core while its first peer tells of polls of the platform.
+func runWithNotices(core *Core, now time.Time, d time.Duration, f PollNotice) (time.Time, []Cmd) {
 	var out []Cmd
 	for end := now.Add(d); now.Before(end); {
 		f.Serial++
 		out = append(out, core.Step(now, Received{1, f})...)
 		var cmds []Cmd
-		now, cmds = ticks(core, now, pollNoticeInterval)
+		now, cmds = runTicks(core, now, pollNoticeInterval)
 		out = append(out, cmds...)
 	}
 	return now, out
 }
 
-// told is word of a poll 20 ms ago by a process that is new each time.
-func told(version, seen uint64) PollNotice {
+// pollNotice is word of a poll 20 ms ago by a process that is new each time.
+func pollNotice(version, seen uint64) PollNotice {
 	return PollNotice{Version: version, Cursor: seen, HeadAge: 20, Host: "watcher", Incarnation: seen}
 }
 
-func watchOf(cmds []Cmd) (Watch, bool) {
+func lastWatch(cmds []Cmd) (Watch, bool) {
 	var last Watch
 	found := false
 	for _, x := range cmds {
@@ -76,27 +76,27 @@
 // so that the rest of the domain hears of it before they lapse as well.
 func TestDuty(t *testing.T) {
 	c := qt.New(t)
-	core, now := large(c, 25)
-	now, cmds := beats(core, now, 10*time.Second, told(1, 40))
-	w, ok := watchOf(cmds)
+	core, now := largeDomainCore(c, 25)
+	now, cmds := runWithNotices(core, now, 10*time.Second, pollNotice(1, 40))
+	w, ok := lastWatch(cmds)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(w.On, qt.IsFalse)
 
 	quiet := now
 	for ok = false; !ok || !w.On; {
-		now, cmds = ticks(core, now, TickInterval)
-		w, ok = watchOf(cmds)
+		now, cmds = runTicks(core, now, TickInterval)
+		w, ok = lastWatch(cmds)
 		c.Assert(now.Sub(quiet) <= pollNoticeTimeout+pollNoticeTimeoutSpread, qt.IsTrue)
 	}
 	c.Check(now.Sub(quiet) >= pollNoticeTimeout-pollNoticeInterval, qt.IsTrue)
 	c.Check(w, qt.Equals, Watch{On: true, Cursor: 40, Fallback: true})
 	core.Step(now, Polled{Cursor: 41, At: now})
-	now, cmds = ticks(core, now, TickInterval)
-	w, _ = watchOf(cmds)
+	now, cmds = runTicks(core, now, TickInterval)
+	w, _ = lastWatch(cmds)
 	c.Check(w, qt.Equals, Watch{On: true, Cursor: 41, Wait: shortPollWait, Fallback: true})
 
-	_, cmds = beats(core, now, minFallbackPolling+2*time.Second, told(1, 41))
-	w, ok = watchOf(cmds)
+	_, cmds = runWithNotices(core, now, minFallbackPolling+2*time.Second, pollNotice(1, 41))
+	w, ok = lastWatch(cmds)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(w.On, qt.IsFalse)
 }
@@ -108,15 +108,15 @@
 // version has come.
 func TestDutyBehind(t *testing.T) {
 	c := qt.New(t)
-	core, now := large(c, 25)
-	now, cmds := beats(core, now, 4*time.Second, told(2, 50))
-	w, _ := watchOf(cmds)
+	core, now := largeDomainCore(c, 25)
+	now, cmds := runWithNotices(core, now, 4*time.Second, pollNotice(2, 50))
+	w, _ := lastWatch(cmds)
 	c.Check(w.On, qt.IsTrue)
 	c.Check(w.Cursor, qt.Equals, uint64(10))
-	next := content(c, 2, 2)
+	next := fullContent(c, 2, 2)
 	core.Step(now, Received{1, VersionNotice{2, next.Hash, true}})
-	now, _ = ticks(core, now, hedgeDelay+2*TickInterval)
-	core.Step(now, Received{1, told(2, 50)})
+	now, _ = runTicks(core, now, hedgeDelay+2*TickInterval)
+	core.Step(now, Received{1, pollNotice(2, 50)})
 	core.Step(now, Received{1, next})
 	c.Check(core.watch.cursor, qt.Equals, uint64(50))
 }
@@ -128,15 +128,15 @@
 // node the time for its calls.
 func TestDutyFetch(t *testing.T) {
 	c := qt.New(t)
-	core, now := large(c, 25)
-	now, _ = beats(core, now, 10*time.Second, told(1, 40))
-	next := content(c, 2, 2)
-	c.Check(fetches(core.Step(now, Received{1, VersionNotice{2, next.Hash, true}})), qt.Equals, 1)
+	core, now := largeDomainCore(c, 25)
+	now, _ = runWithNotices(core, now, 10*time.Second, pollNotice(1, 40))
+	next := fullContent(c, 2, 2)
+	c.Check(countFetches(core.Step(now, Received{1, VersionNotice{2, next.Hash, true}})), qt.Equals, 1)
 	core.Step(now, Received{1, next})
-	after := content(c, 3, 3)
-	c.Check(fetches(core.Step(now, Received{1, VersionNotice{3, after.Hash, true}})), qt.Equals, 0)
-	_, cmds := ticks(core, now, minFetchInterval+2*TickInterval)
-	c.Check(fetches(cmds), qt.Equals, 1)
+	after := fullContent(c, 3, 3)
+	c.Check(countFetches(core.Step(now, Received{1, VersionNotice{3, after.Hash, true}})), qt.Equals, 0)
+	_, cmds := runTicks(core, now, minFetchInterval+2*TickInterval)
+	c.Check(countFetches(cmds), qt.Equals, 1)
 }
 
 // TestDutyStart starts a node among peers that serve already.
@@ -148,22 +148,22 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(core, now, TickInterval)
-	w, _ := watchOf(cmds)
+	now, cmds := runTicks(core, now, TickInterval)
+	w, _ := lastWatch(cmds)
 	c.Check(w.On, qt.IsFalse)
-	next := content(c, 7, 7)
+	next := fullContent(c, 7, 7)
 	cmds = core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 7, Hash: next.Hash, Cursor: 30, HeadAge: 100}, Addr: "b:1"})
-	c.Check(fetches(cmds), qt.Equals, 1)
+	c.Check(countFetches(cmds), qt.Equals, 1)
 	cmds = core.Step(now, Received{1, next})
-	w, _ = watchOf(cmds)
+	w, _ = lastWatch(cmds)
 	c.Check(w, qt.Equals, Watch{On: true, Cursor: 30})
 	c.Check(core.Ready(), qt.IsFalse)
 	core.Step(now, Polled{Cursor: 31, At: now})
 	c.Check(core.Ready(), qt.IsTrue)
 
 	core = New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
-	_, cmds = ticks(core, now, startReadDelay+2*TickInterval)
-	w, _ = watchOf(cmds)
+	_, cmds = runTicks(core, now, startReadDelay+2*TickInterval)
+	w, _ = lastWatch(cmds)
 	c.Check(w, qt.Equals, Watch{On: true})
 }
 
@@ -175,18 +175,18 @@
 // polls, and serve an old version with no error anywhere.
 func TestDutyEcho(t *testing.T) {
 	c := qt.New(t)
-	core, now := large(c, 25)
-	f := told(1, 40)
+	core, now := largeDomainCore(c, 25)
+	f := pollNotice(1, 40)
 	f.Serial = 7
 	cmds := core.Step(now, Received{1, f})
-	c.Check(count[Send](cmds) > 0, qt.IsTrue)
+	c.Check(countCmds[Send](cmds) > 0, qt.IsTrue)
 	quiet := now
 	on := false
 	for !on {
-		c.Check(count[Send](core.Step(now, Received{2, f})), qt.Equals, 0)
+		c.Check(countCmds[Send](core.Step(now, Received{2, f})), qt.Equals, 0)
 		var w Watch
-		now, cmds = ticks(core, now, TickInterval)
-		w, _ = watchOf(cmds)
+		now, cmds = runTicks(core, now, TickInterval)
+		w, _ = lastWatch(cmds)
 		on = w.On && w.Fallback
 		c.Assert(now.Sub(quiet) <= pollNoticeTimeout+pollNoticeTimeoutSpread+TickInterval, qt.IsTrue)
 	}
