--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -9,17 +9,17 @@
 	"storj.io/drpc/drpcconn"
 )
 
-// minForwardingDomain is the number of members from which on a domain's claims are
-// gathered by its first node. Below it, every node's own transactions are few
-// enough, and a hop less is worth more.
+// minForwardingDomain is the size of a domain from which on its nodes forward their
+// claims to the root, which commits them in batches. In a smaller domain the nodes' own
+// transactions are few enough, and saving a hop is worth more.
 const minForwardingDomain = 8
 
-// ErrNotForwarded says that there is nobody to hand claims to: this node is to
-// commit them, or the one that gathers could not be connected to.
-var ErrNotForwarded = errors.New("peer: no node gathers")
+// ErrNotForwarded reports that no claims were sent, because this node commits its own
+// claims or because the connection to the root failed. The caller is to commit them.
+var ErrNotForwarded = errors.New("peer: claims not forwarded to the root of the domain")
 
-// claimsConn is a lasting connection to the first node of the domain. A drpc
-// connection carries one call at a time, and there is one batch at a time.
+// claimsConn is a long-lived connection to the root of the domain. A drpc connection
+// carries one call at a time, and at most one batch is in flight.
 type claimsConn struct {
 	mu   sync.Mutex
 	addr string
@@ -35,8 +35,8 @@
 	}
 }
 
-// Committers returns the address of the node that gathers this one's claims,
-// empty for this node itself, and how many nodes of the mesh commit claims.
+// Committers returns the address of the node that commits this node's claims, empty for
+// this node itself, and the number of nodes in the mesh that commit claims.
 func (c *Core) Committers() (string, int) {
 	n := 0
 	for _, d := range c.table.domains {
@@ -53,8 +53,8 @@
 	return r.PeerAddr, n
 }
 
-// ForwardClaims sends claims to the node that gathers them. Its error is
-// ErrNotForwarded if nothing was sent.
+// ForwardClaims sends claims to the root of the domain and returns its answer. It
+// returns ErrNotForwarded if nothing was sent.
 func (t *Transport) ForwardClaims(ctx context.Context, orders []byte) ([]byte, error) {
 	addr := ""
 	t.WithCore(func(core *Core) { addr, _ = core.Committers() })
@@ -76,8 +76,8 @@
 	return out.bytes, nil
 }
 
-// claimsRPC returns the lasting connection, opened anew if the first node is
-// another one or the connection has ended.
+// claimsRPC returns the long-lived connection. It opens a new one if the root has
+// changed or the connection is closed.
 func (t *Transport) claimsRPC(ctx context.Context, addr string) (*drpcconn.Conn, error) {
 	c := &t.claimsConn
 	if c.rpc != nil && c.addr == addr && !isClosed(c.rpc) {
--- a/briarrockd/peer/contact.go
+++ b/briarrockd/peer/contact.go
@@ -5,55 +5,56 @@
 	"time"
 )
 
-// Contacts in the table are the second way to find the others, after those of
-// the settings. A node that was started long after its settings were written
-// may find none of its contacts any more: all hosts are replaced in time. Its
-// symptom would be a host that stays by itself.
+// Rows of contacts in the platform's table are the second means to join the mesh, after
+// the contacts in the settings. All hosts are replaced over time, so none of the
+// contacts in the settings may be left when a node starts long after they were written.
+// Without the rows that node would stay isolated.
 const (
-	// contactsPerDomain is how many addresses a domain leaves: one more than a domain
-	// has whose members all watch the platform, so that a node which starts can
-	// tell whether its domain is one of these.
+	// contactsPerDomain is how many addresses a domain publishes: one more than the
+	// size of a domain in which all members poll the platform, so that a starting node
+	// can tell whether its domain is one of these.
 	contactsPerDomain = smallDomainSize + 1
-	// contactsInterval is how often the root of a domain looks whether the row
-	// still names the right addresses, and writes it if not.
+	// contactsInterval is the interval at which the root of a domain checks whether its
+	// row still has the right addresses. It writes the row if not.
 	contactsInterval = 5 * time.Second
-	// isolatedDelay is about how long a node is without any link before it reads the
-	// rows: all of its contacts would have answered by then. One that was given no
-	// contacts reads them at once. Until it knows the others it can serve nobody.
-	// minContactsRetry is how long after that it reads them again, at first and at
-	// most.
+	// isolatedDelay is the approximate time that a node is without any link before it
+	// reads the rows: by then all of its contacts would have answered. A node without
+	// contacts reads them at once, since it can't serve calls until it knows other
+	// members. minContactsRetry and maxContactsRetry bound the interval between further
+	// reads.
 	isolatedDelay    = 300 * time.Millisecond
 	minContactsRetry = 2200 * time.Millisecond
 	maxContactsRetry = 20 * time.Second
 	// bootstrapJitter is the time over which nodes that all start for the first time
-	// spread their reads: the first of them finds nothing and leaves its
-	// address, and most of the others find that. Of 83 that read within 0.3 s
-	// each would write as well, and read again.
+	// spread their reads. The first of them finds no row and publishes its address, and
+	// most of the others find that. Of 83 nodes that read within 0.3 s each would write
+	// the row as well, and read again.
 	bootstrapJitter = time.Second
-	// rootSettleTime is how long a node must have been the first of its domain before
-	// it writes the row: while it gets to know the others, it may think so for a
-	// moment.
+	// rootSettleTime is how long a node must have been the root of its domain before it
+	// writes the row: a node that has just started may be the root of its own table for
+	// a moment, until it knows the other members.
 	rootSettleTime = 2 * time.Second
-	// maxContacts bounds what is taken from the table.
+	// maxContacts is the maximum number of addresses that are taken from the rows.
 	maxContacts = 256
 )
 
-// contactRows is what a node knows of the rows.
+// contactRows is the state of reading and writing the rows of contacts.
 type contactRows struct {
 	written   []string
 	nextWrite time.Time
 	lastRead  time.Time
 	addrs     []string
-	// readAfter is from when on a node without links reads the rows.
+	// readAfter is the earliest time at which a node without links reads the rows; zero
+	// while it has links.
 	readAfter time.Time
-	// rootSince is since when this node has been the first of its domain.
+	// rootSince is when this node became the root of its domain; zero if it is not.
 	rootSince time.Time
-	// reads counts the reads since the node was last linked, and came is set
-	// once one has been answered.
+	// reads counts the reads since this node last had a link. loaded is set once a read
+	// has been answered.
 	reads  int
 	loaded bool
-	// smallDomain is set where the row of the own domain names no more members than
-	// may all watch the platform.
+	// smallDomain is set if the row of this node's domain has at most smallDomainSize
+	// addresses, so that all of its members may poll the platform.
 	smallDomain bool
 }
 
@@ -70,8 +71,8 @@
 	if c.contacts.readAfter.IsZero() {
 		c.contacts.readAfter = c.now.Add(c.contactsReadDelay())
 	}
-	again := min(minContactsRetry<<min(c.contacts.reads, 3), maxContactsRetry)
-	if c.now.Before(c.contacts.readAfter) || c.now.Sub(c.contacts.lastRead) < again {
+	retry := min(minContactsRetry<<min(c.contacts.reads, 3), maxContactsRetry)
+	if c.now.Before(c.contacts.readAfter) || c.now.Sub(c.contacts.lastRead) < retry {
 		return
 	}
 	c.contacts.lastRead = c.now
@@ -79,8 +80,8 @@
 	c.emit(ReadContacts{})
 }
 
-// contactsReadDelay is how long a node that has lost its last link, or has none yet,
-// waits before it reads the rows.
+// contactsReadDelay returns how long a node without links waits before it reads the
+// rows.
 func (c *Core) contactsReadDelay() time.Duration {
 	if c.readContactsAtOnce() {
 		return 0
@@ -95,17 +96,17 @@
 	return pause + c.jitter(spread)
 }
 
-// readContactsAtOnce tells whether this node has just been started, beside others that may
-// have been stopped with it. The rows then also tell it whether it may read the
-// configuration at once, instead of waiting for a peer that has it: after the
-// loss of a whole mesh nobody has.
+// readContactsAtOnce reports whether this process has just started and has neither had
+// a link nor read the rows. Other nodes may have been stopped with it. The rows then
+// also show whether this node may read the configuration at once instead of waiting for
+// a peer that has it: after the loss of a whole mesh no peer has it.
 func (c *Core) readContactsAtOnce() bool {
 	return c.cfg.DelegatePolling && !c.cfg.Bootstrap && !c.version.everLinked && !c.contacts.loaded
 }
 
-// publishContacts writes the row of this domain, at its root, when the first
-// members are others than those in it. A node that has read the rows and still
-// has no link may be the first of all: it leaves its address for the others.
+// publishContacts writes the row of this domain, at its root, if its first members
+// differ from the row. A node that has read the rows, found no address and has no link
+// may be the first node of the mesh: it publishes its own address without waiting.
 func (c *Core) publishContacts() {
 	s := &c.contacts
 	if !c.isRoot() {
@@ -115,8 +116,8 @@
 	if s.rootSince.IsZero() {
 		s.rootSince = c.now
 	}
-	first := len(c.links) == 0 && s.loaded && len(s.addrs) == 0
-	if c.now.Before(s.nextWrite) || (!first && c.now.Sub(s.rootSince) < rootSettleTime) || (len(c.links) == 0 && !s.loaded) {
+	firstNode := len(c.links) == 0 && s.loaded && len(s.addrs) == 0
+	if c.now.Before(s.nextWrite) || (!firstNode && c.now.Sub(s.rootSince) < rootSettleTime) || (len(c.links) == 0 && !s.loaded) {
 		return
 	}
 	s.nextWrite = c.now.Add(contactsInterval + c.jitter(contactsInterval/4))
@@ -148,8 +149,8 @@
 	if !c.cfg.DelegatePolling || len(c.links) > 0 {
 		return
 	}
-	// Callers wait for a node that has just been started, so it doesn't wait for
-	// the next tick.
+	// Callers are waiting for a node that has just started, so it doesn't wait for the
+	// next tick.
 	c.updatePollRole()
 	c.rejoin()
 }
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -7,19 +7,21 @@
 	"briarrock.example/mesh/event"
 )
 
-// digestMismatchLimit is how many heartbeats in a row must differ before the tables
-// are compared: news that is on its way makes two sides differ for a moment.
+// digestMismatchLimit is how many consecutive heartbeats must carry a differing digest
+// before the tables are compared: two digests also differ briefly while changed records
+// are in flight.
 const digestMismatchLimit = 2
 
-// sweepInterval is how often tombstones are polled over.
+// sweepInterval is the interval between sweeps for expired tombstones.
 const sweepInterval = 5 * time.Second
 
-// raiseIncarnation makes this process younger than any that a peer remembers.
+// raiseIncarnation raises this process's incarnation above known, an incarnation of
+// this host that a peer has recorded.
 //
-// A host's clock may have gone back between two of its processes. Then the
-// new one would count as the older, and its peers would ignore it for as long
-// as they remember the other. Going above what they know is enough, since
-// only the newest process of a host can still speak for it.
+// The host's clock may have been set back between two processes. The new process would
+// then start with the lower incarnation, and its peers would ignore its records for as
+// long as they keep the old one. It is enough to go above what the peers have recorded,
+// since only the newest process of a host still publishes records for it.
 func (c *Core) raiseIncarnation(known uint64) {
 	if known <= c.self.Incarnation {
 		return
@@ -58,7 +60,7 @@
 	c.membersChanged = true
 }
 
-// merge takes one record from a peer.
+// merge applies a record received from a peer.
 func (c *Core) merge(from LinkID, m Member) {
 	if m.Host == c.self.Host {
 		c.refuteSelf(m)
@@ -85,9 +87,10 @@
 	c.log(e, event.Fields{event.Subject: m.Host, "domain": m.Domain})
 }
 
-// refuteSelf answers what others hold of this node. A suspicion or an obituary
-// is objected to with a higher sequence; a record of a later incarnation that
-// is not ours can only be from before this process, with a clock ahead.
+// refuteSelf handles a record of this node that a peer sent. If the record says
+// suspected or dead, this node refutes it with a higher sequence number. A record with
+// a higher incarnation than this process's can only come from an earlier process whose
+// clock was ahead.
 func (c *Core) refuteSelf(m Member) {
 	if c.self.State == Leaving {
 		return
@@ -111,9 +114,9 @@
 	}
 }
 
-// flushUpdates sends the records that changed since the last tick on every link
-// but the one that each came over. Gathering them for one tick turns the
-// return of a whole domain into a few frames.
+// flushUpdates sends the records that changed since the last tick on every link except
+// the one over which each arrived. Batching them per tick means that the return of a
+// whole domain takes only a few frames.
 func (c *Core) flushUpdates() {
 	if len(c.pendingUpdates) == 0 {
 		return
@@ -132,13 +135,13 @@
 	clear(c.updateSource)
 }
 
-// sendRecords sends the records of hosts in frames of bounded size; with
-// fresh set, not those that came over this very link.
-func (c *Core) sendRecords(l *link, hosts []string, fresh bool) {
+// sendRecords sends the records of hosts in frames of bounded size. If skipSource is
+// set, it omits pending updates that arrived over l.
+func (c *Core) sendRecords(l *link, hosts []string, skipSource bool) {
 	var batch []Member
 	for _, host := range hosts {
 		r := c.table.byHost[host]
-		if r == nil || (fresh && c.updateSource[host] == l.id) {
+		if r == nil || (skipSource && c.updateSource[host] == l.id) {
 			continue
 		}
 		batch = append(batch, r.Member)
@@ -179,23 +182,24 @@
 	return f
 }
 
-// onDigests compares tables, domain by domain. A domain of which one side has
-// nothing is sent whole or asked for whole; of another that differs, the
-// listing of ranks goes first, since it is much smaller than the records.
+// onDigests compares the peer's digests with the local table, domain by domain. A
+// domain that only this node has is sent whole. For any other domain that differs this
+// node sends a Listing, which is much smaller than the records; for a domain that it
+// does not have the Listing is empty, so that the peer sends all of its records.
 func (c *Core) onDigests(l *link, f Digests) {
 	if c.introductionOnly(l) {
 		return
 	}
-	theirs := make(map[string]DomainDigest, len(f.Domains))
+	remote := make(map[string]DomainDigest, len(f.Domains))
 	for _, d := range f.Domains {
-		theirs[d.Name] = d
-		own := c.table.domains[d.Name]
-		if own == nil || own.digest != d.Digest {
+		remote[d.Name] = d
+		local := c.table.domains[d.Name]
+		if local == nil || local.digest != d.Digest {
 			c.send(l, c.newListing(d.Name))
 		}
 	}
 	for _, name := range c.table.names() {
-		if _, ok := theirs[name]; !ok {
+		if _, ok := remote[name]; !ok {
 			c.sendRecords(l, c.hostsOf(name), false)
 		}
 	}
@@ -210,7 +214,7 @@
 	return hosts
 }
 
-// newListing lists all of a domain's records, tombstones included.
+// newListing lists all records of a domain, tombstones included.
 func (c *Core) newListing(name string) Listing {
 	f := Listing{Domain: name}
 	for _, host := range c.hosts() {
@@ -222,37 +226,38 @@
 	return f
 }
 
-// onListing answers with what the peer lacks and asks for what it has better.
+// onListing sends the records that the peer lacks or has in an older state, and
+// requests those that are newer on the peer's side.
 func (c *Core) onListing(l *link, f Listing) {
 	listed := make(map[string]bool, len(f.Entries))
-	var wants, better []string
+	var requested, newer []string
 	for _, e := range f.Entries {
 		listed[e.Host] = true
-		own := c.table.byHost[e.Host]
+		stored := c.table.byHost[e.Host]
 		switch {
-		case own == nil || e.rank().supersedes(own.rank()):
-			wants = append(wants, e.Host)
-		case own.rank().supersedes(e.rank()):
-			better = append(better, e.Host)
+		case stored == nil || e.rank().supersedes(stored.rank()):
+			requested = append(requested, e.Host)
+		case stored.rank().supersedes(e.rank()):
+			newer = append(newer, e.Host)
 		}
 	}
 	for _, host := range c.hostsOf(f.Domain) {
 		if !listed[host] {
-			better = append(better, host)
+			newer = append(newer, host)
 		}
 	}
-	c.sendRecords(l, better, false)
-	for len(wants) > 0 {
-		n := min(len(wants), maxRequestedHosts)
-		c.send(l, RecordRequest{wants[:n]})
-		wants = wants[n:]
+	c.sendRecords(l, newer, false)
+	for len(requested) > 0 {
+		n := min(len(requested), maxRequestedHosts)
+		c.send(l, RecordRequest{requested[:n]})
+		requested = requested[n:]
 	}
 }
 
 func (c *Core) onRecordRequest(l *link, f RecordRequest) { c.sendRecords(l, f.Hosts, false) }
 
-// tickMembers suspects neighbours that have no link, declares suspects dead
-// and forgets tombstones.
+// tickMembers suspects neighbours that have no link, declares suspected members dead,
+// and deletes expired tombstones and dial states.
 func (c *Core) tickMembers() {
 	c.checkNeighbours()
 	c.declareDead()
@@ -273,8 +278,8 @@
 	}
 }
 
-// neighbours are the members of the own domain that should have a link with
-// this node, whichever side dials it.
+// neighbours returns the members of this node's domain that should have a link with
+// this node, whichever side dials.
 func (c *Core) neighbours() []*record {
 	i := c.orderIndex()
 	if i < 0 || c.self.State == Leaving {
@@ -299,9 +304,9 @@
 }
 
 func (c *Core) checkNeighbours() {
-	near := make(map[string]bool)
+	current := make(map[string]bool)
 	for _, r := range c.neighbours() {
-		near[r.Host] = true
+		current[r.Host] = true
 		if c.linkByHost[r.Host] != nil {
 			continue
 		}
@@ -311,8 +316,8 @@
 			continue
 		}
 		if c.now.Sub(since) > reverseDialDelay {
-			// The other side should dial, but may have just been started by
-			// contacts that know nobody: it can't know that it should.
+			// The other side has to dial, but if it has just started and its contacts
+			// know no other members, it does not know this node yet.
 			c.dial(r.PeerAddr, r.Host, false)
 		}
 		if c.now.Sub(since) > suspectDelay && r.State == Alive && c.now.Sub(r.since) > suspectDelay {
@@ -320,15 +325,15 @@
 		}
 	}
 	for host := range c.missingSince {
-		if !near[host] {
+		if !current[host] {
 			delete(c.missingSince, host)
 		}
 	}
 }
 
-// suspect says that a member of the own domain can't be reached. It is said
-// in the member's own incarnation and sequence, so that the member's
-// objection, with a higher sequence, takes it back everywhere.
+// suspect marks a member of this node's domain as suspected, because it can't be
+// reached. The record keeps the member's incarnation and sequence number, so that the
+// member refutes it everywhere with a higher sequence number.
 func (c *Core) suspect(r *record) {
 	m := r.Member
 	m.State = Suspect
@@ -338,9 +343,10 @@
 	}
 }
 
-// declareDead declares suspects of the own domain dead. Other domains are left
-// to their own members, who hear of them first: a domain that is cut off as a
-// whole would otherwise be declared dead from afar, and keep nothing.
+// declareDead declares suspected members of this node's domain dead. Members of other
+// domains are left to their own domain, which detects a failure first: otherwise a
+// domain that is cut off as a whole would be declared dead by the other domains and all
+// of its records would be lost there.
 func (c *Core) declareDead() {
 	for _, r := range c.table.members(c.self.Domain) {
 		if r.State != Suspect || c.now.Sub(r.since) < suspicionTimeout || r.Host == c.self.Host {
--- a/briarrockd/peer/hold.go
+++ b/briarrockd/peer/hold.go
@@ -8,39 +8,41 @@
 )
 
 const (
-	// HoldThreshold is how many crashes make a request one that is held back, here and
-	// wherever calls are admitted.
+	// HoldThreshold is the number of crashes from which on a request is held back, both
+	// in this package and where calls are admitted.
 	HoldThreshold = 2
-	// crashTTL is how long a request is held back after its last crash, and
-	// how long a first crash is remembered.
+	// crashTTL is how long a request is held back after its last crash, and how long
+	// the first crash is remembered.
 	crashTTL = 10 * time.Minute
-	// maxCrashRecords bounds the table; past it nothing new is suspected.
+	// maxCrashRecords is the maximum number of suspected requests. While the table is
+	// full no further requests are suspected.
 	maxCrashRecords = 4096
-	// clearedTTL is how long a request that has run to its end is remembered
-	// with the reports about it, and maxCrashReports how many of these are kept.
+	// clearedTTL is how long a request that has completed is kept together with the
+	// reports about it, and maxCrashReports how many reports are kept per request.
 	clearedTTL      = 30 * time.Second
 	maxCrashReports = 64
 )
 
-// crashRecord is what is known of one request that was in flight at a crash.
+// crashRecord is the state of one request that was in flight during a crash.
 type crashRecord struct {
 	service   string
-	reportIDs map[uint64]bool // reports, so that a relayed one counts once
-	crashes   int             // 0 once it has run to its end
+	reportIDs map[uint64]bool // IDs of the reports, so that a relayed report counts once
+	crashes   int             // 0 once the request has completed
 	updatedAt time.Time
 }
 
-// crashTable are the requests that are suspected of crashing targets.
+// crashTable holds the requests that are suspected of crashing targets, by fingerprint.
 type crashTable struct {
 	records map[uint64]*crashRecord
 }
 
 func newCrashTable() crashTable { return crashTable{records: make(map[uint64]*crashRecord)} }
 
-// onCrashed takes what this node saw at its own target.
+// onCrashed processes a crash, or the completion of a suspected request, at one of this
+// node's targets.
 func (c *Core) onCrashed(m Crashed) {
 	f := CrashReport{Print: m.Print, Service: m.Service, Crashes: 1, Clear: m.Clear, ID: c.rng.Uint64()}
-	if p := c.crashes.records[m.Print]; m.Clear && (p == nil || p.crashes == 0) {
+	if r := c.crashes.records[m.Print]; m.Clear && (r == nil || r.crashes == 0) {
 		return
 	}
 	c.applyCrashReport(0, f)
@@ -48,35 +50,36 @@
 
 func (c *Core) onCrashReport(l *link, f CrashReport) { c.applyCrashReport(l.id, f) }
 
-// applyCrashReport counts a report once and passes it on to every link, the lazy ones
-// included: a request that crashes targets must not get through to another
-// region because one link was quiet.
+// applyCrashReport counts a report once and floods it over all links, the lazy ones
+// included: a request that crashes targets must not reach another region because a lazy
+// link did not carry the report.
 //
-// What was seen of a request outlives its clearing. A crash and the word that the
-// request has run to its end go round the mesh close to each other; a node that
-// forgot the first on hearing the second would take the first for news when it
-// comes by another way, and the two would chase each other for good.
+// The record of a request is kept for a while after the request has been cleared. The
+// report of a crash and the report that clears it spread through the mesh shortly after
+// one another. A node that deleted the record on receiving the second would take the
+// first for a new report when it arrives by another path, and the two reports would
+// circulate forever.
 func (c *Core) applyCrashReport(from LinkID, f CrashReport) {
-	p := c.crashes.records[f.Print]
-	if p == nil {
+	r := c.crashes.records[f.Print]
+	if r == nil {
 		if f.Clear || len(c.crashes.records) >= maxCrashRecords {
 			return
 		}
-		p = &crashRecord{service: f.Service, reportIDs: make(map[uint64]bool)}
-		c.crashes.records[f.Print] = p
+		r = &crashRecord{service: f.Service, reportIDs: make(map[uint64]bool)}
+		c.crashes.records[f.Print] = r
 	}
-	if p.reportIDs[f.ID] || len(p.reportIDs) >= maxCrashReports || (f.Clear && p.crashes >= HoldThreshold) {
+	if r.reportIDs[f.ID] || len(r.reportIDs) >= maxCrashReports || (f.Clear && r.crashes >= HoldThreshold) {
 		return
 	}
-	p.reportIDs[f.ID] = true
-	p.updatedAt = c.now
+	r.reportIDs[f.ID] = true
+	r.updatedAt = c.now
 	if f.Clear {
-		p.crashes = 0
+		r.crashes = 0
 	} else {
-		p.crashes++
+		r.crashes++
 	}
-	c.emit(HeldRequest{f.Print, p.service, p.crashes})
-	if p.crashes == HoldThreshold && !f.Clear {
+	c.emit(HeldRequest{f.Print, r.service, r.crashes})
+	if r.crashes == HoldThreshold && !f.Clear {
 		c.log(event.RequestHeld, event.Fields{event.Subject: f.Service, "print": f.Print})
 	}
 	c.relayCrashReport(from, f)
@@ -91,24 +94,24 @@
 }
 
 func (c *Core) tickCrashes() {
-	for mark, p := range c.crashes.records {
-		kept := crashTTL
-		if p.crashes == 0 {
-			kept = clearedTTL
+	for fingerprint, r := range c.crashes.records {
+		ttl := crashTTL
+		if r.crashes == 0 {
+			ttl = clearedTTL
 		}
-		if c.now.Sub(p.updatedAt) > kept {
-			delete(c.crashes.records, mark)
-			c.emit(HeldRequest{mark, p.service, 0})
+		if c.now.Sub(r.updatedAt) > ttl {
+			delete(c.crashes.records, fingerprint)
+			c.emit(HeldRequest{fingerprint, r.service, 0})
 		}
 	}
 }
 
-// heldRequests returns what is held back now.
+// heldRequests returns the requests that are held back now.
 func (t *crashTable) heldRequests() []HeldRequest {
 	var out []HeldRequest
-	for mark, p := range t.records {
-		if p.crashes >= HoldThreshold {
-			out = append(out, HeldRequest{mark, p.service, p.crashes})
+	for fingerprint, r := range t.records {
+		if r.crashes >= HoldThreshold {
+			out = append(out, HeldRequest{fingerprint, r.service, r.crashes})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Print < out[j].Print })
--- a/briarrockd/peer/introduce.go
+++ b/briarrockd/peer/introduce.go
@@ -2,23 +2,26 @@
 
 import "time"
 
-// A node that starts finds the others by a few addresses, mostly of hosts in other
-// domains. It is led to members of its own domain and region, and gets everything else
-// from these. If each of a herd of newcomers were sent the whole table by the few nodes
-// of the settings, that would grow with the square of the hosts, much of it over the
-// paid link.
+// A starting node joins by a few addresses, mostly of hosts in other domains. These
+// hosts introduce it to members of its own domain and region, from which it gets all
+// other records. If the few hosts that the settings name sent the whole table to each
+// of many starting nodes, the traffic would grow with the square of the number of
+// hosts, much of it over the billed link between regions.
 const (
-	// maxNewcomerMembers is how many members a newcomer may know already.
+	// maxNewcomerMembers is the maximum number of members that a node may know to count
+	// as a newcomer.
 	maxNewcomerMembers = 8
-	// introductionPeriod is how long a link to a newcomer stays restricted. One that has found
-	// nobody by then gets what any other peer does.
+	// introductionPeriod is how long a link to a newcomer is used for the introduction
+	// only. After that it carries the same frames as any other link, in case the
+	// newcomer has found no other member.
 	introductionPeriod = 5 * time.Second
 )
 
-// shouldIntroduce tells whether a link that has just come up need only lead its peer to
-// others of its region: it knows hardly anybody, and this node knows some of them.
-func (c *Core) shouldIntroduce(l *link, hi Hello) bool {
-	if l.outbound || l.domain == c.self.Domain || hi.Members == 0 || hi.Members > maxNewcomerMembers {
+// shouldIntroduce reports whether a link that has just opened is to be used for an
+// introduction only: the peer knows hardly any members, and this node knows other
+// members of the peer's region.
+func (c *Core) shouldIntroduce(l *link, hello Hello) bool {
+	if l.outbound || l.domain == c.self.Domain || hello.Members == 0 || hello.Members > maxNewcomerMembers {
 		return false
 	}
 	for _, name := range c.table.names() {
@@ -33,10 +36,11 @@
 	return false
 }
 
-// introductionOnly tells whether a link still only leads a newcomer to its own domain.
+// introductionOnly reports whether a link is still used for an introduction only.
 func (c *Core) introductionOnly(l *link) bool { return c.now.Before(l.introductionUntil) }
 
-// introduce sends a newcomer the members of its domain and the bridges of its region.
+// introduce sends a newcomer the records of its domain's members and of the bridges of
+// its region's other domains.
 func (c *Core) introduce(l *link) {
 	for _, name := range c.table.names() {
 		hosts := c.hostsOf(name)
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -22,43 +22,44 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// The remote procedures of a node. Link is a stream of frames in both
-// directions that lasts; Status asks once; Claims hands claims to the first node
-// of the domain.
+// The remote procedures of a node. Link is a long-lived bidirectional stream of frames.
+// Status returns the status of the mesh. Claims forwards claims to the root of the
+// domain.
 const (
 	rpcLink   = "/peer/Link"
 	rpcStatus = "/peer/Status"
 	rpcClaims = "/peer/Claims"
 )
 
-// Bounds of the shell.
+// Limits of a Transport.
 const (
-	// inboxSize and outboxSize bound what waits for the Core and for a link.
-	// A peer that doesn't read fills its outbox and loses the link.
+	// inboxSize is the capacity of the queue of messages to the Core, outboxSize that
+	// of each link's queue of frames. If a peer doesn't read, its outbox fills up and
+	// the link is closed.
 	inboxSize  = 1024
 	outboxSize = 512
-	// helloTimeout bounds the time until a peer has said hello.
+	// helloTimeout is the time limit for a connection's handshake and its Hello.
 	helloTimeout = 3 * time.Second
-	// maxInbound bounds the connections that peers may hold open.
+	// maxInbound is the maximum number of open inbound connections.
 	maxInbound = 2 * maxLinks
-	// storeTimeout bounds one question to the platform.
+	// storeTimeout is the time limit for one request to the platform.
 	storeTimeout = 4 * time.Second
-	// sendTimeout bounds the writing of one frame.
+	// sendTimeout is the time limit for writing one frame.
 	sendTimeout = linkSilenceTimeout
 )
 
-// Hooks are what the rest of the node does with a Core's decisions. They are
-// called one after the other and must return soon.
+// Hooks are the callbacks that carry a Core's decisions to the rest of the node. They
+// are called one at a time and must return quickly.
 type Hooks struct {
 	ServeVersion   func(ServeVersion)
 	PublishMembers func(PublishMembers)
 	HeldRequest    func(HeldRequest)
-	// Watch may be nil where the Core reads the head itself.
+	// Watch may be nil if the Core reads the head itself.
 	Watch func(Watch)
 }
 
-// Links is the shell around a Core: it owns the goroutines and sockets. Make
-// one with New.
+// Transport runs a Core: it owns the goroutines, the connections to peers and the
+// requests to the platform. Use NewTransport to make one.
 type Transport struct {
 	core      *Core
 	store     platform.Store
@@ -84,16 +85,17 @@
 	dialTCP      func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Keys give the TLS settings of the moment; nil functions mean plain TCP.
+// Credentials provide the current TLS settings; if the functions are nil, connections
+// are plain TCP.
 type Credentials struct {
 	Server func() *tls.Config
 	Client func() *tls.Config
-	// Peer returns the name in the certificate of the other side, or an
-	// error if it may not be a peer.
+	// VerifyPeer returns the host name in the other side's certificate, or an error if
+	// the certificate does not authorize a peer.
 	VerifyPeer func(tls.ConnectionState) (string, error)
 }
 
-// Deps are what Links needs from outside.
+// Deps holds the dependencies of a Transport.
 type Deps struct {
 	Store       platform.Store
 	Log         *event.Log
@@ -101,15 +103,15 @@
 	Credentials Credentials
 	Metrics     *metrics.Set
 	Listener    net.Listener
-	// Seed starts the random numbers of the Core.
+	// Seed seeds the Core's random number generator.
 	Seed uint64
-	// Dial opens connections; nil for the usual way.
+	// Dial opens connections; if nil, a net.Dialer is used.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Claims commits the claims of other nodes of the domain.
+	// CommitClaims commits claims that other nodes of the domain have forwarded.
 	CommitClaims func(ctx context.Context, orders []byte) ([]byte, error)
 }
 
-// NewTransport starts a Core with its shell. Close stops it.
+// NewTransport starts a Core and its Transport. Close stops both.
 func NewTransport(cfg Config, d Deps) *Transport {
 	if d.Metrics == nil {
 		d.Metrics = metrics.NewSet()
@@ -141,14 +143,14 @@
 	return t
 }
 
-// Close ends all links and waits for the goroutines. Say Leave first.
+// Close closes all links and waits for the goroutines. Post Leave beforehand.
 func (t *Transport) Close() {
 	t.cancel()
 	t.wg.Wait()
 	t.claimsConn.close()
 }
 
-// Tell gives the Core a message. It returns false when Links is closed.
+// Post enqueues a message for the Core. It returns false if the Transport is closed.
 func (t *Transport) Post(m Msg) bool {
 	select {
 	case t.inbox <- m:
@@ -158,7 +160,8 @@
 	}
 }
 
-// Ask runs f with the Core, between two steps.
+// WithCore calls f with the Core, between two steps. It returns false if the Transport
+// is closed.
 func (t *Transport) WithCore(f func(*Core)) bool {
 	done := make(chan struct{})
 	select {
@@ -170,7 +173,7 @@
 	}
 }
 
-// run is the only goroutine that touches the Core.
+// run is the only goroutine that accesses the Core.
 func (t *Transport) run() {
 	tick := time.NewTicker(TickInterval)
 	defer tick.Stop()
@@ -249,7 +252,7 @@
 	t.Post(ObjectRead{Hash: hash, Content: b, Err: err})
 }
 
-// contactsPrefix begins the key of each domain's row of contacts.
+// contactsPrefix is the prefix of the key of each domain's row of contacts.
 const contactsPrefix = "contacts/"
 
 func (t *Transport) readContacts() {
@@ -257,24 +260,24 @@
 	defer cancel()
 	rows, err := t.store.List(ctx, platform.Scan{Prefix: contactsPrefix, Limit: maxDomains})
 	if err != nil {
-		return // asked again later
+		return // the Core repeats the request later
 	}
 	var m ContactsRead
 	for _, row := range rows {
-		var some []string
-		if json.Unmarshal(row.Value, &some) != nil {
+		var addrs []string
+		if json.Unmarshal(row.Value, &addrs) != nil {
 			continue
 		}
-		m.Addrs = append(m.Addrs, some...)
+		m.Addrs = append(m.Addrs, addrs...)
 		if row.Key == contactsPrefix+t.domain {
-			m.OwnDomain = len(some)
+			m.OwnDomain = len(addrs)
 		}
 	}
 	t.Post(m)
 }
 
-// writeContacts leaves the addresses without a condition: whichever root of a
-// domain writes last, they are addresses of its members.
+// writeContacts writes the row unconditionally: if several roots of a domain write it,
+// any of them writes addresses of members.
 func (t *Transport) writeContacts(addrs []string) {
 	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
@@ -286,8 +289,8 @@
 	_ = t.store.Transact(ctx, platform.Transaction{Writes: []platform.Write{{Key: key, Value: b}}})
 }
 
-// send puts a frame in a link's outbox. A full one means that the peer has
-// stopped reading: the link is given up, so that memory stays bounded.
+// send enqueues a frame in a link's outbox. If the outbox is full, the peer has stopped
+// reading, and the link is closed so that memory stays bounded.
 func (t *Transport) send(id LinkID, f Frame) {
 	t.mu.Lock()
 	st := t.streams[id]
@@ -315,15 +318,15 @@
 	}
 }
 
-// Content returns a version's bytes if this node holds them.
+// Content returns the content of a version if this node holds it.
 func (t *Transport) Content(hash snapshot.Hash) ([]byte, bool) {
 	var b []byte
 	t.WithCore(func(core *Core) { b = core.version.content[hash] })
 	return b, b != nil
 }
 
-// Status answers for the whole mesh: from this node's Core if it is the root
-// of its domain, or else by asking the root.
+// Status returns the status of the whole mesh: from this node's Core if it is the root
+// of its domain, otherwise from the root.
 func (t *Transport) Status(ctx context.Context) Status {
 	var st Status
 	var root string
@@ -331,12 +334,12 @@
 	if root == "" {
 		return st
 	}
-	whole, err := t.requestStatus(ctx, root)
+	remote, err := t.requestStatus(ctx, root)
 	if err != nil {
 		return st
 	}
-	whole.Version, whole.Hash = st.Version, st.Hash
-	return whole
+	remote.Version, remote.Hash = st.Version, st.Hash
+	return remote
 }
 
 func (t *Transport) requestStatus(ctx context.Context, addr string) (Status, error) {
@@ -369,7 +372,7 @@
 	case rpcClaims:
 		return t.serveClaims(rpc)
 	default:
-		return errors.Errorf("peer: no procedure %q", name)
+		return errors.Errorf("peer: unknown procedure %q", name)
 	}
 }
 
@@ -387,7 +390,7 @@
 	return rpc.MsgSend(&rawMessage{b}, rawEncoding{})
 }
 
-// accept takes connections from peers, a bounded number at a time.
+// accept accepts connections from peers, at most maxInbound at a time.
 func (t *Transport) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -395,7 +398,7 @@
 			if t.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(minDialBackoff) // out of descriptors, say: don't spin
+			time.Sleep(minDialBackoff) // for example out of file descriptors; avoids a busy loop
 			continue
 		}
 		if t.inbound.Add(1) > maxInbound {
--- a/briarrockd/peer/member.go
+++ b/briarrockd/peer/member.go
@@ -8,22 +8,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what the members of a domain hold of one of them.
+// State is the state of a member.
 type State uint8
 
-// The states of a member, in the order of their weight: between two records
-// of the same incarnation and sequence the heavier one wins.
+// The states of a member, in ascending precedence: of two records with the same
+// incarnation and sequence number the one with the higher state wins.
 const (
 	Alive State = iota
 	Suspect
 	Dead
-	// Leaving is final for its incarnation: it outranks every other state,
-	// whatever the sequence, so that a late "alive" can't bring work back to a
-	// node that is going.
+	// Leaving is final for its incarnation. It takes precedence over every other state,
+	// whatever the sequence number, so that a delayed Alive record can't route work to
+	// a node that is shutting down.
 	Leaving
 )
 
-// String returns the state's word in status output.
+// String returns the name of the state in status output.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -37,42 +37,42 @@
 	}
 }
 
-// Bounds of a member's record.
+// Limits of a member's record.
 const (
 	maxTargets  = 16
 	maxNameSize = 128
-	// MaxMembers bounds the table, tombstones included.
+	// MaxMembers is the maximum number of records in the table, tombstones included.
 	MaxMembers = 8192
 )
 
-// Target is one target that a node answers for.
+// Target describes one target that a node serves.
 type Target struct {
 	Service  string `cbor:"1,keyasint"`
 	Slots    int    `cbor:"2,keyasint"`
 	Draining bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// Member is a node's record: who it is, where it is and what it offers.
+// Member is the record of a node: its identity, location and targets.
 type Member struct {
 	Host   string `cbor:"1,keyasint"`
 	Domain string `cbor:"2,keyasint"`
 	Region string `cbor:"3,keyasint"`
-	// Peer and Call are the addresses for peers and for calls.
+	// PeerAddr and CallAddr are the addresses for gossip and for calls.
 	PeerAddr string `cbor:"4,keyasint"`
 	CallAddr string `cbor:"5,keyasint"`
-	// Incarnation grows with each start of the node's process, Seq with each
-	// change of its record within one incarnation.
+	// Incarnation increases with each start of the node's process, Seq with each change
+	// of its record within one incarnation.
 	Incarnation uint64   `cbor:"6,keyasint"`
 	Seq         uint64   `cbor:"7,keyasint,omitempty"`
 	State       State    `cbor:"8,keyasint,omitempty"`
 	Targets     []Target `cbor:"9,keyasint,omitempty"`
 }
 
-// live tells whether the member takes part: it may be suspected, but it was
-// neither declared dead nor has it said that it leaves.
+// live reports whether the member takes part in the mesh. A suspected member is live;
+// one that is dead or leaving is not.
 func (m *Member) live() bool { return m.State == Alive || m.State == Suspect }
 
-// valid bounds what a peer may put into the table.
+// valid checks the limits of a record received from a peer.
 func (m *Member) valid() bool {
 	for _, s := range []string{m.Host, m.Domain, m.Region, m.PeerAddr, m.CallAddr} {
 		if s == "" || len(s) > maxNameSize {
@@ -90,7 +90,7 @@
 	return true
 }
 
-// rank is what decides between two records of one host.
+// rank decides which of two records of one host is newer.
 type rank struct {
 	incarnation uint64
 	seq         uint64
@@ -99,7 +99,7 @@
 
 func (m *Member) rank() rank { return rank{m.Incarnation, m.Seq, m.State} }
 
-// supersedes tells whether a record with rank r replaces one with rank o.
+// supersedes reports whether a record of rank r replaces one of rank o.
 func (r rank) supersedes(o rank) bool {
 	if r.incarnation != o.incarnation {
 		return r.incarnation > o.incarnation
@@ -113,9 +113,9 @@
 	return r.state > o.state
 }
 
-// digest is the record's share of its domain's digest. Members that are gone
-// have none: tombstones are forgotten at different times in different places
-// and must not make digests differ.
+// digest returns the record's contribution to the digest of its domain. It is 0 for
+// members that are not live: nodes delete tombstones at different times, which must not
+// make digests differ.
 func (m *Member) digest() uint64 {
 	if !m.live() {
 		return 0
@@ -129,11 +129,11 @@
 	return d.Sum64()
 }
 
-// record is a member as one node holds it.
+// record is a member's record as stored in the table.
 type record struct {
 	Member
-	since time.Time // when this node learned the present state
-	score uint64    // place in the order of the domain
+	since time.Time // when this node recorded the current state
+	score uint64    // position in the order of the domain
 }
 
 // domain is the part of the table for one failure domain.
@@ -142,12 +142,12 @@
 	region       string
 	digest       uint64
 	count        int
-	order        []*record // live members by score; nil when it must be made anew
+	order        []*record // live members by score; nil if it must be rebuilt
 	lastReceived time.Time
 }
 
-// table is every member that a node knows of, by host and by domain. Its
-// digests make comparing two tables cost some tens of bytes.
+// table holds the records of all known members, by host and by domain. Two tables can
+// be compared by exchanging digests, which takes some tens of bytes.
 type table struct {
 	byHost    map[string]*record
 	domains   map[string]*domain
@@ -162,11 +162,11 @@
 	}
 }
 
-// score places a host in the order of its domain. It depends on nothing but
-// the name, so that all nodes find the same order without agreeing on it.
+// score returns the sort key of a host in the order of its domain. It depends only on
+// the host name, so that all nodes compute the same order without coordination.
 func score(host string) uint64 { return xxhash.Sum64String(host) }
 
-// put takes a record if it outranks the one held. It tells whether it did.
+// put stores a record if it supersedes the stored one, and reports whether it did.
 func (t *table) put(now time.Time, m Member) bool {
 	old := t.byHost[m.Host]
 	if old != nil && !m.rank().supersedes(old.rank()) {
@@ -200,7 +200,7 @@
 	t.rootValid = false
 }
 
-// forget drops a record that has served its time as a tombstone.
+// forget deletes the record of a host.
 func (t *table) forget(host string) {
 	if r := t.byHost[host]; r != nil {
 		t.removeFromDomain(r)
@@ -217,7 +217,7 @@
 	return d
 }
 
-// members returns the live members of a domain in their order.
+// members returns the live members of a domain in the order of the domain.
 func (t *table) members(name string) []*record {
 	d := t.domains[name]
 	if d == nil {
@@ -240,7 +240,7 @@
 	return d.order
 }
 
-// names returns the domains that have live members, sorted.
+// names returns the names of all domains with live members, sorted.
 func (t *table) names() []string {
 	names := make([]string, 0, len(t.domains))
 	for name, d := range t.domains {
@@ -252,7 +252,7 @@
 	return names
 }
 
-// rootDigest is one number for the whole table.
+// rootDigest returns the digest of the whole table.
 func (t *table) rootDigest() uint64 {
 	if t.rootValid {
 		return t.root
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -7,102 +7,103 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// LinkID names a link within one node; it is never used twice.
+// LinkID identifies a link within one node. IDs are not reused.
 type LinkID uint64
 
-// Msg is something that happened to this node.
+// Msg is an event that a Core processes.
 type Msg interface{ msg() }
 
-// Tick says that time has passed. It comes every TickInterval.
+// Tick is sent every TickInterval so that time-based work is done.
 type Tick struct{}
 
-// LinkUp says that a link is open and its peer has said hello.
+// LinkUp reports that a link is open and that the peer's Hello has arrived.
 type LinkUp struct {
 	Link  LinkID
 	Hello Hello
-	// Addr is the address that was dialed; empty for a link that the peer
-	// opened.
+	// Addr is the address that was dialed; empty for an inbound link.
 	Addr string
 }
 
-// LinkDown says that a link is gone.
+// LinkDown reports that a link has closed.
 type LinkDown struct{ Link LinkID }
 
-// DialFailed says that an address could not be linked to.
+// DialFailed reports that no link to an address could be opened.
 type DialFailed struct {
 	Addr string
-	// Refused is set when something answered that nobody listens there.
+	// Refused is set if the connection was refused, which means that no process listens
+	// there.
 	Refused bool
 }
 
-// Received is a frame that came over a link.
+// Received delivers a frame that arrived on a link.
 type Received struct {
 	Link  LinkID
 	Frame Frame
 }
 
-// TargetsChanged says what this node's own targets are now.
+// TargetsChanged has the targets that this node currently serves.
 type TargetsChanged struct{ Targets []Target }
 
-// HeadRead is the answer to ReadHead. Err is set when the platform did not
-// answer; a Version of 0 without Err says that there is no version yet.
+// HeadRead is the result of ReadHead. Err is set if the platform did not answer.
+// Version is 0 and Err nil if there is no version yet.
 type HeadRead struct {
 	Version uint64
 	Hash    snapshot.Hash
 	Err     error
 }
 
-// ObjectRead is the answer to ReadObject.
+// ObjectRead is the result of ReadObject.
 type ObjectRead struct {
 	Hash    snapshot.Hash
 	Content []byte
 	Err     error
 }
 
-// ContactsRead is the answer to ReadContacts.
+// ContactsRead is the result of ReadContacts.
 type ContactsRead struct {
 	Addrs []string
-	// OwnDomain is how many of them this node's own domain has left; 0 if it has left
-	// none yet.
+	// OwnDomain is how many of the addresses were published by this node's own domain;
+	// 0 if it has published none.
 	OwnDomain int
 }
 
-// PollFailed says that this node's own poll of the platform had no answer.
+// PollFailed reports that a poll of the platform by this node failed.
 type PollFailed struct{}
 
-// Committed says that a version is in the head: this node has put it there, or
-// its watch has seen it.
+// Committed reports that the head names a version: either this node has committed it or
+// a poll has found it.
 type Committed struct {
 	Version uint64
 	Hash    snapshot.Hash
 	Content []byte
-	// Seen and At are those of the poll that found it, as in Polled; 0 if this
-	// node has put it there.
+	// Cursor and At are those of the poll that found the version, as in Polled; 0 if
+	// this node committed it.
 	Cursor uint64
 	At     time.Time
 }
 
-// Polled says that this node's watch has found nothing newer than it has told.
+// Polled reports that a poll by this node found nothing newer than what it has already
+// reported.
 type Polled struct {
-	// Seen is the position in the platform's record of changes up to which
-	// there was nothing else.
+	// Cursor is the position in the platform's change feed up to which the poll has
+	// read.
 	Cursor uint64
-	// At is the time for which that holds.
+	// At is the time for which the result holds.
 	At time.Time
-	// Delay is the way to the platform and back; 0 where it could not be told from
-	// the wait for a change.
+	// RTT is the round-trip time to the platform; 0 if it could not be separated from
+	// the time spent waiting for a change.
 	RTT time.Duration
 }
 
-// Crashed says that a request was in flight when a target of this node
-// crashed, or, with Clear, that a suspected one has run to its end.
+// Crashed reports that a request was in flight when a target of this node crashed. With
+// Clear it reports that a suspected request has completed.
 type Crashed struct {
 	Print   uint64
 	Service string
 	Clear   bool
 }
 
-// Leave says that this node is going: it must tell its peers.
+// Leave reports that this node is shutting down, so that the Core notifies its peers.
 type Leave struct{}
 
 func (Tick) msg()           {}
@@ -120,74 +121,78 @@
 func (Crashed) msg()        {}
 func (Leave) msg()          {}
 
-// Cmd is something for the shell to do.
+// Cmd is a command that the Transport executes.
 type Cmd interface{ cmd() }
 
-// Dial asks for a link to Addr; the answer is LinkUp or DialFailed.
+// Dial opens a link to Addr. The result is LinkUp or DialFailed.
 type Dial struct {
 	Addr string
-	// Hello is what to open the link with.
+	// Hello is the first frame to send.
 	Hello Hello
 }
 
-// SendHello sends this node's hello on a link that its peer opened.
+// SendHello sends this node's Hello on an inbound link.
 type SendHello struct {
 	Link  LinkID
 	Hello Hello
 }
 
-// CloseLink asks to close a link. LinkDown follows.
+// CloseLink closes a link. LinkDown follows.
 type CloseLink struct{ Link LinkID }
 
-// Send puts a frame on a link.
+// Send sends a frame on a link.
 type Send struct {
 	Link  LinkID
 	Frame Frame
 }
 
-// ReadHead asks for the head row; the answer is HeadRead.
+// ReadHead reads the head row. The result is HeadRead.
 type ReadHead struct{}
 
-// Watch says whether this node is to poll the platform from now on, and how.
+// Watch sets whether, and how, this node polls the platform from now on.
 type Watch struct {
 	On bool
-	// Seen is the position in the platform's record of changes up to which this
-	// node holds everything; 0 if it doesn't know.
+	// Cursor is the position in the platform's change feed up to which this node has
+	// all changes; 0 if unknown.
 	Cursor uint64
-	// Wait is how long one poll waits for a change; 0 for an answer at once.
+	// Wait is how long one poll waits for a change; 0 for an immediate answer.
 	Wait time.Duration
-	// Spare is set where this node polls only since nobody else seems to.
+	// Fallback is set if this node polls only because it has received no recent notice
+	// of a poll by another node.
 	Fallback bool
 }
 
-// ReadObject asks the platform for a snapshot; the answer is ObjectRead.
+// ReadObject reads a snapshot from the platform. The result is ObjectRead.
 type ReadObject struct{ Hash snapshot.Hash }
 
-// ReadContacts asks for the addresses that domains have left in the table; the
-// answer is ContactsRead.
+// ReadContacts reads the contact addresses that all domains have published in the
+// platform's table. The result is ContactsRead.
 type ReadContacts struct{}
 
-// WriteContacts asks to leave some addresses of this domain in the table.
+// WriteContacts publishes contact addresses of this domain in the platform's table.
 type WriteContacts struct{ Addrs []string }
 
-// Use says that a version is whole and verified: serve it from now on.
+// ServeVersion tells the node to serve a verified version from now on.
 type ServeVersion struct {
 	Version  uint64
 	Hash     snapshot.Hash
 	Snapshot *snapshot.Snapshot
 }
 
-// Publish says that the members changed. The slice is never changed again.
+// PublishMembers publishes the live members after a change. The slice is not modified
+// afterwards.
 type PublishMembers struct{ Members []Member }
 
-// Held says what to hold back: requests with this print crash targets.
+// HeldRequest is a request that was in flight when targets crashed, identified by its
+// fingerprint. Requests with this fingerprint are held back once Crashes has reached
+// HoldThreshold.
 type HeldRequest struct {
 	Print   uint64
 	Service string
 	Crashes int
 }
 
-// Log asks to write one event.
+// Log writes one event to the log.
 type Log struct {
 	Event  event.Event
 	Fields event.Fields
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -1,49 +1,49 @@
-// Package peer is a node's share in the mesh: which members there are, which
-// version of the configuration is the newest, and how both reach every node.
+// Package peer implements a node's membership of the mesh: a gossip protocol that
+// replicates the member table and distributes versions of the configuration.
 //
-// The package is built like a state machine. A Core holds everything that a
-// node knows. Step takes one message, something that happened, and returns
-// commands, things to do:
+// A [Core] is a deterministic state machine. Step takes one event as a message and
+// returns the commands that follow from it:
 //
 //	c := peer.New(peer.Config{Self: me}, rand.New(rand.NewPCG(1, 2)), now)
 //	for _, cmd := range c.Step(now, peer.LinkUp{Link: 1, Hello: hello}) {
-//		// carry out cmd: dial, send, read the store, serve a version …
+//		// execute cmd: dial, send, read the store, serve a version …
 //	}
 //
-// A Core does no I/O, starts no goroutine and reads no clock, so a test can
-// drive hundreds of them through any order of events. The shell in links.go
-// does the I/O of one Core.
+// A Core does no I/O, starts no goroutine and reads no clock, so a test can drive
+// hundreds of Cores through any order of events. [Transport] does the I/O of one Core.
 //
 // # Links
 //
-// Nodes keep few, lasting links. Within a failure domain the live members
-// have an order that all of them compute alike (by a hash of the host's
-// name). The order is read as a tree of degree four, and as a chain: each
-// node dials its parent in the tree and its predecessor in the chain. The
-// first two of the order, the bridges, also link to the bridges of other
-// domains; between regions only the first two bridges of a region do, and the
-// second of these links stays quiet unless the first one fails to deliver.
+// Nodes keep a small number of long-lived connections, called links. The live members
+// of a failure domain are ordered by a hash of the host name, so all of them compute
+// the same order. This order defines a tree of degree four and a chain: each node dials
+// its parent in the tree and its predecessor in the chain. The first member in the
+// order is the root of the domain. The first two members, the bridges, also link to the
+// bridges of the other domains in their region. Between regions only two members of
+// each region, its gateways, keep links. Those of the second gateway are lazy: they
+// carry a version only if the first gateway's link has failed to deliver it.
 //
 // # Members
 //
-// A record belongs to one incarnation of one node. News of records floods
-// along the links; heartbeats carry a digest of the whole table, and where
-// two digests differ the two sides compare domain by domain and send each
-// other what is missing. A member whose neighbours lose it is suspected, may
-// object, and is declared dead if it doesn't.
+// A record describes one incarnation of one node. Changed records are flooded over the
+// links. Heartbeats carry a digest of the member table; if the digests of two nodes
+// differ, the nodes compare their tables domain by domain and exchange the missing
+// records (anti-entropy). A member that loses the links to its neighbours is suspected.
+// It refutes the suspicion with a higher sequence number, or is declared dead after a
+// timeout.
 //
 // # Versions
 //
-// A node that learns of a newer version, from a peer's notice or from the
-// head, fetches it from whoever told it, as a difference to the version that
-// it has. It is checked whole (hash, inventory) before it is used, then
-// announced on all other links. A version that is not above the one in use is
-// never used.
+// A node learns of a newer version from a peer or from the head, the row in the
+// platform's store that names the newest accepted version. It fetches the version from
+// a peer that has it, as a delta against its own, verifies hash and inventory, puts it
+// into use and announces it on its other links. A version that is not higher than the
+// one in use is never used.
 //
-// # What is in force
+// # Status
 //
-// Each node reports up the tree how many nodes below it use which version.
-// The first of the order has the whole domain's count and tells the other
+// Each node reports to its parent in the tree how many nodes of its subtree use which
+// version. The root has the counts of the whole domain and sends them to the other
 // domains.
 package peer
 
@@ -55,52 +55,56 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// TickInterval is how often a Core wants a Tick.
+// TickInterval is the interval at which a Core expects a Tick.
 const TickInterval = 100 * time.Millisecond
 
-// The times by which a Core decides.
+// Timeouts and intervals of the gossip protocol.
 const (
-	// heartbeatInterval is the time between heartbeats on a link.
+	// heartbeatInterval is the interval between heartbeats on a link.
 	heartbeatInterval = 2 * time.Second
-	// linkSilenceTimeout is how long a link may be silent before it is closed: two
-	// heartbeats lost and some delay.
+	// linkSilenceTimeout is how long a link may be silent before it is closed: it
+	// allows for two lost heartbeats and some delay.
 	linkSilenceTimeout = 5 * time.Second
-	// reverseDialDelay is how long a neighbour that should dial may be missing
-	// before this node dials it.
+	// reverseDialDelay is how long a node waits for a neighbour that has to dial it
+	// before it dials the neighbour itself.
 	reverseDialDelay = time.Second
-	// suspectDelay is how long a neighbour may be without a link.
+	// suspectDelay is how long a neighbour may be without a link before it is
+	// suspected.
 	suspectDelay = 3 * time.Second
-	// suspicionTimeout is how long a suspect has for its objection.
+	// suspicionTimeout is how long a suspected member has to refute the suspicion
+	// before it is declared dead.
 	suspicionTimeout = 4 * time.Second
-	// tombstoneTTL is how long a tombstone is kept.
+	// tombstoneTTL is how long the record of a member that is dead or has left is kept.
 	tombstoneTTL = 10 * time.Minute
-	// domainStaleAfter is how long a domain may be unheard of before it is stale.
+	// domainStaleAfter is how long no frame may arrive from a domain before the domain
+	// counts as stale.
 	domainStaleAfter = 8 * time.Second
 )
 
-// Config is what a Core must be told.
+// Config holds the settings of a Core.
 type Config struct {
-	// Self is the node's own record, with its first incarnation.
+	// Self is the node's own record, with its initial incarnation.
 	Self Member
-	// Contacts are addresses of some peers, to find the others by.
+	// Contacts are addresses of some peers, used to join the mesh.
 	Contacts []string
-	// StoreRegion is the region of the platform's store, if known: its nodes
-	// do the regular reads, which then cost nothing on the paid link.
+	// StoreRegion is the region of the platform's store, if known. Nodes of this region
+	// do the regular reads of the head, so that these don't use the billed link between
+	// regions.
 	StoreRegion string
-	// Hosts is about how many nodes the mesh has. A node that starts together
-	// with all the others can't know it otherwise.
+	// ExpectedHosts is the approximate number of nodes in the mesh. A node that starts
+	// at the same time as all the others can't determine it.
 	ExpectedHosts int
-	// Bootstrap is set when the whole mesh starts for the first time: nobody is
-	// there yet to be found.
+	// Bootstrap is set if the whole mesh starts for the first time, so that there is no
+	// running peer to join.
 	Bootstrap bool
-	// DelegatePolling is set where the platform's adapter does the reading: the Core
-	// says who is to poll (Watch) and is told what was found (Committed,
-	// Polled). It then reads nothing itself.
+	// DelegatePolling is set if the platform adapter polls for changes. The Core then
+	// decides whether this node polls (Watch), receives the results (Committed, Polled)
+	// and does not read the head or the object store itself.
 	DelegatePolling bool
 }
 
-// Core is everything that a node knows and decides about its peers. Its zero
-// value is not useful; New makes one.
+// Core holds the state of one node's gossip protocol and makes its decisions. Use New
+// to make one; the zero value is not usable.
 type Core struct {
 	cfg  Config
 	rng  *rand.Rand
@@ -110,15 +114,15 @@
 	self  Member
 	table *table
 	links map[LinkID]*link
-	// linkByHost is the one link that is used for each linked host.
+	// linkByHost has the link in use for each linked host.
 	linkByHost map[string]*link
 	dials      map[string]*dialState
 
-	missingSince   map[string]time.Time // neighbours without a link, since when
+	missingSince   map[string]time.Time // since when a neighbour has had no link
 	pendingUpdates map[string]bool      // hosts whose records are still to be sent
-	updateSource   map[string]LinkID    // and the link that each came over
-	membersChanged bool                 // members changed since the last Publish
-	nextRejoin     time.Time            // next attempt at a contact or a tombstone
+	updateSource   map[string]LinkID    // the link over which each pending record arrived
+	membersChanged bool                 // members changed since the last PublishMembers
+	nextRejoin     time.Time            // next attempt to link a contact or a dead member
 	nextSweep      time.Time
 
 	version  versions
@@ -137,24 +141,28 @@
 	outbound      bool
 	lazy          bool
 	lastReceived  time.Time
-	nextHeartbeat time.Time // next heartbeat to send
+	nextHeartbeat time.Time // when the next heartbeat is due
 	openedAt      time.Time
-	// digestMismatches counts the heartbeats in a row whose digest was not ours.
+	// digestMismatches counts consecutive heartbeats whose digest differed from the
+	// local one.
 	digestMismatches int
-	// version is the highest version that the peer is known to hold, told the
-	// one that it was last told of.
+	// version is the highest version that the peer is known to hold; announced is the
+	// version last announced to the peer, at announcedAt.
 	version     uint64
 	announced   uint64
 	announcedAt time.Time
-	// lazyNoticeAt is when a lazy link is to be told of a version, if still needed.
+	// lazyNoticeAt is when a lazy link is sent a notice of the version in use, unless
+	// the peer has the version by then; zero if none is due.
 	lazyNoticeAt time.Time
-	// introductionUntil is until when the link only leads a newcomer to its own domain.
+	// introductionUntil is the time until which the link is used only to introduce a
+	// starting node to its own domain.
 	introductionUntil time.Time
-	// unwantedSince is since when the topology has had no use for the link.
+	// unwantedSince is when the link ceased to be one that this node should have; zero
+	// if it should have it.
 	unwantedSince time.Time
 }
 
-// dialState is what is known of an address that links were sought to.
+// dialState is the state of the dial attempts to one address.
 type dialState struct {
 	host       string
 	inProgress bool
@@ -162,8 +170,8 @@
 	nextAt     time.Time
 }
 
-// New returns a Core that knows only itself and its contacts. rng decides
-// all that is spread at random.
+// New returns a Core whose member table holds only its own record. All random choices
+// use rng.
 func New(cfg Config, rng *rand.Rand, now time.Time) *Core {
 	c := &Core{
 		cfg:            cfg,
@@ -187,8 +195,8 @@
 	return c
 }
 
-// Step takes what happened at now and returns what to do. Times must not go
-// back from one call to the next.
+// Step processes one message at time now and returns the resulting commands. now must
+// not decrease between calls.
 func (c *Core) Step(now time.Time, m Msg) []Cmd {
 	c.now = now
 	c.cmds = nil
@@ -231,7 +239,7 @@
 
 func (c *Core) send(l *link, f Frame) { c.emit(Send{l.id, f}) }
 
-// jitter is a random time below d.
+// jitter returns a random duration from 0 to d.
 func (c *Core) jitter(d time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(d) + 1))
 }
@@ -253,7 +261,7 @@
 	}
 }
 
-// liveMembers copies the live members, this node included.
+// liveMembers returns copies of the records of all live members, this node included.
 func (c *Core) liveMembers() []Member {
 	out := make([]Member, 0, len(c.table.byHost))
 	for _, name := range c.table.names() {
@@ -301,14 +309,14 @@
 	case PollNotice:
 		c.onPollNotice(l, f)
 	default:
-		// A second Hello on an open link is of no use to an honest peer.
+		// A second Hello on an open link violates the protocol.
 		c.log(event.PeerGarbage, event.Fields{event.Subject: l.host})
 		c.emit(CloseLink{l.id})
 	}
 }
 
 func (c *Core) newHello(l *link) Hello {
-	hi := Hello{
+	hello := Hello{
 		Member:      c.self,
 		Version:     c.version.number,
 		Hash:        c.version.hash,
@@ -318,26 +326,26 @@
 		Members:     c.Members(),
 	}
 	if l != nil {
-		hi.Lazy = l.lazy
-		hi.Floor = c.version.peerVersions[l.host]
-		hi.DomainFloor = c.version.domainVersions[l.domain]
+		hello.Lazy = l.lazy
+		hello.Floor = c.version.peerVersions[l.host]
+		hello.DomainFloor = c.version.domainVersions[l.domain]
 		if r := c.table.byHost[l.host]; r != nil {
-			hi.KnownIncarnation = r.Incarnation
+			hello.KnownIncarnation = r.Incarnation
 		}
 	}
-	return hi
+	return hello
 }
 
 // Version returns the version in use and its hash; 0 before the first.
 func (c *Core) Version() (uint64, snapshot.Hash) { return c.version.number, c.version.hash }
 
-// Ready tells whether the node may serve: see versions.ready.
+// Ready reports whether the node may serve; see becomeReady.
 func (c *Core) Ready() bool { return c.version.ready }
 
-// Links returns how many links are open.
+// Links returns the number of open links.
 func (c *Core) Links() int { return len(c.links) }
 
-// Members returns how many live members are known, this node included.
+// Members returns the number of known live members, this node included.
 func (c *Core) Members() int {
 	n := 0
 	for _, d := range c.table.domains {
--- a/briarrockd/peer/topology.go
+++ b/briarrockd/peer/topology.go
@@ -8,42 +8,44 @@
 	"briarrock.example/mesh/event"
 )
 
-// The shape of the graph of links.
+// Limits of the link graph.
 const (
-	// treeDegree is the number of children of a node in its domain's tree.
+	// treeDegree is the number of children of a node in the tree of its domain.
 	treeDegree = 4
-	// bridgesPerDomain is the number of members of a domain that link to other domains.
+	// bridgesPerDomain is the number of members of a domain that link to other domains,
+	// and of gateways per region.
 	bridgesPerDomain = 2
-	// maxLinks bounds the links of a node, those that peers open included.
+	// maxLinks is the maximum number of links of a node, inbound ones included.
 	maxLinks = 512
 )
 
-// The times by which links are sought and given up.
+// Timeouts and intervals of dialing and closing links.
 const (
 	minDialBackoff = 100 * time.Millisecond
 	maxDialBackoff = 5 * time.Second
-	// unusedLinkTimeout is how long a link stays that the topology has no more use for.
+	// unusedLinkTimeout is how long a link is kept after it has ceased to be one that
+	// this node should have.
 	unusedLinkTimeout = 5 * time.Second
-	// rejoinInterval is the mean time between attempts at contacts that are not
-	// known as members, and at members that were declared dead. These are
-	// what heals a partition after which the two sides have forgotten each
-	// other.
+	// rejoinInterval is the mean interval between attempts to link contacts that are
+	// not known as members and members that were declared dead. These attempts heal a
+	// partition whose sides have deleted each other's records.
 	rejoinInterval = 10 * time.Second
-	// isolatedDials is how many contacts a node without links tries at each tick:
-	// some of them may be gone, and an attempt at these takes seconds.
+	// isolatedDials is how many addresses a node without links dials per tick: some of
+	// the hosts may be gone, and a dial to one of these takes seconds to fail.
 	isolatedDials = 3
-	// startJitter spreads out first attempts when many nodes start at once.
+	// startJitter spreads the first attempts of nodes that start at the same time.
 	startJitter = 300 * time.Millisecond
 )
 
-// desiredLink is a link that this node should have and has to dial.
+// desiredLink is a link that this node should have and has to dial itself.
 type desiredLink struct {
 	addr string
 	host string
 	lazy bool
 }
 
-// orderIndex is this node's place in the order of its domain, -1 if it has none.
+// orderIndex returns this node's position in the order of its domain, or -1 if it is
+// not in it.
 func (c *Core) orderIndex() int {
 	for i, r := range c.table.members(c.self.Domain) {
 		if r.Host == c.self.Host {
@@ -53,7 +55,7 @@
 	return -1
 }
 
-// parent is the member that this node reports to; nil at the root.
+// parent returns this node's parent in the tree of its domain; nil for the root.
 func (c *Core) parent() *record {
 	i := c.orderIndex()
 	if i <= 0 {
@@ -62,7 +64,7 @@
 	return c.table.members(c.self.Domain)[(i-1)/treeDegree]
 }
 
-// root is the first member of this node's domain.
+// root returns the first member in the order of this node's domain.
 func (c *Core) root() *record {
 	order := c.table.members(c.self.Domain)
 	if len(order) == 0 {
@@ -73,7 +75,7 @@
 
 func (c *Core) isRoot() bool { return c.orderIndex() == 0 }
 
-// desiredLinks lists the links that this node has to dial.
+// desiredLinks returns the links that this node has to dial.
 func (c *Core) desiredLinks() []desiredLink {
 	i := c.orderIndex()
 	if i < 0 {
@@ -93,8 +95,9 @@
 	return append(out, c.interRegionLinks()...)
 }
 
-// interDomainLinks links bridge i to bridge i of each domain of the region that
-// sorts after this one; those before it dial this one.
+// interDomainLinks returns the links from bridge i of this domain to bridge i of each
+// domain of the region whose name sorts after this one's. Domains that sort before it
+// dial this one.
 func (c *Core) interDomainLinks(i int) []desiredLink {
 	var out []desiredLink
 	for _, name := range c.table.names() {
@@ -108,9 +111,9 @@
 	return out
 }
 
-// interRegionLinks links the carriers of this region to those of each region that
-// sorts after it. The second carrier's links are lazy: they carry news only
-// when the first one's fail to.
+// interRegionLinks returns the links from the gateways of this region to those of each
+// region whose name sorts after this one's. The second gateway's links are lazy: they
+// carry a version only if the first gateway's link has not delivered it.
 func (c *Core) interRegionLinks() []desiredLink {
 	own := c.gateways(c.self.Region)
 	i := slices.IndexFunc(own, func(r *record) bool { return r.Host == c.self.Host })
@@ -122,19 +125,20 @@
 		if region <= c.self.Region {
 			continue
 		}
-		theirs := c.gateways(region)
-		if len(theirs) == 0 {
+		remote := c.gateways(region)
+		if len(remote) == 0 {
 			continue
 		}
-		r := theirs[min(i, len(theirs)-1)]
+		r := remote[min(i, len(remote)-1)]
 		out = append(out, desiredLink{addr: r.PeerAddr, host: r.Host, lazy: i > 0})
 	}
 	return out
 }
 
-// gateways are the up to two members that keep a region's links to other
-// regions: the first of its first two domains, or the first two of its only
-// one. A domain that has not been heard of gives none if another can.
+// gateways returns the members, at most two, that keep a region's links to other
+// regions: the first members of the region's first two domains, or the first two
+// members if it has only one domain. A stale domain provides a gateway only if the
+// others don't provide two.
 func (c *Core) gateways(region string) []*record {
 	var out []*record
 	for pass := range 2 {
@@ -159,9 +163,9 @@
 	return out
 }
 
-// isStale tells whether this node, as one that should hear of the domain, has
-// not done so for too long. Members that hold no link to a domain never learn
-// of it first hand, so for them no domain is stale.
+// isStale reports whether no frame has arrived from the domain for longer than
+// domainStaleAfter. A node that has never had a link to a domain can't judge this, so
+// for it the domain is never stale.
 func (c *Core) isStale(d *domain) bool {
 	if d.name == c.self.Domain || d.lastReceived.IsZero() {
 		return false
@@ -192,9 +196,10 @@
 	return out
 }
 
-// pickMember takes member i of a domain; while that can't be linked to, another one
-// at random. So a domain whose first members all died unheard, while it was
-// cut off, is still found again.
+// pickMember returns member i of a domain. If another domain's member i can't be
+// linked, it returns another member, a different one after each failed dial. This finds
+// a domain again whose first members have all died while it was cut off, when no record
+// of their deaths could arrive.
 func (c *Core) pickMember(name string, i int) *record {
 	order := c.table.members(name)
 	if len(order) == 0 {
@@ -208,7 +213,8 @@
 	return order[(i+d.failures)%len(order)]
 }
 
-// maintainLinks dials what is desired and closes what is not.
+// maintainLinks dials the links that this node should have and closes those that it
+// should not.
 func (c *Core) maintainLinks() {
 	if c.self.State == Leaving {
 		return
@@ -231,7 +237,8 @@
 	}
 }
 
-// closeUnwanted closes a link that this node opened and has no use for any more.
+// closeUnwanted closes an outbound link once it has been unwanted for
+// unusedLinkTimeout. The only link of a node is never closed.
 func (c *Core) closeUnwanted(l *link, wanted bool) {
 	if wanted || !l.outbound || len(c.links) == 1 {
 		l.unwantedSince = time.Time{}
@@ -246,15 +253,15 @@
 	}
 }
 
-// rejoin seeks links beyond the topology: contacts that are not known
-// as members, often while there is no link at all, and the dead of the own
-// domain, who may have declared us dead too.
+// rejoin dials addresses beyond the desired links: contacts that are not known as
+// members, or any contact while this node has no link, and dead members of its own
+// domain, which may have declared this node dead as well.
 func (c *Core) rejoin() {
-	alone := len(c.links) == 0
-	if !alone && c.now.Before(c.nextRejoin) {
+	isolated := len(c.links) == 0
+	if !isolated && c.now.Before(c.nextRejoin) {
 		return
 	}
-	if !alone {
+	if !isolated {
 		c.nextRejoin = c.now.Add(rejoinInterval/2 + c.jitter(rejoinInterval))
 	}
 	var addrs []string
@@ -268,12 +275,12 @@
 		}
 	}
 	for _, addr := range slices.Concat(c.cfg.Contacts, c.contacts.addrs) {
-		if addr != c.self.PeerAddr && (alone || !known[addr]) {
+		if addr != c.self.PeerAddr && (isolated || !known[addr]) {
 			addrs = append(addrs, addr)
 		}
 	}
 	n := 1
-	if alone {
+	if isolated {
 		n = isolatedDials
 	}
 	for range min(n, len(addrs)) {
@@ -281,8 +288,8 @@
 	}
 }
 
-// hosts returns the hosts of the table in a fixed order, so that a seed
-// replays to the same run.
+// hosts returns the hosts of the table in sorted order, so that a run can be replayed
+// from its seed.
 func (c *Core) hosts() []string {
 	out := make([]string, 0, len(c.table.byHost))
 	for host := range c.table.byHost {
@@ -324,8 +331,8 @@
 	d.failures++
 	wait := min(minDialBackoff<<min(d.failures, 10), maxDialBackoff)
 	d.nextAt = c.now.Add(wait/2 + c.jitter(wait/2))
-	// A host on which nobody listens has no process: waiting out the usual
-	// time would only send it calls that are bound to fail.
+	// If nobody listens at the address, the process is gone. Waiting for suspectDelay
+	// would only route calls to the host that are bound to fail.
 	r := c.table.byHost[d.host]
 	if m.Refused && d.failures >= 2 && r != nil && r.State == Alive && r.Domain == c.self.Domain {
 		c.suspect(r)
@@ -333,20 +340,20 @@
 }
 
 func (c *Core) onLinkUp(m LinkUp) {
-	hi := m.Hello
+	hello := m.Hello
 	if m.Addr != "" && c.addressReused(m) {
 		c.emit(CloseLink{m.Link})
 		return
 	}
-	if hi.Member.Host == c.self.Host || len(c.links) >= maxLinks {
+	if hello.Member.Host == c.self.Host || len(c.links) >= maxLinks {
 		c.emit(CloseLink{m.Link})
 		return
 	}
-	c.replaceLink(hi.Member.Host)
+	c.replaceLink(hello.Member.Host)
 	l := &link{
-		id: m.Link, host: hi.Member.Host, domain: hi.Member.Domain, region: hi.Member.Region,
-		outbound: m.Addr != "", lazy: m.Addr == "" && hi.Lazy, lastReceived: c.now, openedAt: c.now,
-		nextHeartbeat: c.now.Add(c.jitter(heartbeatInterval)), version: hi.Version,
+		id: m.Link, host: hello.Member.Host, domain: hello.Member.Domain, region: hello.Member.Region,
+		outbound: m.Addr != "", lazy: m.Addr == "" && hello.Lazy, lastReceived: c.now, openedAt: c.now,
+		nextHeartbeat: c.now.Add(c.jitter(heartbeatInterval)), version: hello.Version,
 	}
 	c.links[l.id] = l
 	c.linkByHost[l.host] = l
@@ -356,45 +363,45 @@
 	if !l.outbound {
 		c.emit(SendHello{l.id, c.newHello(l)})
 	}
-	c.onHello(l, hi)
+	c.onHello(l, hello)
 }
 
-// addressReused notes who has answered at an address. It tells whether that is
-// another host than the one that was sought, with which there is a link already.
+// addressReused records which host answered at a dialed address. It reports whether
+// that is a different host than the one dialed and already has a link with this node.
 //
-// Addresses are used again. The record of the host that had one before lives on
-// for some seconds, and each link to it comes up as one to its successor. Taken
-// for a success it would be sought at once again, at each tick, and each of the
-// links would replace the last one, with all that a new link costs. That another
-// host answers also says that the old one's process is gone.
+// Addresses are reused. The record of an address's previous host stays in the table for
+// some seconds, and each link dialed for it reaches the new host. If that counted as
+// success, the address would be dialed again at each tick, and each of these links
+// would replace the previous one, with the full cost of a new link. An answer from a
+// different host also shows that the previous host's process is gone.
 func (c *Core) addressReused(m LinkUp) bool {
-	answers := m.Hello.Member.Host
+	host := m.Hello.Member.Host
 	d := c.dials[m.Addr]
-	c.dials[m.Addr] = &dialState{host: answers}
-	if d == nil || d.host == "" || d.host == answers {
+	c.dials[m.Addr] = &dialState{host: host}
+	if d == nil || d.host == "" || d.host == host {
 		return false
 	}
 	c.dials[m.Addr].nextAt = c.now.Add(maxDialBackoff)
 	if r := c.table.byHost[d.host]; r != nil && r.State == Alive && r.Domain == c.self.Domain {
 		c.suspect(r)
 	}
-	return c.linkByHost[answers] != nil
+	return c.linkByHost[host] != nil
 }
 
-// onHello takes in what the peer's hello says.
-func (c *Core) onHello(l *link, hi Hello) {
-	c.raiseIncarnation(hi.KnownIncarnation)
-	c.merge(l.id, hi.Member)
-	c.onPeerPoll(poll{version: hi.Version, cursor: hi.Cursor, at: c.ago(hi.HeadAge)})
-	c.raiseFloor(hi.Floor)
-	c.raiseFloor(hi.DomainFloor)
-	c.recordPeerVersion(l, hi.Version)
-	c.noteRemoteVersion(l, hi.Version)
+// onHello processes the Hello of a peer.
+func (c *Core) onHello(l *link, hello Hello) {
+	c.raiseIncarnation(hello.KnownIncarnation)
+	c.merge(l.id, hello.Member)
+	c.onPeerPoll(poll{version: hello.Version, cursor: hello.Cursor, at: c.ago(hello.HeadAge)})
+	c.raiseFloor(hello.Floor)
+	c.raiseFloor(hello.DomainFloor)
+	c.recordPeerVersion(l, hello.Version)
+	c.noteRemoteVersion(l, hello.Version)
 	if l.domain == c.self.Domain {
-		c.raiseRemoteFloor(l.id, hi.RemoteFloor)
+		c.raiseRemoteFloor(l.id, hello.RemoteFloor)
 	}
-	c.onPeerVersion(l, hi.Version, hi.Hash)
-	if c.shouldIntroduce(l, hi) {
+	c.onPeerVersion(l, hello.Version, hello.Hash)
+	if c.shouldIntroduce(l, hello) {
 		l.introductionUntil = c.now.Add(introductionPeriod)
 		c.introduce(l)
 		return
@@ -406,8 +413,8 @@
 	c.sendSummaries(l)
 }
 
-// replaceLink closes an older link to the same host: the peer opened a new
-// one because the old one is dead to it.
+// replaceLink closes an older link to the same host. The peer has opened a new one
+// because on its side the old one is closed.
 func (c *Core) replaceLink(host string) {
 	if old := c.linkByHost[host]; old != nil {
 		c.emit(CloseLink{old.id})
@@ -433,7 +440,8 @@
 	c.version.removeSource(l.id)
 }
 
-// tickLinks sends heartbeats and closes links that have gone silent.
+// tickLinks sends heartbeats and closes links on which nothing has arrived for
+// linkSilenceTimeout.
 func (c *Core) tickLinks() {
 	for _, l := range c.sortedLinks() {
 		if c.now.Sub(l.lastReceived) > linkSilenceTimeout {
