--- a/briarrockd/peer/contact_test.go
+++ b/briarrockd/peer/contact_test.go
@@ -10,10 +10,10 @@
 
 // TestStaleContacts restarts a node whose contacts have all been replaced.
 //
-// Its callers are refused until it knows the targets of others, and its own
-// target gets no work until the others know of it. Nobody answers at the
-// addresses from its settings, so it soon reads those that the members left in
-// the table, and tries them at once.
+// The node's callers are refused until it knows the targets of other nodes, and its own
+// target gets no calls until the other nodes know it. Since no host answers at the
+// addresses from its settings, it must soon read the addresses that members have
+// published in the table and dial them at once.
 func TestStaleContacts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -24,8 +24,8 @@
 	_, more := runTicks(core, now, time.Second)
 	cmds = append(cmds, more...)
 	dialed := make(map[string]bool)
-	for _, x := range cmds {
-		if d, ok := x.(Dial); ok {
+	for _, cmd := range cmds {
+		if d, ok := cmd.(Dial); ok {
 			dialed[d.Addr] = true
 		}
 	}
@@ -34,44 +34,45 @@
 	}
 }
 
-// TestAllStopped starts a node after its whole mesh was stopped at once.
+// TestAllStopped starts a node after all nodes of its mesh were stopped at once.
 //
-// Nobody holds the configuration, so waiting for a peer that has it only keeps the
-// callers waiting. The rows tell how many members its domain has: in a small one it
-// reads the configuration at once, in a large one, where all would read it over
-// the same links, it gives its peers the usual time.
+// No peer has the configuration, so waiting for one only delays the callers. The rows
+// of contacts show the size of the node's domain. In a small domain the node must read
+// the configuration at once. In a large one, where all nodes would read it over the
+// same links, it must first wait startReadDelay for its peers.
 func TestAllStopped(t *testing.T) {
 	c := qt.New(t)
-	for near, want := range map[int]bool{1: true, smallDomainSize: true, contactsPerDomain: false, 0: false} {
+	for ownDomain, want := range map[int]bool{1: true, smallDomainSize: true, contactsPerDomain: false, 0: false} {
 		now := time.Unix(1000, 0)
 		core := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
 		now, cmds := runTicks(core, now, 2*TickInterval)
 		c.Check(countCmds[ReadContacts](cmds), qt.Equals, 1)
-		cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1"}, OwnDomain: near})
-		c.Check(startsPolling(cmds), qt.Equals, want, qt.Commentf("%d near", near))
+		cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1"}, OwnDomain: ownDomain})
+		c.Check(startsPolling(cmds), qt.Equals, want, qt.Commentf("%d addresses of the own domain", ownDomain))
 		_, more := runTicks(core, now, startReadDelay)
 		c.Check(startsPolling(append(cmds, more...)), qt.IsTrue)
 	}
 }
 
-// startsPolling tells whether a Core has decided to poll the platform.
+// startsPolling reports whether the commands include one to poll the platform.
 func startsPolling(cmds []Cmd) bool {
 	on := false
-	for _, x := range cmds {
-		if w, ok := x.(Watch); ok {
+	for _, cmd := range cmds {
+		if w, ok := cmd.(Watch); ok {
 			on = on || w.On
 		}
 	}
 	return on
 }
 
-// TestRestartInOutage restarts a node of a running mesh while the platform's store
-// gives no answer.
+// TestRestartInOutage restarts a node of a running mesh while the platform's store does
+// not answer.
 //
-// Until it serves, its callers are refused and its target stands idle. It may not
-// serve less than before; but whoever remembers that has told it, half a second
-// after it has met them all, so it need not wait any longer. As long as the store
-// may still answer it waits for that.
+// Until the node serves, its callers are refused and its target gets no calls. It must
+// not serve an older version than before the restart. All peers that remember the
+// version have sent it half a second after the node has linked to them all, so it must
+// not wait any longer than that. As long as the store may still answer, the node must
+// wait for the answer.
 func TestRestartInOutage(t *testing.T) {
 	c := qt.New(t)
 	for _, failed := range []bool{true, false} {
--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -13,41 +13,43 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// simMesh carries messages between Cores in memory, with delays and faults,
-// on the clock of the test's bubble. It is the small fake at the interface
-// of the Core: it has no logic of the mesh itself.
+// simMesh simulates the network, the platform's store and the hosts around the Cores of
+// a mesh, in memory, with delays and faults, on the clock of the test's synctest
+// bubble. It contains no logic of the mesh itself.
 type simMesh struct {
 	rng       *rand.Rand
 	nodes     []*simHost
 	byAddr    map[string]*simHost
-	links     map[LinkID]*simLink // by the id of either end
+	links     map[LinkID]*simLink // by the ID of either end
 	lastID    LinkID
 	queue     eventQueue
 	lastOrder int
 	store     fakeStore
-	// onStep is told of everything that happens, by a word: faults wait for it.
+	// onStep is called with the name of each step; tests inject faults at steps.
 	onStep func(word string, f *simHost)
-	// onWatch is told who is to poll the platform.
+	// onWatch is called with each Core's Watch commands.
 	onWatch func(x *simHost, w Watch)
-	// violations collects violated invariants.
+	// violations collects descriptions of violated invariants.
 	violations []string
-	// lostVersions counts hosts that went back where nobody could know.
+	// lostVersions counts the times that a host served an older version than before
+	// while no running process held the newer one.
 	lostVersions int
-	// extraDelay is the greatest extra delay of a message.
+	// extraDelay is the upper bound of the random extra delay of a message.
 	extraDelay time.Duration
-	// corruptNext is how many contents to come are corrupted on their way.
+	// corruptNext is the number of Content frames that are still to be corrupted.
 	corruptNext int
-	isolated    map[string]bool // domains or regions that are cut off
+	isolated    map[string]bool // domains or regions that are partitioned from the others
 }
 
-// simHost is a host with the Core of its present process.
+// simHost is a host with the Core of its current process.
 type simHost struct {
 	cfg      Config
 	core     *Core
 	alive    bool
 	paused   bool
-	deferred []func() // what waits for the end of a pause
-	// highestServed is the version that the host serves, ever the highest.
+	deferred []func() // events that arrived during a pause
+	// highestServed is the highest version that any process of the host has served,
+	// serving the version that the current process serves.
 	highestServed uint64
 	serving       uint64
 	processes     int
@@ -60,16 +62,17 @@
 	ids         [2]LinkID
 	dropsFrames bool
 	closed      bool
-	// helloSent is set once the answering hello is on its way.
+	// helloSent is set once the inbound side has sent its Hello.
 	helloSent bool
-	// lastArrival is when the last message in each direction arrives: TCP keeps order.
+	// lastArrival is the arrival time of the last message in each direction, so that
+	// messages stay in order as over TCP.
 	lastArrival [2]time.Time
 }
 
 type fakeStore struct {
 	down        bool
 	extraDelay  time.Duration
-	lostReplies int // answers to writes that are lost
+	lostReplies int // number of writes whose replies are still to be lost
 	rows        map[string]platform.Row
 	objects     map[snapshot.Hash][]byte
 	tag         int
@@ -77,7 +80,7 @@
 	versions    map[uint64]snapshot.Hash
 }
 
-// simEvent is something that is to happen at a time.
+// simEvent is a function to call at a given time.
 type simEvent struct {
 	at    time.Time
 	order int
@@ -102,14 +105,14 @@
 	return x
 }
 
-// One-way delays of the brief.
+// One-way network delays.
 const (
 	inRegionDelay    = time.Millisecond
 	interRegionDelay = 20 * time.Millisecond
 )
 
 func newSimMesh(seed uint64, places []Member, perDomain int) *simMesh {
-	f := &simMesh{
+	sim := &simMesh{
 		rng:      rand.New(rand.NewPCG(seed, 7)),
 		byAddr:   make(map[string]*simHost),
 		links:    make(map[LinkID]*simLink),
@@ -132,24 +135,24 @@
 			for _, q := range places {
 				cfg.Contacts = append(cfg.Contacts, q.Domain+"-0:peer", q.Domain+"-1:peer")
 			}
-			x := &simHost{cfg: cfg}
-			f.nodes = append(f.nodes, x)
-			f.byAddr[cfg.Self.PeerAddr] = x
+			h := &simHost{cfg: cfg}
+			sim.nodes = append(sim.nodes, h)
+			sim.byAddr[cfg.Self.PeerAddr] = h
 		}
 	}
-	return f
+	return sim
 }
 
-func (f *simMesh) after(d time.Duration, do func()) {
-	f.lastOrder++
-	heap.Push(&f.queue, simEvent{time.Now().Add(d), f.lastOrder, do})
+func (sim *simMesh) after(d time.Duration, do func()) {
+	sim.lastOrder++
+	heap.Push(&sim.queue, simEvent{time.Now().Add(d), sim.lastOrder, do})
 }
 
-// advance lets time pass for d.
-func (f *simMesh) advance(d time.Duration) {
+// advance processes events for a duration d.
+func (sim *simMesh) advance(d time.Duration) {
 	end := time.Now().Add(d)
-	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
-		e := heap.Pop(&f.queue).(simEvent)
+	for len(sim.queue) > 0 && !sim.queue[0].at.After(end) {
+		e := heap.Pop(&sim.queue).(simEvent)
 		if wait := time.Until(e.at); wait > 0 {
 			time.Sleep(wait)
 		}
@@ -160,243 +163,244 @@
 	}
 }
 
-// start begins a new process on a host.
-func (f *simMesh) start(x *simHost) {
-	x.processes++
-	x.alive, x.leaving = true, false
-	x.serving = 0
-	cfg := x.cfg
+// start starts a new process on a host.
+func (sim *simMesh) start(h *simHost) {
+	h.processes++
+	h.alive, h.leaving = true, false
+	h.serving = 0
+	cfg := h.cfg
 	cfg.Self.Incarnation = uint64(time.Now().UnixMilli())
-	x.core = New(cfg, rand.New(rand.NewPCG(f.rng.Uint64(), 1)), time.Now())
-	f.tick(x, x.processes)
+	h.core = New(cfg, rand.New(rand.NewPCG(sim.rng.Uint64(), 1)), time.Now())
+	sim.tick(h, h.processes)
 }
 
-func (f *simMesh) tick(x *simHost, process int) {
-	if !x.alive || x.processes != process {
+func (sim *simMesh) tick(h *simHost, process int) {
+	if !h.alive || h.processes != process {
 		return
 	}
-	f.after(TickInterval, func() { f.tick(x, process) })
-	if !x.paused {
-		f.deliver(x, Tick{})
+	sim.after(TickInterval, func() { sim.tick(h, process) })
+	if !h.paused {
+		sim.deliver(h, Tick{})
 	}
 }
 
-// kill ends the process of a host: its connections are reset.
-func (f *simMesh) kill(x *simHost) {
-	if !x.alive {
+// kill ends the process of a host and resets its links.
+func (sim *simMesh) kill(h *simHost) {
+	if !h.alive {
 		return
 	}
-	x.alive, x.paused, x.deferred = false, false, nil
-	for _, w := range f.linksOf(x) {
-		f.reset(w)
+	h.alive, h.paused, h.deferred = false, false, nil
+	for _, l := range sim.linksOf(h) {
+		sim.reset(l)
 	}
 }
 
-func (f *simMesh) linksOf(x *simHost) []*simLink {
+func (sim *simMesh) linksOf(h *simHost) []*simLink {
 	var out []*simLink
-	for id := LinkID(1); id <= f.lastID; id++ {
-		if w := f.links[id]; w != nil && w.ids[0] == id && (w.ends[0] == x || w.ends[1] == x) {
-			out = append(out, w)
+	for id := LinkID(1); id <= sim.lastID; id++ {
+		if l := sim.links[id]; l != nil && l.ids[0] == id && (l.ends[0] == h || l.ends[1] == h) {
+			out = append(out, l)
 		}
 	}
 	return out
 }
 
-// reset tells both ends that a link is gone. Over a cut nobody hears it.
-func (f *simMesh) reset(w *simLink) {
-	if w.closed {
+// reset closes a link and reports it to both ends, unless a partition lies between them
+// or the link drops frames.
+func (sim *simMesh) reset(l *simLink) {
+	if l.closed {
 		return
 	}
-	w.closed = true
-	for i, x := range w.ends {
-		delete(f.links, w.ids[i])
-		process := x.processes
-		if f.partitioned(w.ends[0], w.ends[1]) || w.dropsFrames {
+	l.closed = true
+	for i, h := range l.ends {
+		delete(sim.links, l.ids[i])
+		process := h.processes
+		if sim.partitioned(l.ends[0], l.ends[1]) || l.dropsFrames {
 			continue
 		}
-		f.after(f.delay(w.ends[0], w.ends[1]), func() {
-			if x.processes == process {
-				f.deliver(x, LinkDown{w.ids[i]})
+		sim.after(sim.delay(l.ends[0], l.ends[1]), func() {
+			if h.processes == process {
+				sim.deliver(h, LinkDown{l.ids[i]})
 			}
 		})
 	}
 }
 
-func (f *simMesh) partitioned(a, b *simHost) bool {
+func (sim *simMesh) partitioned(a, b *simHost) bool {
 	for _, cut := range []string{a.cfg.Self.Domain, a.cfg.Self.Region} {
-		if f.isolated[cut] && cut != b.cfg.Self.Domain && cut != b.cfg.Self.Region {
+		if sim.isolated[cut] && cut != b.cfg.Self.Domain && cut != b.cfg.Self.Region {
 			return true
 		}
 	}
 	for _, cut := range []string{b.cfg.Self.Domain, b.cfg.Self.Region} {
-		if f.isolated[cut] && cut != a.cfg.Self.Domain && cut != a.cfg.Self.Region {
+		if sim.isolated[cut] && cut != a.cfg.Self.Domain && cut != a.cfg.Self.Region {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *simMesh) delay(a, b *simHost) time.Duration {
+func (sim *simMesh) delay(a, b *simHost) time.Duration {
 	d := inRegionDelay
 	if a.cfg.Self.Region != b.cfg.Self.Region {
 		d = interRegionDelay
 	}
-	if f.extraDelay > 0 {
-		d += time.Duration(f.rng.Int64N(int64(f.extraDelay)))
+	if sim.extraDelay > 0 {
+		d += time.Duration(sim.rng.Int64N(int64(sim.extraDelay)))
 	}
 	return d
 }
 
-// deliver gives a host's Core a message and carries out what it decides.
-func (f *simMesh) deliver(x *simHost, m Msg) {
-	if !x.alive {
+// deliver passes a message to a host's Core and executes the resulting commands.
+func (sim *simMesh) deliver(h *simHost, m Msg) {
+	if !h.alive {
 		return
 	}
-	if x.paused {
-		process := x.processes
-		x.deferred = append(x.deferred, func() {
-			if x.processes == process {
-				f.deliver(x, m)
+	if h.paused {
+		process := h.processes
+		h.deferred = append(h.deferred, func() {
+			if h.processes == process {
+				sim.deliver(h, m)
 			}
 		})
 		return
 	}
-	process := x.processes
-	for _, c := range x.core.Step(time.Now(), m) {
-		if !x.alive || x.processes != process {
-			return // a fault ended the process on the way
+	process := h.processes
+	for _, c := range h.core.Step(time.Now(), m) {
+		if !h.alive || h.processes != process {
+			return // a fault ended the process meanwhile
 		}
-		f.execute(x, c)
+		sim.execute(h, c)
 	}
 }
 
-// resume ends a pause: the host works off all that came meanwhile.
-func (f *simMesh) resume(x *simHost) {
-	x.paused = false
-	later := x.deferred
-	x.deferred = nil
+// resume ends a pause and processes the events that arrived during it.
+func (sim *simMesh) resume(h *simHost) {
+	h.paused = false
+	later := h.deferred
+	h.deferred = nil
 	for _, do := range later {
 		do()
 	}
 }
 
-func (f *simMesh) execute(x *simHost, c Cmd) {
-	process := x.processes
-	back := func(d time.Duration, m Msg) {
-		f.after(d, func() {
-			if x.processes == process {
-				f.deliver(x, m)
+func (sim *simMesh) execute(h *simHost, c Cmd) {
+	process := h.processes
+	reply := func(d time.Duration, m Msg) {
+		sim.after(d, func() {
+			if h.processes == process {
+				sim.deliver(h, m)
 			}
 		})
 	}
 	switch c := c.(type) {
 	case Dial:
-		f.onStep("dial", x)
-		f.dial(x, c, back)
+		sim.onStep("dial", h)
+		sim.dial(h, c, reply)
 	case SendHello:
-		f.greet(x, c)
+		sim.sendHello(h, c)
 	case CloseLink:
-		if w := f.links[c.Link]; w != nil {
-			f.reset(w)
+		if l := sim.links[c.Link]; l != nil {
+			sim.reset(l)
 		}
 	case Send:
-		f.send(x, c)
+		sim.send(h, c)
 	case ReadHead:
-		f.onStep("readhead", x)
-		f.readHead(x, back)
+		sim.onStep("readhead", h)
+		sim.readHead(h, reply)
 	case ReadObject:
-		f.readObject(x, c.Hash, back)
+		sim.readObject(h, c.Hash, reply)
 	case ServeVersion:
-		f.checkServed(x, c)
+		sim.checkServed(h, c)
 	case Watch:
-		f.onWatch(x, c)
+		sim.onWatch(h, c)
 	}
 }
 
-func (f *simMesh) dial(x *simHost, c Dial, back func(time.Duration, Msg)) {
-	to := f.byAddr[c.Addr]
-	d := f.delay(x, to)
-	if f.partitioned(x, to) {
-		back(3*time.Second, DialFailed{Addr: c.Addr})
+func (sim *simMesh) dial(h *simHost, c Dial, reply func(time.Duration, Msg)) {
+	to := sim.byAddr[c.Addr]
+	d := sim.delay(h, to)
+	if sim.partitioned(h, to) {
+		reply(3*time.Second, DialFailed{Addr: c.Addr})
 		return
 	}
-	f.after(d, func() {
+	sim.after(d, func() {
 		if !to.alive {
-			back(d, DialFailed{Addr: c.Addr, Refused: true})
+			reply(d, DialFailed{Addr: c.Addr, Refused: true})
 			return
 		}
-		f.lastID++
-		w := &simLink{ends: [2]*simHost{x, to}, ids: [2]LinkID{f.lastID}}
-		f.lastID++
-		w.ids[1] = f.lastID
-		f.links[w.ids[0]], f.links[w.ids[1]] = w, w
-		f.onStep("hello", x)
-		f.deliver(to, LinkUp{Link: w.ids[1], Hello: c.Hello})
-		f.after(3*time.Second, func() {
-			if !w.helloSent {
-				back(0, DialFailed{Addr: c.Addr})
+		sim.lastID++
+		l := &simLink{ends: [2]*simHost{h, to}, ids: [2]LinkID{sim.lastID}}
+		sim.lastID++
+		l.ids[1] = sim.lastID
+		sim.links[l.ids[0]], sim.links[l.ids[1]] = l, l
+		sim.onStep("hello", h)
+		sim.deliver(to, LinkUp{Link: l.ids[1], Hello: c.Hello})
+		sim.after(3*time.Second, func() {
+			if !l.helloSent {
+				reply(0, DialFailed{Addr: c.Addr})
 			}
 		})
 	})
 }
 
-// greet carries the answering hello to the side that dialed.
-func (f *simMesh) greet(x *simHost, c SendHello) {
-	w := f.links[c.Link]
-	if w == nil || w.closed {
+// sendHello sends the Hello of the inbound side to the side that dialed.
+func (sim *simMesh) sendHello(h *simHost, c SendHello) {
+	l := sim.links[c.Link]
+	if l == nil || l.closed {
 		return
 	}
-	w.helloSent = true
-	dialer := w.ends[0]
+	l.helloSent = true
+	dialer := l.ends[0]
 	process := dialer.processes
-	f.after(f.delay(x, dialer), func() {
+	sim.after(sim.delay(h, dialer), func() {
 		switch {
 		case dialer.processes != process:
-		case w.closed:
-			f.deliver(dialer, DialFailed{Addr: x.cfg.Self.PeerAddr})
+		case l.closed:
+			sim.deliver(dialer, DialFailed{Addr: h.cfg.Self.PeerAddr})
 		default:
-			f.deliver(dialer, LinkUp{Link: w.ids[0], Hello: c.Hello, Addr: x.cfg.Self.PeerAddr})
+			sim.deliver(dialer, LinkUp{Link: l.ids[0], Hello: c.Hello, Addr: h.cfg.Self.PeerAddr})
 		}
 	})
 }
 
-func (f *simMesh) send(x *simHost, c Send) {
-	w := f.links[c.Link]
-	if w == nil || w.closed {
+func (sim *simMesh) send(h *simHost, c Send) {
+	l := sim.links[c.Link]
+	if l == nil || l.closed {
 		return
 	}
 	b, err := EncodeFrame(c.Frame)
 	if err != nil {
-		f.violate("%s sends a frame that can't be encoded: %v", x.cfg.Self.Host, err)
+		sim.violate("%s sends a frame that cannot be encoded: %v", h.cfg.Self.Host, err)
 		return
 	}
-	f.onStep(stepName(c.Frame), x)
+	sim.onStep(stepName(c.Frame), h)
 	side := 0
-	if w.ids[1] == c.Link {
+	if l.ids[1] == c.Link {
 		side = 1
 	}
-	to := w.ends[1-side]
-	if w.dropsFrames || f.partitioned(x, to) {
+	to := l.ends[1-side]
+	if l.dropsFrames || sim.partitioned(h, to) {
 		return
 	}
-	if _, ok := c.Frame.(Content); ok && f.corruptNext > 0 {
-		f.corruptNext--
-		b = corruptByte(b, f.rng)
+	if _, ok := c.Frame.(Content); ok && sim.corruptNext > 0 {
+		sim.corruptNext--
+		b = corruptByte(b, sim.rng)
 	}
-	at := time.Now().Add(f.delay(x, to))
-	if at.Before(w.lastArrival[side]) {
-		at = w.lastArrival[side]
+	at := time.Now().Add(sim.delay(h, to))
+	if at.Before(l.lastArrival[side]) {
+		at = l.lastArrival[side]
 	}
-	w.lastArrival[side] = at
+	l.lastArrival[side] = at
 	process := to.processes
-	f.after(time.Until(at), func() {
+	sim.after(time.Until(at), func() {
 		frame, err := DecodeFrame(b)
 		switch {
-		case to.processes != process || w.closed || f.partitioned(x, to) || w.dropsFrames:
+		case to.processes != process || l.closed || sim.partitioned(h, to) || l.dropsFrames:
 		case err != nil:
-			f.reset(w)
+			sim.reset(l)
 		default:
-			f.deliver(to, Received{w.ids[1-side], frame})
+			sim.deliver(to, Received{l.ids[1-side], frame})
 		}
 	})
 }
@@ -414,84 +418,84 @@
 	}[fr.code()]
 }
 
-// errStoreDown is what a host sees of a store that does not answer.
+// errStoreDown is the error of a read while the store is unreachable.
 var errStoreDown = errors.New("store is down")
 
-func (f *simMesh) storeDelay(x *simHost) time.Duration {
+func (sim *simMesh) storeDelay(h *simHost) time.Duration {
 	d := 2 * inRegionDelay
-	if x.cfg.Self.Region != x.cfg.StoreRegion {
+	if h.cfg.Self.Region != h.cfg.StoreRegion {
 		d = 2 * interRegionDelay
 	}
-	return d + f.store.extraDelay
+	return d + sim.store.extraDelay
 }
 
-func (f *simMesh) storeReachable(x *simHost) bool {
-	return !f.store.down && !f.isolated[x.cfg.Self.Domain] && !f.isolated[x.cfg.Self.Region]
+func (sim *simMesh) storeReachable(h *simHost) bool {
+	return !sim.store.down && !sim.isolated[h.cfg.Self.Domain] && !sim.isolated[h.cfg.Self.Region]
 }
 
-func (f *simMesh) readHead(x *simHost, back func(time.Duration, Msg)) {
-	f.store.reads++
-	if !f.storeReachable(x) {
-		back(time.Second, HeadRead{Err: errStoreDown})
+func (sim *simMesh) readHead(h *simHost, reply func(time.Duration, Msg)) {
+	sim.store.reads++
+	if !sim.storeReachable(h) {
+		reply(time.Second, HeadRead{Err: errStoreDown})
 		return
 	}
-	row, ok := f.store.rows[platform.HeadKey]
+	row, ok := sim.store.rows[platform.HeadKey]
 	if !ok {
-		back(f.storeDelay(x), HeadRead{})
+		reply(sim.storeDelay(h), HeadRead{})
 		return
 	}
 	head, hash, err := platform.ParseHead(row.Value)
-	back(f.storeDelay(x), HeadRead{Version: head.Version, Hash: hash, Err: err})
+	reply(sim.storeDelay(h), HeadRead{Version: head.Version, Hash: hash, Err: err})
 }
 
-func (f *simMesh) readObject(x *simHost, hash snapshot.Hash, back func(time.Duration, Msg)) {
-	f.store.reads++
-	b, ok := f.store.objects[hash]
-	if !f.storeReachable(x) || !ok {
-		back(time.Second, ObjectRead{Hash: hash, Err: errStoreDown})
+func (sim *simMesh) readObject(h *simHost, hash snapshot.Hash, reply func(time.Duration, Msg)) {
+	sim.store.reads++
+	b, ok := sim.store.objects[hash]
+	if !sim.storeReachable(h) || !ok {
+		reply(time.Second, ObjectRead{Hash: hash, Err: errStoreDown})
 		return
 	}
-	back(f.storeDelay(x), ObjectRead{Hash: hash, Content: b})
+	reply(sim.storeDelay(h), ObjectRead{Hash: hash, Content: b})
 }
 
-// edit is an operator's edit that a host takes in, driven by the commit's step
-// function against the fake store.
-func (f *simMesh) edit(x *simHost, s *snapshot.Snapshot, base uint64, id string, done func(platform.Finish)) {
+// edit submits an operator's edit at a host. It runs the platform package's commit
+// state machine against the simulated store.
+func (sim *simMesh) edit(h *simHost, s *snapshot.Snapshot, base uint64, id string, done func(platform.Finish)) {
 	b, err := snapshot.Encode(s)
 	if err != nil {
-		f.violate("snapshot: %v", err)
+		sim.violate("snapshot: %v", err)
 		return
 	}
 	hash := snapshot.Sum(b)
-	f.store.objects[hash] = b
+	sim.store.objects[hash] = b
 	c := platform.NewCommit(platform.Audit{Base: base, Hash: hash.String(), Write: id})
-	process := x.processes
+	process := h.processes
 	var next func(a platform.Action)
-	then := func(d time.Duration, step func() platform.Action) {
-		f.after(d, func() { f.whenAwake(x, process, func() { next(step()) }) })
+	schedule := func(d time.Duration, step func() platform.Action) {
+		sim.after(d, func() { sim.whenAwake(h, process, func() { next(step()) }) })
 	}
 	next = func(a platform.Action) {
-		f.onStep(fmt.Sprintf("%T", a)[len("platform."):], x)
+		sim.onStep(fmt.Sprintf("%T", a)[len("platform."):], h)
 		switch a := a.(type) {
 		case platform.ReadHead:
-			row, err := f.get(x, platform.HeadKey)
-			then(f.storeDelay(x), func() platform.Action { return c.HeadRead(row, err) })
+			row, err := sim.get(h, platform.HeadKey)
+			schedule(sim.storeDelay(h), func() platform.Action { return c.HeadRead(row, err) })
 		case platform.Try:
-			err := f.transact(x, a.Transaction)
-			then(f.storeDelay(x), func() platform.Action { return c.Tried(err) })
+			err := sim.transact(h, a.Transaction)
+			schedule(sim.storeDelay(h), func() platform.Action { return c.Tried(err) })
 		case platform.ReadWrite:
-			wait := f.storeDelay(x)
+			wait := sim.storeDelay(h)
 			if a.Wait {
 				wait += 200 * time.Millisecond
 			}
-			row, err := f.get(x, platform.WriteKey(a.ID))
-			then(wait, func() platform.Action { return c.WriteRead(row, err) })
+			row, err := sim.get(h, platform.WriteKey(a.ID))
+			schedule(wait, func() platform.Action { return c.WriteRead(row, err) })
 		case platform.ReadAudit:
-			row, err := f.get(x, platform.AuditKey(a.Version))
-			then(f.storeDelay(x), func() platform.Action { return c.AuditRead(row, err) })
+			row, err := sim.get(h, platform.AuditKey(a.Version))
+			schedule(sim.storeDelay(h), func() platform.Action { return c.AuditRead(row, err) })
 		case platform.Finish:
 			if a.Outcome == platform.Accepted {
-				f.deliver(x, Committed{Version: a.Audit.Version, Hash: hash, Content: b})
+				sim.deliver(h, Committed{Version: a.Audit.Version, Hash: hash, Content: b})
 			}
 			done(a)
 		}
@@ -499,128 +503,129 @@
 	next(c.Begin())
 }
 
-// whenAwake does something on a host unless its process has ended, and after
-// its pause if it is paused.
-func (f *simMesh) whenAwake(x *simHost, process int, do func()) {
+// whenAwake calls do unless the process has ended; if the host is paused, it does so
+// after the pause.
+func (sim *simMesh) whenAwake(h *simHost, process int, do func()) {
 	switch {
-	case !x.alive || x.processes != process:
-	case x.paused:
-		x.deferred = append(x.deferred, do)
+	case !h.alive || h.processes != process:
+	case h.paused:
+		h.deferred = append(h.deferred, do)
 	default:
 		do()
 	}
 }
 
-func (f *simMesh) get(x *simHost, key string) (platform.Row, error) {
-	if !f.storeReachable(x) {
+func (sim *simMesh) get(h *simHost, key string) (platform.Row, error) {
+	if !sim.storeReachable(h) {
 		return platform.Row{}, platform.ErrUnavailable
 	}
-	row, ok := f.store.rows[key]
+	row, ok := sim.store.rows[key]
 	if !ok {
 		return platform.Row{}, platform.ErrMissing
 	}
 	return row, nil
 }
 
-func (f *simMesh) transact(x *simHost, t platform.Transaction) error {
-	if !f.storeReachable(x) {
+func (sim *simMesh) transact(h *simHost, t platform.Transaction) error {
+	if !sim.storeReachable(h) {
 		return platform.ErrUnavailable
 	}
 	for _, c := range t.Conditions {
-		if f.store.rows[c.Key].Tag != c.Tag {
+		if sim.store.rows[c.Key].Tag != c.Tag {
 			return platform.ErrCondition
 		}
 	}
 	for _, w := range t.Writes {
-		f.store.tag++
-		f.store.rows[w.Key] = platform.Row{Key: w.Key, Value: w.Value, Tag: fmt.Sprint(f.store.tag)}
-		f.checkHead(w)
+		sim.store.tag++
+		sim.store.rows[w.Key] = platform.Row{Key: w.Key, Value: w.Value, Tag: fmt.Sprint(sim.store.tag)}
+		sim.checkHead(w)
 	}
-	if f.store.lostReplies > 0 {
-		f.store.lostReplies--
+	if sim.store.lostReplies > 0 {
+		sim.store.lostReplies--
 		return platform.ErrUnknown
 	}
 	return nil
 }
 
-// checkHead checks that the head only grows, by one.
-func (f *simMesh) checkHead(w platform.Write) {
+// checkHead checks that each write of the head raises the version by one.
+func (sim *simMesh) checkHead(w platform.Write) {
 	if w.Key != platform.HeadKey {
 		return
 	}
 	head, hash, err := platform.ParseHead(w.Value)
-	if err != nil || head.Version != uint64(len(f.store.versions))+1 {
-		f.violate("head becomes %d after %d versions", head.Version, len(f.store.versions))
+	if err != nil || head.Version != uint64(len(sim.store.versions))+1 {
+		sim.violate("head set to version %d after %d versions", head.Version, len(sim.store.versions))
 	}
-	f.store.versions[head.Version] = hash
+	sim.store.versions[head.Version] = hash
 	var a platform.Audit
-	row := f.store.rows[platform.AuditKey(head.Version)]
+	row := sim.store.rows[platform.AuditKey(head.Version)]
 	if len(row.Value) > 0 && json.Unmarshal(row.Value, &a) == nil && a.Write != head.Write {
-		f.violate("audit row of version %d is of another write", head.Version)
+		sim.violate("audit row of version %d belongs to another write", head.Version)
 	}
 }
 
-// checkServed checks what must hold whenever a host starts to serve a version.
-func (f *simMesh) checkServed(x *simHost, u ServeVersion) {
-	f.onStep("use", x)
-	if u.Version < x.highestServed && f.heldByAny(x.highestServed) {
-		f.violate("%s goes back from version %d to %d", x.cfg.Self.Host, x.highestServed, u.Version)
-	} else if u.Version < x.highestServed {
-		f.lostVersions++
+// checkServed checks the invariants that must hold when a host starts to serve a
+// version.
+func (sim *simMesh) checkServed(h *simHost, u ServeVersion) {
+	sim.onStep("use", h)
+	if u.Version < h.highestServed && sim.heldByAny(h.highestServed) {
+		sim.violate("%s served version %d and now serves the older %d", h.cfg.Self.Host, h.highestServed, u.Version)
+	} else if u.Version < h.highestServed {
+		sim.lostVersions++
 	}
-	if f.store.versions[u.Version] != u.Hash {
-		f.violate("%s serves a version %d that was never accepted", x.cfg.Self.Host, u.Version)
+	if sim.store.versions[u.Version] != u.Hash {
+		sim.violate("%s serves a version %d that was never accepted", h.cfg.Self.Host, u.Version)
 	}
 	if err := u.Snapshot.Verify(); err != nil {
-		f.violate("%s serves a broken version %d: %v", x.cfg.Self.Host, u.Version, err)
+		sim.violate("%s serves an invalid version %d: %v", h.cfg.Self.Host, u.Version, err)
 	}
-	x.highestServed = max(x.highestServed, u.Version)
-	x.serving = u.Version
+	h.highestServed = max(h.highestServed, u.Version)
+	h.serving = u.Version
 }
 
-// heldByAny tells whether any process that runs holds a version. If all that
-// ever did have died within the round trips in which it was first confirmed,
-// and the store can't be asked, nobody in the mesh can know that it was
-// served: docs/design/floor.md says so. Such cells are counted and printed.
-func (f *simMesh) heldByAny(version uint64) bool {
-	for _, x := range f.nodes {
-		if x.alive && x.core.version.number >= version {
+// heldByAny reports whether any running process holds a version. If all processes that
+// ever held it died within the round trips in which it was first confirmed, and the
+// store is unreachable, no node can know that it was served; docs/design/floor.md
+// describes this limit. The test log names these cells.
+func (sim *simMesh) heldByAny(version uint64) bool {
+	for _, h := range sim.nodes {
+		if h.alive && h.core.version.number >= version {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *simMesh) violate(format string, args ...any) {
-	f.violations = append(f.violations, fmt.Sprintf(format, args...))
+func (sim *simMesh) violate(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
-// checkConverged checks what must hold once everything is whole again: every host
-// serves the head, and all hold the same members.
-func (f *simMesh) checkConverged() {
-	head := uint64(len(f.store.versions))
+// checkConverged checks the invariants that must hold after all faults have ended:
+// every host serves the head, and all hosts have the same members.
+func (sim *simMesh) checkConverged() {
+	head := uint64(len(sim.store.versions))
 	live := 0
-	for _, x := range f.nodes {
-		if x.alive && !x.leaving {
+	for _, h := range sim.nodes {
+		if h.alive && !h.leaving {
 			live++
 		}
 	}
 	root := uint64(0)
-	for _, x := range f.nodes {
-		if !x.alive || x.leaving {
+	for _, h := range sim.nodes {
+		if !h.alive || h.leaving {
 			continue
 		}
-		if x.serving != head {
-			f.violate("%s serves version %d, not %d, at the end", x.cfg.Self.Host, x.serving, head)
+		if h.serving != head {
+			sim.violate("%s serves version %d at the end, want %d", h.cfg.Self.Host, h.serving, head)
 		}
-		if n := x.core.Members(); n != live {
-			f.violate("%s knows %d members, not %d, at the end", x.cfg.Self.Host, n, live)
+		if n := h.core.Members(); n != live {
+			sim.violate("%s has %d live members at the end, want %d", h.cfg.Self.Host, n, live)
 		}
 		if root == 0 {
-			root = x.core.table.rootDigest()
+			root = h.core.table.rootDigest()
 		}
-		if x.core.table.rootDigest() != root {
-			f.violate("%s holds other members' records than the others at the end", x.cfg.Self.Host)
+		if h.core.table.rootDigest() != root {
+			sim.violate("%s has a member table at the end that differs from the others'", h.cfg.Self.Host)
 		}
 	}
 }
--- a/briarrockd/peer/introduce_test.go
+++ b/briarrockd/peer/introduce_test.go
@@ -9,11 +9,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// sentRecords are the hosts whose records were sent over a link.
+// sentRecords returns the hosts whose records were sent over a link.
 func sentRecords(cmds []Cmd, id LinkID) map[string]bool {
 	out := make(map[string]bool)
-	for _, x := range cmds {
-		s, ok := x.(Send)
+	for _, cmd := range cmds {
+		s, ok := cmd.(Send)
 		if !ok || s.Link != id {
 			continue
 		}
@@ -26,8 +26,9 @@
 	return out
 }
 
-// TestIntroduce guards against a herd of newcomers that are each sent the whole table
-// by the few nodes of the settings, and against one that is never told of the rest.
+// TestIntroduce guards against sending the whole table to each of many starting nodes
+// from the few hosts that the settings name, and against a newcomer that never gets the
+// rest of the table.
 func TestIntroduce(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -50,12 +51,12 @@
 	c.Check(sent["superior-b-07"], qt.IsTrue)
 	c.Check(sent["erie-b-07"], qt.IsFalse)
 
-	// What changes elsewhere is not its concern.
+	// Changes in other domains are not sent to a newcomer.
 	core.merge(0, place("erie-b", "erie", 40))
 	now, cmds = runTicks(core, now, TickInterval)
 	c.Check(sentRecords(cmds, 1), qt.HasLen, 0)
 
-	// A link that lasts is like any other: the tables are compared.
+	// After introductionPeriod the link is like any other: the tables are compared.
 	now, _ = runTicks(core, now, introductionPeriod-time.Second)
 	core.Step(now, Received{1, Heartbeat{Root: 1}})
 	now, _ = runTicks(core, now, 2*time.Second)
@@ -63,7 +64,7 @@
 	cmds = core.Step(now, Received{1, Digests{}})
 	c.Check(sentRecords(cmds, 1)["erie-b-40"], qt.IsTrue)
 
-	// One that knows many is not a newcomer, though it has just been linked.
+	// A node that knows many members is not a newcomer, even on a new link.
 	cmds = core.Step(now, LinkUp{Link: 2, Hello: Hello{Member: place("superior-b", "superior", 31), Members: 40}})
 	c.Check(sentRecords(cmds, 2), qt.HasLen, 0)
 	cmds = core.Step(now, Received{2, Digests{}})
--- a/briarrockd/peer/matrix_test.go
+++ b/briarrockd/peer/matrix_test.go
@@ -16,7 +16,7 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// matrix is the file testdata/matrix.yaml.
+// matrix is the content of testdata/matrix.yaml.
 type matrix struct {
 	Paths  map[string][]string `yaml:"paths"`
 	Faults []fault             `yaml:"faults"`
@@ -29,7 +29,7 @@
 	For   int    `yaml:"for"`
 }
 
-// cell is one run: faults, each at its step of one path.
+// cell is one run: a path with one or two faults, each injected at a step of the path.
 type cell struct {
 	path   string
 	faults []fault
@@ -53,9 +53,9 @@
 	return m
 }
 
-// cells makes every fault at every step of every path, and pairs of them. In
-// each pair the second fault's step and the seed follow from the numbers of
-// the two, so that the list is the same in every run.
+// cells returns a cell for each fault at each step of each path, followed by every
+// everyPair-th pair of faults. In a pair, the second fault's step and the seed are
+// derived from the indices of the two, so that the list is the same in every run.
 func (m matrix) cells(everyPair int) []cell {
 	var out []cell
 	paths := make([]string, 0, len(m.Paths))
@@ -73,15 +73,15 @@
 		}
 	}
 	pair := 0
-	for _, one := range out[:n] {
+	for _, first := range out[:n] {
 		for j, f := range m.Faults {
 			pair++
 			if pair%everyPair != 0 {
 				continue
 			}
-			steps := m.Paths[one.path]
+			steps := m.Paths[first.path]
 			second := steps[(pair/everyPair+j)%len(steps)]
-			out = append(out, cell{one.path, []fault{one.faults[0], f}, []string{one.steps[0], second}, uint64(n + pair)})
+			out = append(out, cell{first.path, []fault{first.faults[0], f}, []string{first.steps[0], second}, uint64(n + pair)})
 		}
 	}
 	return out
@@ -96,14 +96,14 @@
 
 const perDomain = 3
 
-// TestMatrix puts every fault of the brief at every step of applying,
+// TestMatrix injects each fault of testdata/matrix.yaml at each step of applying,
 // distributing, joining, restarting and leaving, singly and in pairs.
 //
-// What a caller would see of a failure here: an accepted change that goes away
-// again on some proxy, or never reaches it; routes of a version that nobody
-// accepted; a node that stays unknown to others. So after every event it is
-// checked that no host goes back and none serves what was not accepted, and at
-// the end, when all faults are over, that all hosts agree on the newest.
+// It guards against an accepted change that is undone on some proxy or never reaches
+// it, routes of a version that was never accepted, and a node that stays unknown to
+// other nodes. After each event it checks that no host serves an older version than
+// before or one that was not accepted. At the end, when all faults are over, it checks
+// that all hosts serve the newest version.
 //
 // BRIARROCK_MATRIX=full runs every pair instead of every 13th.
 func TestMatrix(t *testing.T) {
@@ -119,8 +119,8 @@
 		t.Run(fmt.Sprintf("group%02d", g), func(t *testing.T) {
 			t.Parallel()
 			for i := g; i < len(cells); i += groups {
-				if broken := runCell(t, cells[i]); len(broken) > 0 {
-					t.Errorf("%s:\n  %s", cells[i], strings.Join(broken[:min(len(broken), 5)], "\n  "))
+				if violations := runCell(t, cells[i]); len(violations) > 0 {
+					t.Errorf("%s:\n  %s", cells[i], strings.Join(violations[:min(len(violations), 5)], "\n  "))
 				}
 			}
 		})
@@ -129,18 +129,18 @@
 
 func runCell(t *testing.T, c cell) []string {
 	t.Helper()
-	var broken []string
+	var violations []string
 	synctest.Test(t, func(*testing.T) {
 		r := newRun(c)
-		broken = r.runPath()
+		violations = r.runPath()
 		if r.lostVersions > 0 {
-			t.Logf("%s: forgotten by all, store unreachable", c)
+			t.Logf("%s: a served version was lost with all processes that held it while the store was unreachable", c)
 		}
 	})
-	return broken
+	return violations
 }
 
-// run is one cell being played.
+// run is the execution of one cell.
 type run struct {
 	*simMesh
 	cell      cell
@@ -151,31 +151,31 @@
 func newRun(c cell) *run {
 	r := &run{simMesh: newSimMesh(c.seed, places, perDomain), cell: c}
 	pending := append([]string(nil), c.steps...)
-	r.onStep = func(word string, x *simHost) {
+	r.onStep = func(word string, h *simHost) {
 		if !r.injecting {
 			return
 		}
 		for i, step := range pending {
 			if step == word {
 				pending[i] = ""
-				r.inject(c.faults[i], x)
+				r.inject(c.faults[i], h)
 			}
 		}
 	}
 	return r
 }
 
-// The times of a run.
+// Durations of the phases of a run.
 const (
-	settleTime = 12 * time.Second // from the start to a mesh at rest
-	faultTime  = 45 * time.Second // the longest fault and what follows it
+	settleTime = 12 * time.Second // from the start until the mesh has converged
+	faultTime  = 45 * time.Second // the longest fault and the recovery from it
 )
 
 func (r *run) runPath() []string {
 	late := r.nodes[len(r.nodes)-1]
-	for _, x := range r.nodes {
-		if r.cell.path != "join" || x != late {
-			r.start(x)
+	for _, h := range r.nodes {
+		if r.cell.path != "join" || h != late {
+			r.start(h)
 		}
 	}
 	r.advance(settleTime)
@@ -185,14 +185,14 @@
 	r.startPath(late)
 	r.advance(faultTime)
 	r.injecting = false
-	// A last edit must reach everybody, and everybody must be the same.
+	// A last edit must reach all hosts, and all hosts must converge.
 	r.editAt(r.nodes[0])
 	r.advance(faultTime)
 	r.checkConverged()
 	return r.violations
 }
 
-// startPath starts the path that the faults are put on.
+// startPath starts the path at whose steps the faults are injected.
 func (r *run) startPath(late *simHost) {
 	switch r.cell.path {
 	case "apply", "distribute":
@@ -209,32 +209,32 @@
 	}
 }
 
-func (r *run) restart(x *simHost) {
-	if !x.alive && !x.leaving {
-		r.start(x)
+func (r *run) restart(h *simHost) {
+	if !h.alive && !h.leaving {
+		r.start(h)
 	}
 }
 
-// editAt lets an operator put the next version in at a host, trying again
-// with the same id as long as the answer is not final.
-func (r *run) editAt(x *simHost) {
+// editAt submits the next version at a host. It retries with the same ID as long as the
+// answer is not final.
+func (r *run) editAt(h *simHost) {
 	r.edits++
 	s := sample(r.edits)
 	id := fmt.Sprintf("write-%d", r.edits)
-	var try func(n int)
-	try = func(n int) {
-		if !x.alive || n == 0 {
+	var attempt func(n int)
+	attempt = func(n int) {
+		if !h.alive || n == 0 {
 			return
 		}
 		base := uint64(len(r.store.versions))
-		r.edit(x, s, base, id, func(f platform.Finish) {
+		r.edit(h, s, base, id, func(f platform.Finish) {
 			if f.Outcome == platform.Refused || f.Outcome == platform.Undecided {
-				r.after(2*time.Second, func() { try(n - 1) })
+				r.after(2*time.Second, func() { attempt(n - 1) })
 			}
 		})
 	}
 	const tries = 15
-	try(tries)
+	attempt(tries)
 }
 
 func sample(n int) *snapshot.Snapshot {
@@ -249,25 +249,25 @@
 	return s
 }
 
-// inject begins a fault at the host where its step was seen, and ends it
-// after its time.
-func (r *run) inject(f fault, x *simHost) {
+// inject starts a fault at the host where the step occurred, and ends it after its
+// duration.
+func (r *run) inject(f fault, h *simHost) {
 	end := func(do func()) { r.after(time.Duration(f.For)*time.Second, do) }
 	switch f.Kind {
 	case "kill":
-		r.killSome(x, f.Nodes, end)
+		r.killSome(h, f.Nodes, end)
 	case "kill-domain":
-		for _, y := range r.nodes {
-			if y.cfg.Self.Domain == x.cfg.Self.Domain {
-				r.killFor(y, end)
+		for _, other := range r.nodes {
+			if other.cfg.Self.Domain == h.cfg.Self.Domain {
+				r.killFor(other, end)
 			}
 		}
 	case "pause":
-		r.pauseFor(x, end)
+		r.pauseFor(h, end)
 	case "pause-bridge":
-		for _, y := range r.nodes {
-			if y.alive && y.core.isRoot() && y.cfg.Self.Domain == x.cfg.Self.Domain {
-				r.pauseFor(y, end)
+		for _, other := range r.nodes {
+			if other.alive && other.core.isRoot() && other.cfg.Self.Domain == h.cfg.Self.Domain {
+				r.pauseFor(other, end)
 			}
 		}
 	case "store-down":
@@ -280,12 +280,12 @@
 		r.store.lostReplies = 3
 		end(func() { r.store.lostReplies = 0 })
 	case "cut-domain":
-		r.cutFor(x.cfg.Self.Domain, end)
+		r.cutFor(h.cfg.Self.Domain, end)
 	case "cut-region":
-		r.cutFor(x.cfg.Self.Region, end)
+		r.cutFor(h.cfg.Self.Region, end)
 	case "silent":
-		for _, w := range r.linksOf(x) {
-			w.dropsFrames = true
+		for _, l := range r.linksOf(h) {
+			l.dropsFrames = true
 		}
 	case "jumble":
 		r.extraDelay = 300 * time.Millisecond
@@ -299,30 +299,30 @@
 	}
 }
 
-func (r *run) killSome(x *simHost, n int, end func(func())) {
-	r.killFor(x, end)
+func (r *run) killSome(h *simHost, n int, end func(func())) {
+	r.killFor(h, end)
 	for i := 1; i < n; i++ {
 		r.killFor(r.nodes[(i*5+int(r.cell.seed))%len(r.nodes)], end)
 	}
 }
 
-func (r *run) killFor(x *simHost, end func(func())) {
-	if !x.alive {
+func (r *run) killFor(h *simHost, end func(func())) {
+	if !h.alive {
 		return
 	}
-	r.kill(x)
-	end(func() { r.restart(x) })
+	r.kill(h)
+	end(func() { r.restart(h) })
 }
 
-func (r *run) pauseFor(x *simHost, end func(func())) {
-	if !x.alive {
+func (r *run) pauseFor(h *simHost, end func(func())) {
+	if !h.alive {
 		return
 	}
-	process := x.processes
-	x.paused = true
+	process := h.processes
+	h.paused = true
 	end(func() {
-		if x.processes == process {
-			r.resume(x)
+		if h.processes == process {
+			r.resume(h)
 		}
 	})
 }
--- a/briarrockd/peer/one_test.go
+++ b/briarrockd/peer/one_test.go
@@ -8,21 +8,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestCell replays one cell of the matrix by its name, for finding causes:
+// TestCell runs one cell of the matrix, given by its name, to debug a failure:
 //
-//	BRIARROCK_CELL='apply/kill-one@use/seed=7' go test -run TestCell ./peer
+//	BRIARROCK_CELL='apply/kill-one@use/seed=57' go test -run TestCell ./peer
 func TestCell(t *testing.T) {
 	name := os.Getenv("BRIARROCK_CELL")
 	if name == "" {
-		t.Skip("BRIARROCK_CELL names no cell")
+		t.Skip("BRIARROCK_CELL is not set")
 	}
 	c := qt.New(t)
-	for _, x := range readMatrix(c).cells(1) {
-		if x.String() == name {
-			broken := runCell(t, x)
-			c.Assert(broken, qt.HasLen, 0, qt.Commentf("%s", strings.Join(broken, "\n")))
+	for _, cell := range readMatrix(c).cells(1) {
+		if cell.String() == name {
+			violations := runCell(t, cell)
+			c.Assert(violations, qt.HasLen, 0, qt.Commentf("%s", strings.Join(violations, "\n")))
 			return
 		}
 	}
-	t.Fatalf("there is no cell %q", name)
+	t.Fatalf("no cell named %q", name)
 }
