--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -53,9 +53,9 @@
 	return r.PeerAddr, n
 }
 
-// ForwardClaims sends claims to the root of the domain and returns its answer. It
-// returns ErrNotForwarded if nothing was sent.
-func (t *Transport) ForwardClaims(ctx context.Context, orders []byte) ([]byte, error) {
+// ForwardClaims sends a batch of claims, encoded by package claim, to the root of the
+// domain and returns its answer. It returns ErrNotForwarded if nothing was sent.
+func (t *Transport) ForwardClaims(ctx context.Context, batch []byte) ([]byte, error) {
 	addr := ""
 	t.WithCore(func(core *Core) { addr, _ = core.Committers() })
 	if addr == "" {
@@ -68,7 +68,7 @@
 		return nil, ErrNotForwarded
 	}
 	out := new(rawMessage)
-	if err := rpc.Invoke(ctx, rpcClaims, rawEncoding{}, &rawMessage{orders}, out); err != nil {
+	if err := rpc.Invoke(ctx, rpcClaims, rawEncoding{}, &rawMessage{batch}, out); err != nil {
 		_ = rpc.Close()
 		t.claimsConn.rpc = nil
 		return nil, errors.Wrap(err, "peer: claims")
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -31,6 +31,7 @@
 	c.announceSelf()
 }
 
+// announceSelf stores this node's own record in the table and queues it for flooding.
 func (c *Core) announceSelf() {
 	if c.table.put(c.now, c.self) {
 		c.queueUpdate(c.self.Host, 0)
@@ -54,6 +55,8 @@
 	c.flushUpdates()
 }
 
+// queueUpdate marks a host's record for flooding over all links except from, the link
+// over which it arrived; 0 for a change made by this node.
 func (c *Core) queueUpdate(host string, from LinkID) {
 	c.pendingUpdates[host] = true
 	c.updateSource[host] = from
@@ -90,7 +93,7 @@
 // refuteSelf handles a record of this node that a peer sent. If the record says
 // suspected or dead, this node refutes it with a higher sequence number. A record with
 // a higher incarnation than this process's can only come from an earlier process whose
-// clock was ahead.
+// clock was ahead; this node then raises its own incarnation above it.
 func (c *Core) refuteSelf(m Member) {
 	if c.self.State == Leaving {
 		return
@@ -303,6 +306,8 @@
 	return out
 }
 
+// checkNeighbours dials neighbours that have had no link for reverseDialDelay and
+// suspects those that have had none for suspectDelay.
 func (c *Core) checkNeighbours() {
 	current := make(map[string]bool)
 	for _, r := range c.neighbours() {
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -79,7 +79,7 @@
 
 	inbound      atomic.Int64
 	refused      *metrics.Counter
-	commitClaims func(ctx context.Context, orders []byte) ([]byte, error)
+	commitClaims func(ctx context.Context, batch []byte) ([]byte, error)
 	claimsConn   claimsConn
 	traffic      *traffic
 	dialTCP      func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -108,7 +108,7 @@
 	// Dial opens connections; if nil, a net.Dialer is used.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	// CommitClaims commits claims that other nodes of the domain have forwarded.
-	CommitClaims func(ctx context.Context, orders []byte) ([]byte, error)
+	CommitClaims func(ctx context.Context, batch []byte) ([]byte, error)
 }
 
 // NewTransport starts a Core and its Transport. Close stops both.
@@ -326,7 +326,8 @@
 }
 
 // Status returns the status of the whole mesh: from this node's Core if it is the root
-// of its domain, otherwise from the root.
+// of its domain, otherwise from the root. If the root does not answer, it returns what
+// this node's Core knows. Version and Hash are always those of this node.
 func (t *Transport) Status(ctx context.Context) Status {
 	var st Status
 	var root string
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -166,8 +166,8 @@
 type dialState struct {
 	host       string
 	inProgress bool
-	failures   int
-	nextAt     time.Time
+	failures   int       // consecutive failed attempts
+	nextAt     time.Time // earliest time of the next attempt
 }
 
 // New returns a Core whose member table holds only its own record. All random choices
--- a/briarrockd/peer/topology.go
+++ b/briarrockd/peer/topology.go
@@ -163,9 +163,9 @@
 	return out
 }
 
-// isStale reports whether no frame has arrived from the domain for longer than
-// domainStaleAfter. A node that has never had a link to a domain can't judge this, so
-// for it the domain is never stale.
+// isStale reports whether this node has no link to the domain and has received no frame
+// from it for longer than domainStaleAfter. A node that has never had a link to a domain
+// can't judge this, so for it the domain is never stale.
 func (c *Core) isStale(d *domain) bool {
 	if d.name == c.self.Domain || d.lastReceived.IsZero() {
 		return false
@@ -196,10 +196,10 @@
 	return out
 }
 
-// pickMember returns member i of a domain. If another domain's member i can't be
-// linked, it returns another member, a different one after each failed dial. This finds
-// a domain again whose first members have all died while it was cut off, when no record
-// of their deaths could arrive.
+// pickMember returns member i of a domain. If two dials to another domain's member i
+// have failed, it returns another member, a different one after each further failure.
+// This finds a domain again whose first members have all died while it was cut off, when
+// no record of their deaths could arrive.
 func (c *Core) pickMember(name string, i int) *record {
 	order := c.table.members(name)
 	if len(order) == 0 {
@@ -299,6 +299,8 @@
 	return out
 }
 
+// dial opens a link to addr, unless an attempt is in progress or the backoff after a
+// failure has not elapsed. host is the host expected there; empty if unknown.
 func (c *Core) dial(addr, host string, lazy bool) {
 	d := c.dials[addr]
 	if d == nil {
