--- a/briarrockd/peer/matrix_test.go
+++ b/briarrockd/peer/matrix_test.go
@@ -103,7 +103,7 @@
 // it, routes of a version that was never accepted, and a node that stays unknown to
 // other nodes. After each event it checks that no host serves an older version than
 // before or one that was not accepted. At the end, when all faults are over, it checks
-// that all hosts serve the newest version.
+// that all hosts serve the newest version and have the same member table.
 //
 // BRIARROCK_MATRIX=full runs every pair instead of every 13th.
 func TestMatrix(t *testing.T) {
