--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -103,7 +103,7 @@
 	}
 	for i := range hosts {
 		h := &noticeHost{m: m, n: i, region: fmt.Sprint("r", i%2)}
-		member := peer.Member{Host: fmt.Sprint(i), Domain: fmt.Sprint("d", i%noticeDomains), Region: h.region, Peer: fmt.Sprint(i), Call: fmt.Sprint(i) + ":1"}
+		member := peer.Member{Host: fmt.Sprint(i), Domain: fmt.Sprint("d", i%noticeDomains), Region: h.region, PeerAddr: fmt.Sprint(i), CallAddr: fmt.Sprint(i) + ":1"}
 		if i < targets {
 			h.app = newNoticeTarget(1)
 			h.startTargets()
--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -164,13 +164,13 @@
 	return n.keys.ServerConfig()
 }
 
-func (n *Node) peerKeys() peer.Keys {
+func (n *Node) peerKeys() peer.Credentials {
 	if n.keys == nil {
-		return peer.Keys{}
+		return peer.Credentials{}
 	}
-	return peer.Keys{
+	return peer.Credentials{
 		Server: n.keys.ServerConfig, Client: n.keys.ClientConfig,
-		Peer: func(cs tls.ConnectionState) (string, error) { return keys.PeerName(cs, keys.Node) },
+		VerifyPeer: func(cs tls.ConnectionState) (string, error) { return keys.PeerName(cs, keys.Node) },
 	}
 }
 
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -63,7 +63,7 @@
 	metrics *metrics.Set
 	keys    *keys.Keys
 
-	peers     *peer.Links
+	peers     *peer.Transport
 	targets   *target.Targets
 	proxy     *caller.Proxy
 	claims    *claim.Claims
@@ -190,10 +190,10 @@
 		Hedge: d.Platform != nil,
 	})
 	n.watch = newWatchHandle(n.sendToCore, n.log)
-	n.peers = peer.NewLinks(n.peerConfig(), peer.Deps{
-		Store: store, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peerListener], Seed: rand.Uint64(),
-		Dial: d.Dial, Claims: n.claims.CommitForwarded,
-		Hooks: peer.Hooks{Use: n.useVersion, Publish: n.useMembers, Held: n.setCrashCount, Watch: n.watch.setTurn},
+	n.peers = peer.NewTransport(n.peerConfig(), peer.Deps{
+		Store: store, Log: n.log, Metrics: n.metrics, Credentials: n.peerKeys(), Listener: n.listeners[peerListener], Seed: rand.Uint64(),
+		Dial: d.Dial, CommitClaims: n.claims.CommitForwarded,
+		Hooks: peer.Hooks{ServeVersion: n.useVersion, PublishMembers: n.useMembers, HeldRequest: n.setCrashCount, Watch: n.watch.setTurn},
 	})
 	n.operators = operator.New(operator.Deps{
 		Host: n.cfg.Host, Store: store, Peers: n.peers, Log: n.log, Metrics: n.metrics,
@@ -235,8 +235,8 @@
 // forwardClaims sends encoded claims to the node that commits those of the domain.
 // It returns claim.ErrCommitLocally if nothing was sent.
 func (n *Node) forwardClaims(ctx context.Context, writes []byte) ([]byte, error) {
-	b, err := n.peers.HandClaims(ctx, writes)
-	if errors.Is(err, peer.ErrNoRoot) {
+	b, err := n.peers.ForwardClaims(ctx, writes)
+	if errors.Is(err, peer.ErrNotForwarded) {
 		return nil, claim.ErrCommitLocally
 	}
 	return b, errors.WithStack(err)
@@ -246,14 +246,14 @@
 // commit claims.
 func (n *Node) updateCommitters() {
 	committers := 1
-	n.peers.Ask(func(h *peer.Core) { _, committers = h.Committers() })
+	n.peers.WithCore(func(h *peer.Core) { _, committers = h.Committers() })
 	n.claims.SetCommitters(committers)
 }
 
 // sendToCore sends a message to the Core. It drops messages until the Core exists.
 func (n *Node) sendToCore(m peer.Msg) {
 	if n.peers != nil {
-		n.peers.Tell(m)
+		n.peers.Post(m)
 	}
 }
 
@@ -262,18 +262,18 @@
 	return peer.Config{
 		Self: peer.Member{
 			Host: n.cfg.Host, Domain: n.cfg.Domain, Region: n.cfg.Region,
-			Peer: peerAddr, Call: callAddr, Incarnation: uint64(time.Now().UnixMilli()),
+			PeerAddr: peerAddr, CallAddr: callAddr, Incarnation: uint64(time.Now().UnixMilli()),
 		},
-		Contacts:    n.cfg.Contacts,
-		StoreRegion: n.cfg.Platform.Region,
-		Hosts:       n.cfg.ExpectedHosts,
-		HeadFed:     n.platform.Watch != nil,
-		Bootstrap:   n.platform.Bootstrap,
+		Contacts:        n.cfg.Contacts,
+		StoreRegion:     n.cfg.Platform.Region,
+		ExpectedHosts:   n.cfg.ExpectedHosts,
+		DelegatePolling: n.platform.Watch != nil,
+		Bootstrap:       n.platform.Bootstrap,
 	}
 }
 
 // useVersion puts a version from the Core into use.
-func (n *Node) useVersion(u peer.Use) {
+func (n *Node) useVersion(u peer.ServeVersion) {
 	n.targets.Configure(u.Snapshot)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -285,7 +285,7 @@
 }
 
 // useMembers puts the members from the Core into use.
-func (n *Node) useMembers(p peer.Publish) {
+func (n *Node) useMembers(p peer.PublishMembers) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.members = p.Members
@@ -310,7 +310,7 @@
 
 // setCrashCount sets how many times requests with a fingerprint have been in
 // flight when a target crashed. A count of 0 removes the fingerprint.
-func (n *Node) setCrashCount(h peer.Held) {
+func (n *Node) setCrashCount(h peer.HeldRequest) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h.Crashes == 0 {
@@ -355,7 +355,7 @@
 func (n *Node) Settings() settings.Settings { return n.cfg }
 
 // Peers returns the node's links to its peers.
-func (n *Node) Peers() *peer.Links { return n.peers }
+func (n *Node) Peers() *peer.Transport { return n.peers }
 
 // Metrics returns the node's metrics.
 func (n *Node) Metrics() *metrics.Set { return n.metrics }
@@ -391,7 +391,7 @@
 		}
 		nextSweep = time.Now().Add(sweepInterval)
 		leads := false
-		n.peers.Ask(func(h *peer.Core) { leads = h.Leads() })
+		n.peers.WithCore(func(h *peer.Core) { leads = h.IsLeader() })
 		if leads {
 			_, _ = n.claims.Sweep(n.ctx, time.Now()) // the next sweep deletes the rest
 		}
--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -91,7 +91,7 @@
 	h.turn = w
 	close(h.changed)
 	h.changed = make(chan struct{})
-	h.log.Emit(event.WatchTurn, event.Fields{"on": w.On, "spare": w.Spare, "seen": w.Seen, "wait": w.Wait.Milliseconds()})
+	h.log.Emit(event.WatchTurn, event.Fields{"on": w.On, "spare": w.Fallback, "seen": w.Cursor, "wait": w.Wait.Milliseconds()})
 }
 
 // WaitForTurn blocks until this node is to poll the platform, and returns the
@@ -121,7 +121,7 @@
 		h.log.Emit(event.VersionRefused, event.Fields{event.Subject: "platform", "version": v.Number, "error": err.Error()})
 		return
 	}
-	h.send(peer.Committed{Version: v.Number, Hash: snapshot.Sum(b), Content: b, Seen: v.LogPosition, At: v.ReadAt})
+	h.send(peer.Committed{Version: v.Number, Hash: snapshot.Sum(b), Content: b, Cursor: v.LogPosition, At: v.ReadAt})
 }
 
 // ReportFailure reports a poll that got no answer.
--- a/briarrockd/node/stop.go
+++ b/briarrockd/node/stop.go
@@ -35,7 +35,7 @@
 	}
 	platform.Pause(ctx, max(lameDuckTime, n.platform.LameDuck)-targetDrainTime)
 	n.targets.Drain()
-	n.peers.Tell(peer.Leave{})
+	n.peers.Post(peer.Leave{})
 	platform.Pause(ctx, targetDrainTime)
 	if deadline, ok := ctx.Deadline(); ok {
 		n.proxy.SetShutdownTime(deadline)
--- a/briarrockd/operator/operator.go
+++ b/briarrockd/operator/operator.go
@@ -36,7 +36,7 @@
 // Peers is the part of peer.Links that the API uses.
 type Peers interface {
 	Status(ctx context.Context) peer.Status
-	Tell(m peer.Msg) bool
+	Post(m peer.Msg) bool
 	Content(hash snapshot.Hash) ([]byte, bool)
 }
 
@@ -141,11 +141,11 @@
 
 func (o *API) currentStatus(ctx context.Context) api.Status {
 	s := o.deps.Peers.Status(ctx)
-	out := api.Status{Host: o.deps.Host, Version: s.Version, Hash: s.Hash, Whole: s.Whole, Store: s.Store}
+	out := api.Status{Host: o.deps.Host, Version: s.Version, Hash: s.Hash, Whole: s.Complete, Store: s.HeadAgeMillis}
 	for _, d := range s.Domains {
 		status := api.Domain{
 			Domain: d.Domain, Region: d.Region, Members: d.Members,
-			Laggards: d.Laggard, Silent: d.Silent,
+			Laggards: d.Laggards, Silent: d.SilentMillis,
 		}
 		for _, c := range d.Counts {
 			status.Counts = append(status.Counts, api.Count{Version: c.Version, Nodes: c.Nodes})
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -7,202 +7,209 @@
 	"briarrock.example/mesh/event"
 )
 
-// repairAfter is how many heartbeats in a row must differ before the tables
-// are compared: news that is on its way makes two sides differ for a moment.
-const repairAfter = 2
+// digestMismatchLimit is how many consecutive heartbeats must carry a differing digest
+// before the tables are compared: two digests also differ briefly while changed records
+// are in flight.
+const digestMismatchLimit = 2
 
-// sweepEvery is how often tombstones are polled over.
-const sweepEvery = 5 * time.Second
+// sweepInterval is the interval between sweeps for expired tombstones.
+const sweepInterval = 5 * time.Second
 
-// reincarnate makes this process younger than any that a peer remembers.
+// raiseIncarnation raises this process's incarnation above known, an incarnation of
+// this host that a peer has recorded.
 //
-// A host's clock may have gone back between two of its processes. Then the
-// new one would count as the older, and its peers would ignore it for as long
-// as they remember the other. Going above what they know is enough, since
-// only the newest process of a host can still speak for it.
-func (h *Core) reincarnate(known uint64) {
-	if known <= h.self.Incarnation {
+// The host's clock may have been set back between two processes. The new process would
+// then start with the lower incarnation, and its peers would ignore its records for as
+// long as they keep the old one. It is enough to go above what the peers have recorded,
+// since only the newest process of a host still publishes records for it.
+func (c *Core) raiseIncarnation(known uint64) {
+	if known <= c.self.Incarnation {
 		return
 	}
-	h.self.Incarnation = known + 1
-	h.self.Seq = 0
-	h.announceSelf()
+	c.self.Incarnation = known + 1
+	c.self.Seq = 0
+	c.announceSelf()
 }
 
-func (h *Core) announceSelf() {
-	if h.table.put(h.now, h.self) {
-		h.queueUpdate(h.self.Host, 0)
+// announceSelf stores this node's own record in the table and queues it for flooding.
+func (c *Core) announceSelf() {
+	if c.table.put(c.now, c.self) {
+		c.queueUpdate(c.self.Host, 0)
 	}
 }
 
-func (h *Core) targetsChanged(targets []Target) {
+func (c *Core) onTargetsChanged(targets []Target) {
 	if len(targets) > maxTargets {
 		targets = targets[:maxTargets]
 	}
-	h.self.Targets = targets
-	h.self.Seq++
-	h.announceSelf()
-	h.flushUpdates()
+	c.self.Targets = targets
+	c.self.Seq++
+	c.announceSelf()
+	c.flushUpdates()
 }
 
-func (h *Core) leave() {
-	h.self.State = Leaving
-	h.self.Seq++
-	h.announceSelf()
-	h.flushUpdates()
+func (c *Core) leave() {
+	c.self.State = Leaving
+	c.self.Seq++
+	c.announceSelf()
+	c.flushUpdates()
 }
 
-func (h *Core) queueUpdate(host string, from LinkID) {
-	h.updates[host] = true
-	h.updateFrom[host] = from
-	h.changed = true
+// queueUpdate marks a host's record for flooding over all links except from, the link
+// over which it arrived; 0 for a change made by this node.
+func (c *Core) queueUpdate(host string, from LinkID) {
+	c.pendingUpdates[host] = true
+	c.updateSource[host] = from
+	c.membersChanged = true
 }
 
-// merge takes one record from a peer.
-func (h *Core) merge(from LinkID, m Member) {
-	if m.Host == h.self.Host {
-		h.refuteSelf(m)
+// merge applies a record received from a peer.
+func (c *Core) merge(from LinkID, m Member) {
+	if m.Host == c.self.Host {
+		c.refuteSelf(m)
 		return
 	}
-	old := h.table.byHost[m.Host]
+	old := c.table.byHost[m.Host]
 	wasLive := old == nil || old.live()
-	if !h.table.put(h.now, m) {
+	if !c.table.put(c.now, m) {
 		return
 	}
 	if !m.live() && wasLive {
-		delete(h.lost, m.Host)
-		delete(h.version.seen, m.Host)
-		h.logDeparture(m)
+		delete(c.missingSince, m.Host)
+		delete(c.version.peerVersions, m.Host)
+		c.logDeparture(m)
 	}
-	h.queueUpdate(m.Host, from)
+	c.queueUpdate(m.Host, from)
 }
 
-func (h *Core) logDeparture(m Member) {
+func (c *Core) logDeparture(m Member) {
 	e := event.MemberDead
 	if m.State == Leaving {
 		e = event.MemberLeft
 	}
-	h.log(e, event.Fields{event.Subject: m.Host, "domain": m.Domain})
+	c.log(e, event.Fields{event.Subject: m.Host, "domain": m.Domain})
 }
 
-// refuteSelf answers what others hold of this node. A suspicion or an obituary
-// is objected to with a higher sequence; a record of a later incarnation that
-// is not ours can only be from before this process, with a clock ahead.
-func (h *Core) refuteSelf(m Member) {
-	if h.self.State == Leaving {
+// refuteSelf handles a record of this node that a peer sent. If the record says
+// suspected or dead, this node refutes it with a higher sequence number. A record with
+// a higher incarnation than this process's can only come from an earlier process whose
+// clock was ahead; this node then raises its own incarnation above it.
+func (c *Core) refuteSelf(m Member) {
+	if c.self.State == Leaving {
 		return
 	}
-	if m.Incarnation > h.self.Incarnation {
-		h.reincarnate(m.Incarnation)
+	if m.Incarnation > c.self.Incarnation {
+		c.raiseIncarnation(m.Incarnation)
 		return
 	}
-	if m.Incarnation < h.self.Incarnation {
+	if m.Incarnation < c.self.Incarnation {
 		return
 	}
-	if m.State != Alive && m.Seq >= h.self.Seq {
-		h.self.Seq = m.Seq + 1
-		h.announceSelf()
+	if m.State != Alive && m.Seq >= c.self.Seq {
+		c.self.Seq = m.Seq + 1
+		c.announceSelf()
 	}
 }
 
-func (h *Core) records(l *link, f Records) {
+func (c *Core) onRecords(l *link, f Records) {
 	for i := range f.Members {
-		h.merge(l.id, f.Members[i])
+		c.merge(l.id, f.Members[i])
 	}
 }
 
-// flushUpdates sends the records that changed since the last tick on every link
-// but the one that each came over. Gathering them for one tick turns the
-// return of a whole domain into a few frames.
-func (h *Core) flushUpdates() {
-	if len(h.updates) == 0 {
+// flushUpdates sends the records that changed since the last tick on every link except
+// the one over which each arrived. Batching them per tick means that the return of a
+// whole domain takes only a few frames.
+func (c *Core) flushUpdates() {
+	if len(c.pendingUpdates) == 0 {
 		return
 	}
-	hosts := make([]string, 0, len(h.updates))
-	for host := range h.updates {
+	hosts := make([]string, 0, len(c.pendingUpdates))
+	for host := range c.pendingUpdates {
 		hosts = append(hosts, host)
 	}
 	sort.Strings(hosts)
-	for _, l := range h.sortedLinks() {
-		if !l.lazy && !h.restricted(l) {
-			h.sendRecords(l, hosts, true)
+	for _, l := range c.sortedLinks() {
+		if !l.lazy && !c.introductionOnly(l) {
+			c.sendRecords(l, hosts, true)
 		}
 	}
-	clear(h.updates)
-	clear(h.updateFrom)
+	clear(c.pendingUpdates)
+	clear(c.updateSource)
 }
 
-// sendRecords sends the records of hosts in frames of bounded size; with
-// fresh set, not those that came over this very link.
-func (h *Core) sendRecords(l *link, hosts []string, fresh bool) {
+// sendRecords sends the records of hosts in frames of bounded size. If skipSource is
+// set, it omits pending updates that arrived over l.
+func (c *Core) sendRecords(l *link, hosts []string, skipSource bool) {
 	var batch []Member
 	for _, host := range hosts {
-		r := h.table.byHost[host]
-		if r == nil || (fresh && h.updateFrom[host] == l.id) {
+		r := c.table.byHost[host]
+		if r == nil || (skipSource && c.updateSource[host] == l.id) {
 			continue
 		}
 		batch = append(batch, r.Member)
 		if len(batch) == maxRecords {
-			h.send(l, Records{batch})
+			c.send(l, Records{batch})
 			batch = nil
 		}
 	}
 	if len(batch) > 0 {
-		h.send(l, Records{batch})
+		c.send(l, Records{batch})
 	}
 }
 
-func (h *Core) beat(l *link, f Beat) {
-	h.heardFresh(poll{version: f.Version, seen: f.Seen, at: h.ago(f.Fresh)})
-	h.sawUse(l, f.Version)
-	h.remoteFloor(l, f.Version)
+func (c *Core) onHeartbeat(l *link, f Heartbeat) {
+	c.onPeerPoll(poll{version: f.Version, cursor: f.Cursor, at: c.ago(f.HeadAge)})
+	c.recordPeerVersion(l, f.Version)
+	c.noteRemoteVersion(l, f.Version)
 	l.version = max(l.version, f.Version)
-	h.peerBehind(l, f.Version)
-	h.remembered(l, f.Version)
-	if f.Root == h.table.digestRoot() {
-		l.differs = 0
+	c.notifyIfBehind(l, f.Version)
+	c.confirmInDomain(l, f.Version)
+	if f.Root == c.table.rootDigest() {
+		l.digestMismatches = 0
 		return
 	}
-	l.differs++
-	if l.differs >= repairAfter && l.host < h.self.Host && !h.restricted(l) {
-		l.differs = 0
-		h.send(l, h.ownDigests())
+	l.digestMismatches++
+	if l.digestMismatches >= digestMismatchLimit && l.host < c.self.Host && !c.introductionOnly(l) {
+		l.digestMismatches = 0
+		c.send(l, c.ownDigests())
 	}
 }
 
-func (h *Core) ownDigests() Digests {
+func (c *Core) ownDigests() Digests {
 	var f Digests
-	for _, name := range h.table.names() {
-		d := h.table.domains[name]
+	for _, name := range c.table.names() {
+		d := c.table.domains[name]
 		f.Domains = append(f.Domains, DomainDigest{name, d.digest, d.count})
 	}
 	return f
 }
 
-// digests compares tables, domain by domain. A domain of which one side has
-// nothing is sent whole or asked for whole; of another that differs, the
-// listing of ranks goes first, since it is much smaller than the records.
-func (h *Core) digests(l *link, f Digests) {
-	if h.restricted(l) {
+// onDigests compares the peer's digests with the local table, domain by domain. A
+// domain that only this node has is sent whole. For any other domain that differs this
+// node sends a Listing, which is much smaller than the records; for a domain that it
+// does not have the Listing is empty, so that the peer sends all of its records.
+func (c *Core) onDigests(l *link, f Digests) {
+	if c.introductionOnly(l) {
 		return
 	}
-	theirs := make(map[string]DomainDigest, len(f.Domains))
+	remote := make(map[string]DomainDigest, len(f.Domains))
 	for _, d := range f.Domains {
-		theirs[d.Name] = d
-		own := h.table.domains[d.Name]
-		if own == nil || own.digest != d.Digest {
-			h.send(l, h.listingOf(d.Name))
+		remote[d.Name] = d
+		local := c.table.domains[d.Name]
+		if local == nil || local.digest != d.Digest {
+			c.send(l, c.newListing(d.Name))
 		}
 	}
-	for _, name := range h.table.names() {
-		if _, ok := theirs[name]; !ok {
-			h.sendRecords(l, h.hostsOf(name), false)
+	for _, name := range c.table.names() {
+		if _, ok := remote[name]; !ok {
+			c.sendRecords(l, c.hostsOf(name), false)
 		}
 	}
 }
 
-func (h *Core) hostsOf(name string) []string {
-	order := h.table.members(name)
+func (c *Core) hostsOf(name string) []string {
+	order := c.table.members(name)
 	hosts := make([]string, 0, len(order))
 	for _, r := range order {
 		hosts = append(hosts, r.Host)
@@ -210,11 +217,11 @@
 	return hosts
 }
 
-// listingOf lists all of a domain's records, tombstones included.
-func (h *Core) listingOf(name string) Listing {
+// newListing lists all records of a domain, tombstones included.
+func (c *Core) newListing(name string) Listing {
 	f := Listing{Domain: name}
-	for _, host := range h.hosts() {
-		r := h.table.byHost[host]
+	for _, host := range c.hosts() {
+		r := c.table.byHost[host]
 		if r.Domain == name {
 			f.Entries = append(f.Entries, Entry{r.Host, r.Incarnation, r.Seq, r.State})
 		}
@@ -222,65 +229,66 @@
 	return f
 }
 
-// listing answers with what the peer lacks and asks for what it has better.
-func (h *Core) listing(l *link, f Listing) {
+// onListing sends the records that the peer lacks or has in an older state, and
+// requests those that are newer on the peer's side.
+func (c *Core) onListing(l *link, f Listing) {
 	listed := make(map[string]bool, len(f.Entries))
-	var wants, better []string
+	var requested, newer []string
 	for _, e := range f.Entries {
 		listed[e.Host] = true
-		own := h.table.byHost[e.Host]
+		stored := c.table.byHost[e.Host]
 		switch {
-		case own == nil || e.rank().above(own.rank()):
-			wants = append(wants, e.Host)
-		case own.rank().above(e.rank()):
-			better = append(better, e.Host)
+		case stored == nil || e.rank().supersedes(stored.rank()):
+			requested = append(requested, e.Host)
+		case stored.rank().supersedes(e.rank()):
+			newer = append(newer, e.Host)
 		}
 	}
-	for _, host := range h.hostsOf(f.Domain) {
+	for _, host := range c.hostsOf(f.Domain) {
 		if !listed[host] {
-			better = append(better, host)
+			newer = append(newer, host)
 		}
 	}
-	h.sendRecords(l, better, false)
-	for len(wants) > 0 {
-		n := min(len(wants), maxWants)
-		h.send(l, Wants{wants[:n]})
-		wants = wants[n:]
+	c.sendRecords(l, newer, false)
+	for len(requested) > 0 {
+		n := min(len(requested), maxRequestedHosts)
+		c.send(l, RecordRequest{requested[:n]})
+		requested = requested[n:]
 	}
 }
 
-func (h *Core) wants(l *link, f Wants) { h.sendRecords(l, f.Hosts, false) }
+func (c *Core) onRecordRequest(l *link, f RecordRequest) { c.sendRecords(l, f.Hosts, false) }
 
-// tickMembers suspects neighbours that have no link, declares suspects dead
-// and forgets tombstones.
-func (h *Core) tickMembers() {
-	h.watchNeighbours()
-	h.removeDead()
-	if h.now.Before(h.nextSweep) {
+// tickMembers suspects neighbours that have no link, declares suspected members dead,
+// and deletes expired tombstones and dial states.
+func (c *Core) tickMembers() {
+	c.checkNeighbours()
+	c.declareDead()
+	if c.now.Before(c.nextSweep) {
 		return
 	}
-	h.nextSweep = h.now.Add(sweepEvery)
-	for _, host := range h.hosts() {
-		r := h.table.byHost[host]
-		if !r.live() && h.now.Sub(r.since) > forgetAfter && host != h.self.Host {
-			h.table.forget(host)
+	c.nextSweep = c.now.Add(sweepInterval)
+	for _, host := range c.hosts() {
+		r := c.table.byHost[host]
+		if !r.live() && c.now.Sub(r.since) > tombstoneTTL && host != c.self.Host {
+			c.table.forget(host)
 		}
 	}
-	for addr, d := range h.dials {
-		if !d.busy && h.now.Sub(d.nextAt) > time.Minute {
-			delete(h.dials, addr)
+	for addr, d := range c.dials {
+		if !d.inProgress && c.now.Sub(d.nextAt) > time.Minute {
+			delete(c.dials, addr)
 		}
 	}
 }
 
-// neighbours are the members of the own domain that should have a link with
-// this node, whichever side dials it.
-func (h *Core) neighbours() []*record {
-	i := h.position()
-	if i < 0 || h.self.State == Leaving {
+// neighbours returns the members of this node's domain that should have a link with
+// this node, whichever side dials.
+func (c *Core) neighbours() []*record {
+	i := c.orderIndex()
+	if i < 0 || c.self.State == Leaving {
 		return nil
 	}
-	order := h.table.members(h.self.Domain)
+	order := c.table.members(c.self.Domain)
 	var out []*record
 	add := func(j int) {
 		if j >= 0 && j < len(order) && j != i {
@@ -288,66 +296,69 @@
 		}
 	}
 	if i > 0 {
-		add((i - 1) / degree)
+		add((i - 1) / treeDegree)
 		add(i - 1)
 	}
 	add(i + 1)
-	for c := range degree {
-		add(degree*i + 1 + c)
+	for k := range treeDegree {
+		add(treeDegree*i + 1 + k)
 	}
 	return out
 }
 
-func (h *Core) watchNeighbours() {
-	near := make(map[string]bool)
-	for _, r := range h.neighbours() {
-		near[r.Host] = true
-		if h.byHost[r.Host] != nil {
+// checkNeighbours dials neighbours that have had no link for reverseDialDelay and
+// suspects those that have had none for suspectDelay.
+func (c *Core) checkNeighbours() {
+	current := make(map[string]bool)
+	for _, r := range c.neighbours() {
+		current[r.Host] = true
+		if c.linkByHost[r.Host] != nil {
 			continue
 		}
-		since, ok := h.lost[r.Host]
+		since, ok := c.missingSince[r.Host]
 		if !ok {
-			h.lost[r.Host] = h.now
+			c.missingSince[r.Host] = c.now
 			continue
 		}
-		if h.now.Sub(since) > reverseAfter {
-			// The other side should dial, but may have just been started by
-			// contacts that know nobody: it can't know that it should.
-			h.dial(r.Peer, r.Host, false)
+		if c.now.Sub(since) > reverseDialDelay {
+			// The other side has to dial, but if it has just started and its contacts
+			// know no other members, it does not know this node yet.
+			c.dial(r.PeerAddr, r.Host, false)
 		}
-		if h.now.Sub(since) > suspectAfter && r.State == Alive && h.now.Sub(r.since) > suspectAfter {
-			h.suspect(r)
+		if c.now.Sub(since) > suspectDelay && r.State == Alive && c.now.Sub(r.since) > suspectDelay {
+			c.suspect(r)
 		}
 	}
-	for host := range h.lost {
-		if !near[host] {
-			delete(h.lost, host)
+	for host := range c.missingSince {
+		if !current[host] {
+			delete(c.missingSince, host)
 		}
 	}
 }
 
-// suspect says that a member of the own domain can't be reached. It is said
-// in the member's own incarnation and sequence, so that the member's
-// objection, with a higher sequence, takes it back everywhere.
-func (h *Core) suspect(r *record) {
+// suspect marks a member of this node's domain as suspected, because it can't be
+// reached. The record keeps the member's incarnation and sequence number, so that the
+// member refutes it everywhere with a higher sequence number.
+func (c *Core) suspect(r *record) {
 	m := r.Member
 	m.State = Suspect
-	if h.table.put(h.now, m) {
-		h.queueUpdate(m.Host, 0)
-		h.log(event.MemberSuspect, event.Fields{event.Subject: m.Host, "domain": m.Domain})
+	if c.table.put(c.now, m) {
+		c.queueUpdate(m.Host, 0)
+		c.log(event.MemberSuspect, event.Fields{event.Subject: m.Host, "domain": m.Domain})
 	}
 }
 
-// removeDead declares suspects of the own domain dead. Other domains are left
-// to their own members, who hear of them first: a domain that is cut off as a
-// whole would otherwise be declared dead from afar, and keep nothing.
-func (h *Core) removeDead() {
-	for _, r := range h.table.members(h.self.Domain) {
-		if r.State != Suspect || h.now.Sub(r.since) < deadAfter || r.Host == h.self.Host {
+// declareDead declares suspected members of this node's domain dead. Members of other
+// domains are left to their own domain, which detects a failure first: otherwise a
+// domain that is cut off as a whole would be declared dead by the other domains and all
+// of its records would be lost there.
+func (c *Core) declareDead() {
+	for _, r := range c.table.members(c.self.Domain) {
+		if r.State != Suspect || c.now.Sub(r.since) < suspicionTimeout || r.Host == c.self.Host {
 			continue
 		}
 		m := r.Member
 		m.State = Dead
-		h.merge(0, m)
+		c.merge(0, m)
 	}
 }
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -1,49 +1,49 @@
-// Package peer is a node's share in the mesh: which members there are, which
-// version of the configuration is the newest, and how both reach every node.
+// Package peer implements a node's membership of the mesh: a gossip protocol that
+// replicates the member table and distributes versions of the configuration.
 //
-// The package is built like a state machine. A Core holds everything that a
-// node knows. Step takes one message, something that happened, and returns
-// commands, things to do:
+// A [Core] is a deterministic state machine. Step takes one event as a message and
+// returns the commands that follow from it:
 //
-//	h := peer.New(peer.Config{Self: me}, rand.New(rand.NewPCG(1, 2)), now)
-//	for _, c := range h.Step(now, peer.LinkUp{Link: 1, Hello: hello}) {
-//		// carry out c: dial, send, read the store, serve a version …
+//	c := peer.New(peer.Config{Self: me}, rand.New(rand.NewPCG(1, 2)), now)
+//	for _, cmd := range c.Step(now, peer.LinkUp{Link: 1, Hello: hello}) {
+//		// execute cmd: dial, send, read the store, serve a version …
 //	}
 //
-// A Core does no I/O, starts no goroutine and reads no clock, so a test can
-// drive hundreds of them through any order of events. The shell in links.go
-// does the I/O of one Core.
+// A Core does no I/O, starts no goroutine and reads no clock, so a test can drive
+// hundreds of Cores through any order of events. [Transport] does the I/O of one Core.
 //
 // # Links
 //
-// Nodes keep few, lasting links. Within a failure domain the live members
-// have an order that all of them compute alike (by a hash of the host's
-// name). The order is read as a tree of degree four, and as a chain: each
-// node dials its parent in the tree and its predecessor in the chain. The
-// first two of the order, the bridges, also link to the bridges of other
-// domains; between regions only the first two bridges of a region do, and the
-// second of these links stays quiet unless the first one fails to deliver.
+// Nodes keep a small number of long-lived connections, called links. The live members
+// of a failure domain are ordered by a hash of the host name, so all of them compute
+// the same order. This order defines a tree of degree four and a chain: each node dials
+// its parent in the tree and its predecessor in the chain. The first member in the
+// order is the root of the domain. The first two members, the bridges, also link to the
+// bridges of the other domains in their region. Between regions only two members of
+// each region, its gateways, keep links. Those of the second gateway are lazy: they
+// carry a version only if the first gateway's link has failed to deliver it.
 //
 // # Members
 //
-// A record belongs to one incarnation of one node. News of records floods
-// along the links; heartbeats carry a digest of the whole table, and where
-// two digests differ the two sides compare domain by domain and send each
-// other what is missing. A member whose neighbours lose it is suspected, may
-// object, and is declared dead if it doesn't.
+// A record describes one incarnation of one node. Changed records are flooded over the
+// links. Heartbeats carry a digest of the member table; if the digests of two nodes
+// differ, the nodes compare their tables domain by domain and exchange the missing
+// records (anti-entropy). A member that loses the links to its neighbours is suspected.
+// It refutes the suspicion with a higher sequence number, or is declared dead after a
+// timeout.
 //
 // # Versions
 //
-// A node that learns of a newer version, from a peer's notice or from the
-// head, fetches it from whoever told it, as a difference to the version that
-// it has. It is checked whole (hash, inventory) before it is used, then
-// announced on all other links. A version that is not above the one in use is
-// never used.
+// A node learns of a newer version from a peer or from the head, the row in the
+// platform's store that names the newest accepted version. It fetches the version from
+// a peer that has it, as a delta against its own, verifies hash and inventory, puts it
+// into use and announces it on its other links. A version that is not higher than the
+// one in use is never used.
 //
-// # What is in force
+// # Status
 //
-// Each node reports up the tree how many nodes below it use which version.
-// The first of the order has the whole domain's count and tells the other
+// Each node reports to its parent in the tree how many nodes of its subtree use which
+// version. The root has the counts of the whole domain and sends them to the other
 // domains.
 package peer
 
@@ -55,52 +55,56 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// TickEvery is how often a Core wants a Tick.
-const TickEvery = 100 * time.Millisecond
+// TickInterval is the interval at which a Core expects a Tick.
+const TickInterval = 100 * time.Millisecond
 
-// The times by which a Core decides.
+// Timeouts and intervals of the gossip protocol.
 const (
-	// beatEvery is the time between heartbeats on a link.
-	beatEvery = 2 * time.Second
-	// silentAfter is how long a link may be silent before it is closed: two
-	// heartbeats lost and some delay.
-	silentAfter = 5 * time.Second
-	// reverseAfter is how long a neighbour that should dial may be missing
-	// before this node dials it.
-	reverseAfter = time.Second
-	// suspectAfter is how long a neighbour may be without a link.
-	suspectAfter = 3 * time.Second
-	// deadAfter is how long a suspect has for its objection.
-	deadAfter = 4 * time.Second
-	// forgetAfter is how long a tombstone is kept.
-	forgetAfter = 10 * time.Minute
-	// staleAfter is how long a domain may be unheard of before it is stale.
-	staleAfter = 8 * time.Second
+	// heartbeatInterval is the interval between heartbeats on a link.
+	heartbeatInterval = 2 * time.Second
+	// linkSilenceTimeout is how long a link may be silent before it is closed: it
+	// allows for two lost heartbeats and some delay.
+	linkSilenceTimeout = 5 * time.Second
+	// reverseDialDelay is how long a node waits for a neighbour that has to dial it
+	// before it dials the neighbour itself.
+	reverseDialDelay = time.Second
+	// suspectDelay is how long a neighbour may be without a link before it is
+	// suspected.
+	suspectDelay = 3 * time.Second
+	// suspicionTimeout is how long a suspected member has to refute the suspicion
+	// before it is declared dead.
+	suspicionTimeout = 4 * time.Second
+	// tombstoneTTL is how long the record of a member that is dead or has left is kept.
+	tombstoneTTL = 10 * time.Minute
+	// domainStaleAfter is how long no frame may arrive from a domain before the domain
+	// counts as stale.
+	domainStaleAfter = 8 * time.Second
 )
 
-// Config is what a Core must be told.
+// Config holds the settings of a Core.
 type Config struct {
-	// Self is the node's own record, with its first incarnation.
+	// Self is the node's own record, with its initial incarnation.
 	Self Member
-	// Contacts are addresses of some peers, to find the others by.
+	// Contacts are addresses of some peers, used to join the mesh.
 	Contacts []string
-	// StoreRegion is the region of the platform's store, if known: its nodes
-	// do the regular reads, which then cost nothing on the paid link.
+	// StoreRegion is the region of the platform's store, if known. Nodes of this region
+	// do the regular reads of the head, so that these don't use the billed link between
+	// regions.
 	StoreRegion string
-	// Hosts is about how many nodes the mesh has. A node that starts together
-	// with all the others can't know it otherwise.
-	Hosts int
-	// Bootstrap is set when the whole mesh starts for the first time: nobody is
-	// there yet to be found.
+	// ExpectedHosts is the approximate number of nodes in the mesh. A node that starts
+	// at the same time as all the others can't determine it.
+	ExpectedHosts int
+	// Bootstrap is set if the whole mesh starts for the first time, so that there is no
+	// running peer to join.
 	Bootstrap bool
-	// HeadFed is set where the platform's adapter does the reading: the Core
-	// says who is to poll (Watch) and is told what was found (Committed,
-	// Polled). It then reads nothing itself.
-	HeadFed bool
+	// DelegatePolling is set if the platform adapter polls for changes. The Core then
+	// decides whether this node polls (Watch), receives the results (Committed, Polled)
+	// and does not read the head or the object store itself.
+	DelegatePolling bool
 }
 
-// Core is everything that a node knows and decides about its peers. Its zero
-// value is not useful; New makes one.
+// Core holds the state of one node's gossip protocol and makes its decisions. Use New
+// to make one; the zero value is not usable.
 type Core struct {
 	cfg  Config
 	rng  *rand.Rand
@@ -110,237 +114,241 @@
 	self  Member
 	table *table
 	links map[LinkID]*link
-	// byHost is the one link that is used for each linked host.
-	byHost map[string]*link
-	dials  map[string]*dialing
+	// linkByHost has the link in use for each linked host.
+	linkByHost map[string]*link
+	dials      map[string]*dialState
 
-	lost       map[string]time.Time // neighbours without a link, since when
-	updates    map[string]bool      // hosts whose records are still to be sent
-	updateFrom map[string]LinkID    // and the link that each came over
-	changed    bool                 // members changed since the last Publish
-	nextTry    time.Time            // next attempt at a contact or a tombstone
-	nextSweep  time.Time
+	missingSince   map[string]time.Time // since when a neighbour has had no link
+	pendingUpdates map[string]bool      // hosts whose records are still to be sent
+	updateSource   map[string]LinkID    // the link over which each pending record arrived
+	membersChanged bool                 // members changed since the last PublishMembers
+	nextRejoin     time.Time            // next attempt to link a contact or a dead member
+	nextSweep      time.Time
 
-	version versions
-	watch   watch
-	stored  contacts
-	report  reports
-	holds   holds
+	version  versions
+	watch    headWatch
+	contacts contactRows
+	reports  reports
+	crashes  crashTable
 }
 
 // link is one open link.
 type link struct {
-	id       LinkID
-	host     string
-	domain   string
-	region   string
-	outbound bool
-	lazy     bool
-	heardAt  time.Time
-	beatAt   time.Time // next heartbeat to send
-	openedAt time.Time
-	// differs counts the heartbeats in a row whose digest was not ours.
-	differs int
-	// version is the highest version that the peer is known to hold, told the
-	// one that it was last told of.
-	version uint64
-	told    uint64
-	toldAt  time.Time
-	// owed is when a lazy link is to be told of a version, if still needed.
-	owed time.Time
-	// introduces is until when the link only leads a newcomer to its own domain.
-	introduces time.Time
-	// unwanted is since when the topology has had no use for the link.
-	unwanted time.Time
+	id            LinkID
+	host          string
+	domain        string
+	region        string
+	outbound      bool
+	lazy          bool
+	lastReceived  time.Time
+	nextHeartbeat time.Time // when the next heartbeat is due
+	openedAt      time.Time
+	// digestMismatches counts consecutive heartbeats whose digest differed from the
+	// local one.
+	digestMismatches int
+	// version is the highest version that the peer is known to hold; announced is the
+	// version last announced to the peer, at announcedAt.
+	version     uint64
+	announced   uint64
+	announcedAt time.Time
+	// lazyNoticeAt is when a lazy link is sent a notice of the version in use, unless
+	// the peer has the version by then; zero if none is due.
+	lazyNoticeAt time.Time
+	// introductionUntil is the time until which the link is used only to introduce a
+	// starting node to its own domain.
+	introductionUntil time.Time
+	// unwantedSince is when the link ceased to be one that this node should have; zero
+	// if it should have it.
+	unwantedSince time.Time
 }
 
-// dialing is what is known of an address that links were sought to.
-type dialing struct {
-	host   string
-	busy   bool
-	fails  int
-	nextAt time.Time
+// dialState is the state of the dial attempts to one address.
+type dialState struct {
+	host       string
+	inProgress bool
+	failures   int       // consecutive failed attempts
+	nextAt     time.Time // earliest time of the next attempt
 }
 
-// New returns a Core that knows only itself and its contacts. rng decides
-// all that is spread at random.
+// New returns a Core whose member table holds only its own record. All random choices
+// use rng.
 func New(cfg Config, rng *rand.Rand, now time.Time) *Core {
-	h := &Core{
-		cfg:        cfg,
-		rng:        rng,
-		now:        now,
-		self:       cfg.Self,
-		table:      newTable(),
-		links:      make(map[LinkID]*link),
-		byHost:     make(map[string]*link),
-		dials:      make(map[string]*dialing),
-		lost:       make(map[string]time.Time),
-		updates:    make(map[string]bool),
-		updateFrom: make(map[string]LinkID),
-		changed:    true,
+	c := &Core{
+		cfg:            cfg,
+		rng:            rng,
+		now:            now,
+		self:           cfg.Self,
+		table:          newTable(),
+		links:          make(map[LinkID]*link),
+		linkByHost:     make(map[string]*link),
+		dials:          make(map[string]*dialState),
+		missingSince:   make(map[string]time.Time),
+		pendingUpdates: make(map[string]bool),
+		updateSource:   make(map[string]LinkID),
+		membersChanged: true,
 	}
-	h.version = newVersions()
-	h.watch = newWatch(now, h.jitter(joinSpread))
-	h.report = newReports()
-	h.holds = newHolds()
-	h.table.put(now, h.self)
-	return h
+	c.version = newVersions()
+	c.watch = newWatch(now, c.jitter(startJitter))
+	c.reports = newReports()
+	c.crashes = newCrashTable()
+	c.table.put(now, c.self)
+	return c
 }
 
-// Step takes what happened at now and returns what to do. Times must not go
-// back from one call to the next.
-func (h *Core) Step(now time.Time, m Msg) []Cmd {
-	h.now = now
-	h.cmds = nil
+// Step processes one message at time now and returns the resulting commands. now must
+// not decrease between calls.
+func (c *Core) Step(now time.Time, m Msg) []Cmd {
+	c.now = now
+	c.cmds = nil
 	switch m := m.(type) {
 	case Tick:
-		h.tick()
+		c.tick()
 	case LinkUp:
-		h.linkUp(m)
+		c.onLinkUp(m)
 	case LinkDown:
-		h.linkDown(m.Link)
+		c.onLinkDown(m.Link)
 	case DialFailed:
-		h.dialFailed(m)
+		c.onDialFailed(m)
 	case Received:
-		h.received(m)
+		c.onFrame(m)
 	case TargetsChanged:
-		h.targetsChanged(m.Targets)
+		c.onTargetsChanged(m.Targets)
 	case HeadRead:
-		h.headRead(m)
+		c.onHeadRead(m)
 	case ObjectRead:
-		h.objectRead(m)
+		c.onObjectRead(m)
 	case ContactsRead:
-		h.contactsRead(m)
+		c.onContactsRead(m)
 	case Committed:
-		h.committed(m)
+		c.onCommitted(m)
 	case Polled:
-		h.polled(m)
+		c.onPolled(m)
 	case PollFailed:
-		h.pollFailed()
+		c.onPollFailed()
 	case Crashed:
-		h.crashed(m)
+		c.onCrashed(m)
 	case Leave:
-		h.leave()
+		c.leave()
 	}
-	return h.cmds
+	return c.cmds
 }
 
-func (h *Core) do(c Cmd) { h.cmds = append(h.cmds, c) }
+func (c *Core) emit(cmd Cmd) { c.cmds = append(c.cmds, cmd) }
 
-func (h *Core) log(e event.Event, f event.Fields) { h.do(Log{e, f}) }
+func (c *Core) log(e event.Event, f event.Fields) { c.emit(Log{e, f}) }
 
-func (h *Core) send(l *link, f Frame) { h.do(Send{l.id, f}) }
+func (c *Core) send(l *link, f Frame) { c.emit(Send{l.id, f}) }
 
-// jitter is a random time below d.
-func (h *Core) jitter(d time.Duration) time.Duration {
-	return time.Duration(h.rng.Int64N(int64(d) + 1))
+// jitter returns a random duration from 0 to d.
+func (c *Core) jitter(d time.Duration) time.Duration {
+	return time.Duration(c.rng.Int64N(int64(d) + 1))
 }
 
-func (h *Core) tick() {
-	h.flushUpdates()
-	h.topology()
-	h.tickLinks()
-	h.tickMembers()
-	h.tickVersion()
-	h.tickWatch()
-	h.updateWatchRole()
-	h.tickContacts()
-	h.tickReport()
-	h.tickHolds()
-	if h.changed {
-		h.changed = false
-		h.do(Publish{h.members()})
+func (c *Core) tick() {
+	c.flushUpdates()
+	c.maintainLinks()
+	c.tickLinks()
+	c.tickMembers()
+	c.tickVersion()
+	c.tickWatch()
+	c.updatePollRole()
+	c.tickContacts()
+	c.tickReport()
+	c.tickCrashes()
+	if c.membersChanged {
+		c.membersChanged = false
+		c.emit(PublishMembers{c.liveMembers()})
 	}
 }
 
-// members copies the live members, this node included.
-func (h *Core) members() []Member {
-	out := make([]Member, 0, len(h.table.byHost))
-	for _, name := range h.table.names() {
-		for _, r := range h.table.members(name) {
+// liveMembers returns copies of the records of all live members, this node included.
+func (c *Core) liveMembers() []Member {
+	out := make([]Member, 0, len(c.table.byHost))
+	for _, name := range c.table.names() {
+		for _, r := range c.table.members(name) {
 			out = append(out, r.Member)
 		}
 	}
 	return out
 }
 
-func (h *Core) received(m Received) {
-	l := h.links[m.Link]
+func (c *Core) onFrame(m Received) {
+	l := c.links[m.Link]
 	if l == nil {
 		return
 	}
-	l.heardAt = h.now
-	h.table.domain(l.domain, l.region).heardAt = h.now
+	l.lastReceived = c.now
+	c.table.domain(l.domain, l.region).lastReceived = c.now
 	switch f := m.Frame.(type) {
-	case Beat:
-		h.beat(l, f)
+	case Heartbeat:
+		c.onHeartbeat(l, f)
 	case Digests:
-		h.digests(l, f)
+		c.onDigests(l, f)
 	case Listing:
-		h.listing(l, f)
-	case Wants:
-		h.wants(l, f)
+		c.onListing(l, f)
+	case RecordRequest:
+		c.onRecordRequest(l, f)
 	case Records:
-		h.records(l, f)
-	case Notice:
-		h.notice(l, f)
+		c.onRecords(l, f)
+	case VersionNotice:
+		c.onVersionNotice(l, f)
 	case Fetch:
-		h.fetch(l, f)
+		c.onFetch(l, f)
 	case Content:
-		h.content(l, f)
+		c.onContent(l, f)
 	case Report:
-		h.reported(l, f)
+		c.onReport(l, f)
 	case Summary:
-		h.summary(l, f)
-	case Hold:
-		h.hold(l, f)
-	case Have:
-		h.have(l, f)
-	case Known:
-		h.observeFloor(l.id, f.Version)
-	case Fresh:
-		h.fresh(l, f)
+		c.onSummary(l, f)
+	case CrashReport:
+		c.onCrashReport(l, f)
+	case VersionAck:
+		c.onVersionAck(l, f)
+	case FloorNotice:
+		c.raiseRemoteFloor(l.id, f.Version)
+	case PollNotice:
+		c.onPollNotice(l, f)
 	default:
-		// A second Hello on an open link is of no use to an honest peer.
-		h.log(event.PeerGarbage, event.Fields{event.Subject: l.host})
-		h.do(Close{l.id})
+		// A second Hello on an open link violates the protocol.
+		c.log(event.PeerGarbage, event.Fields{event.Subject: l.host})
+		c.emit(CloseLink{l.id})
 	}
 }
 
-func (h *Core) hello(l *link) Hello {
-	hi := Hello{
-		Member:  h.self,
-		Version: h.version.number,
-		Hash:    h.version.hash,
-		Fresh:   age(h.now, h.watch.freshAt),
-		Seen:    h.watch.seen,
-		Outside: h.version.outside,
-		Members: h.Members(),
+func (c *Core) newHello(l *link) Hello {
+	hello := Hello{
+		Member:      c.self,
+		Version:     c.version.number,
+		Hash:        c.version.hash,
+		HeadAge:     age(c.now, c.watch.headReadAt),
+		Cursor:      c.watch.cursor,
+		RemoteFloor: c.version.remoteFloor,
+		Members:     c.Members(),
 	}
 	if l != nil {
-		hi.Lazy = l.lazy
-		hi.Floor = h.version.seen[l.host]
-		hi.Domain = h.version.domains[l.domain]
-		if r := h.table.byHost[l.host]; r != nil {
-			hi.Known = r.Incarnation
+		hello.Lazy = l.lazy
+		hello.Floor = c.version.peerVersions[l.host]
+		hello.DomainFloor = c.version.domainVersions[l.domain]
+		if r := c.table.byHost[l.host]; r != nil {
+			hello.KnownIncarnation = r.Incarnation
 		}
 	}
-	return hi
+	return hello
 }
 
 // Version returns the version in use and its hash; 0 before the first.
-func (h *Core) Version() (uint64, snapshot.Hash) { return h.version.number, h.version.hash }
+func (c *Core) Version() (uint64, snapshot.Hash) { return c.version.number, c.version.hash }
 
-// Ready tells whether the node may serve: see versions.ready.
-func (h *Core) Ready() bool { return h.version.ready }
+// Ready reports whether the node may serve; see becomeReady.
+func (c *Core) Ready() bool { return c.version.ready }
 
-// Links returns how many links are open.
-func (h *Core) Links() int { return len(h.links) }
+// Links returns the number of open links.
+func (c *Core) Links() int { return len(c.links) }
 
-// Members returns how many live members are known, this node included.
-func (h *Core) Members() int {
+// Members returns the number of known live members, this node included.
+func (c *Core) Members() int {
 	n := 0
-	for _, d := range h.table.domains {
+	for _, d := range c.table.domains {
 		n += d.count
 	}
 	return n
--- a/briarrockd/peer/rules_test.go
+++ b/briarrockd/peer/rules_test.go
@@ -12,35 +12,35 @@
 )
 
 func member(host string) Member {
-	return Member{Host: host, Domain: "erie-a", Region: "erie", Peer: host + ":1", Call: host + ":2", Incarnation: 1}
+	return Member{Host: host, Domain: "erie-a", Region: "erie", PeerAddr: host + ":1", CallAddr: host + ":2", Incarnation: 1}
 }
 
-// lone is a Core with one link, to a peer of its domain.
-func lone(c *qt.C) (*Core, time.Time) {
+// linkedCore is a Core with one link, to a peer of its domain.
+func linkedCore(c *qt.C) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	c.Assert(h.Links(), qt.Equals, 1)
-	return h, now
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
+	c.Assert(core.Links(), qt.Equals, 1)
+	return core, now
 }
 
-func bytesOf(c *qt.C, n int) ([]byte, snapshot.Hash) {
+func encodeSample(c *qt.C, n int) ([]byte, snapshot.Hash) {
 	b, err := snapshot.Encode(sample(n))
 	c.Assert(err, qt.IsNil)
 	return b, snapshot.Sum(b)
 }
 
-func content(c *qt.C, version uint64, n int) Content {
-	b, hash := bytesOf(c, n)
+func fullContent(c *qt.C, version uint64, n int) Content {
+	b, hash := encodeSample(c, n)
 	p, err := snapshot.Pack(nil, b)
 	c.Assert(err, qt.IsNil)
 	return Content{Version: version, Hash: hash, Packed: p}
 }
 
-func used(cmds []Cmd) []uint64 {
+func servedVersions(cmds []Cmd) []uint64 {
 	var out []uint64
 	for _, c := range cmds {
-		if u, ok := c.(Use); ok {
+		if u, ok := c.(ServeVersion); ok {
 			out = append(out, u.Version)
 		}
 	}
@@ -56,15 +56,15 @@
 	return false
 }
 
-// serving is a Core that serves version 5.
-func serving(c *qt.C) (*Core, time.Time) {
-	h, now := lone(c)
-	b, hash := bytesOf(c, 5)
-	cmds := h.Step(now, Committed{Version: 5, Hash: hash, Content: b})
-	now = now.Add(confirmWithin)
-	cmds = append(cmds, h.Step(now, Tick{})...)
-	c.Assert(used(cmds), qt.DeepEquals, []uint64{5})
-	return h, now
+// servingCore is a Core that serves version 5.
+func servingCore(c *qt.C) (*Core, time.Time) {
+	core, now := linkedCore(c)
+	b, hash := encodeSample(c, 5)
+	cmds := core.Step(now, Committed{Version: 5, Hash: hash, Content: b})
+	now = now.Add(confirmTimeout)
+	cmds = append(cmds, core.Step(now, Tick{})...)
+	c.Assert(servedVersions(cmds), qt.DeepEquals, []uint64{5})
+	return core, now
 }
 
 // TestOlder offers an older version in every way that one can come: as a
@@ -75,24 +75,24 @@
 // it has.
 func TestOlder(t *testing.T) {
 	c := qt.New(t)
-	h, now := serving(c)
-	old := content(c, 4, 4)
-	oldBytes, oldHash := bytesOf(c, 4)
+	core, now := servingCore(c)
+	old := fullContent(c, 4, 4)
+	oldBytes, oldHash := encodeSample(c, 4)
 	push := old
 	push.Push = true
 	for _, m := range []Msg{
-		Received{1, Notice{Version: 4, Hash: oldHash}},
+		Received{1, VersionNotice{Version: 4, Hash: oldHash}},
 		Received{1, old},
 		Received{1, push},
 		HeadRead{Version: 4, Hash: oldHash},
 		ObjectRead{Hash: oldHash, Content: oldBytes},
 		Committed{Version: 4, Hash: oldHash, Content: oldBytes},
 	} {
-		cmds := h.Step(now, m)
-		cmds = append(cmds, h.Step(now.Add(time.Second), Tick{})...)
+		cmds := core.Step(now, m)
+		cmds = append(cmds, core.Step(now.Add(time.Second), Tick{})...)
 		now = now.Add(time.Second)
-		c.Check(used(cmds), qt.HasLen, 0, qt.Commentf("%T", m))
-		n, _ := h.Version()
+		c.Check(servedVersions(cmds), qt.HasLen, 0, qt.Commentf("%T", m))
+		n, _ := core.Version()
 		c.Check(n, qt.Equals, uint64(5), qt.Commentf("%T", m))
 	}
 }
@@ -101,24 +101,24 @@
 // is dropped whole, logged, and asked for again; the sound one is then used.
 func TestDamaged(t *testing.T) {
 	c := qt.New(t)
-	h, now := serving(c)
-	good := content(c, 6, 6)
-	h.Step(now, Received{1, Notice{Version: 6, Hash: good.Hash}})
+	core, now := servingCore(c)
+	good := fullContent(c, 6, 6)
+	core.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
 	short, flipped := good, good
 	short.Packed = good.Packed[:len(good.Packed)-3]
 	flipped.Packed = append([]byte(nil), good.Packed...)
 	flipped.Packed[len(flipped.Packed)/2] ^= 0x40
 	for _, bad := range []Content{short, flipped} {
-		cmds := h.Step(now, Received{1, bad})
-		c.Check(used(cmds), qt.HasLen, 0)
+		cmds := core.Step(now, Received{1, bad})
+		c.Check(servedVersions(cmds), qt.HasLen, 0)
 		c.Check(logged(cmds, event.VersionRefused), qt.IsTrue)
-		n, _ := h.Version()
+		n, _ := core.Version()
 		c.Check(n, qt.Equals, uint64(5))
 	}
 	strange := good
 	strange.Base = snapshot.Sum([]byte("unheard of"))
-	c.Check(used(h.Step(now, Received{1, strange})), qt.HasLen, 0)
-	c.Check(used(h.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
+	c.Check(servedVersions(core.Step(now, Received{1, strange})), qt.HasLen, 0)
+	c.Check(servedVersions(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
 // TestFalseNotice tells of a version that does not exist.
@@ -127,16 +127,16 @@
 // version, whose number is lower.
 func TestFalseNotice(t *testing.T) {
 	c := qt.New(t)
-	h, now := serving(c)
-	h.Step(now, Received{1, Notice{Version: 900, Hash: snapshot.Sum([]byte("nothing"))}})
+	core, now := servingCore(c)
+	core.Step(now, Received{1, VersionNotice{Version: 900, Hash: snapshot.Sum([]byte("nothing"))}})
 	for range 600 {
-		now = now.Add(TickEvery)
-		h.Step(now, Received{1, Beat{Version: 5}})
-		h.Step(now, Tick{})
+		now = now.Add(TickInterval)
+		core.Step(now, Received{1, Heartbeat{Version: 5}})
+		core.Step(now, Tick{})
 	}
-	good := content(c, 6, 6)
-	h.Step(now, Received{1, Notice{Version: 6, Hash: good.Hash}})
-	c.Check(used(h.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
+	good := fullContent(c, 6, 6)
+	core.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
+	c.Check(servedVersions(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
 // TestRank orders records as every node must.
@@ -154,7 +154,7 @@
 	}
 	for i, a := range order {
 		for j, b := range order {
-			c.Check(a.above(b), qt.Equals, i > j, qt.Commentf("%v above %v", a, b))
+			c.Check(a.supersedes(b), qt.Equals, i > j, qt.Commentf("%v above %v", a, b))
 		}
 	}
 }
@@ -164,35 +164,35 @@
 func TestClockBack(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Known: 900}, Addr: "b:1"})
-	c.Check(h.self.Incarnation, qt.Equals, uint64(901))
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), KnownIncarnation: 900}, Addr: "b:1"})
+	c.Check(core.self.Incarnation, qt.Equals, uint64(901))
 	// Hearing of itself as of later still does the same.
 	m := member("a")
 	m.Incarnation = 2000
-	h.Step(now, Received{1, Records{[]Member{m}}})
-	c.Check(h.self.Incarnation, qt.Equals, uint64(2001))
+	core.Step(now, Received{1, Records{[]Member{m}}})
+	c.Check(core.self.Incarnation, qt.Equals, uint64(2001))
 }
 
 // TestAlone is a node that reaches nobody: it never serves anything.
 func TestAlone(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), Contacts: []string{"b:1"}}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a"), Contacts: []string{"b:1"}}, rand.New(rand.NewPCG(1, 1)), now)
 	for range 600 {
-		now = now.Add(TickEvery)
-		for _, cmd := range h.Step(now, Tick{}) {
+		now = now.Add(TickInterval)
+		for _, cmd := range core.Step(now, Tick{}) {
 			switch cmd := cmd.(type) {
 			case Dial:
-				h.Step(now, DialFailed{Addr: cmd.Addr, Refused: true})
+				core.Step(now, DialFailed{Addr: cmd.Addr, Refused: true})
 			case ReadHead:
-				h.Step(now, HeadRead{Err: errDown})
-			case Use:
+				core.Step(now, HeadRead{Err: errStoreDown})
+			case ServeVersion:
 				t.Fatal("serves something")
 			}
 		}
 	}
-	c.Check(h.Ready(), qt.IsFalse)
+	c.Check(core.Ready(), qt.IsFalse)
 }
 
 // TestContacts starts a node whose settings name hosts that are all replaced.
@@ -202,37 +202,37 @@
 func TestContacts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a"), Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
 	asked, dialed := 0, false
 	for range 300 {
-		now = now.Add(TickEvery)
-		for _, cmd := range h.Step(now, Tick{}) {
+		now = now.Add(TickInterval)
+		for _, cmd := range core.Step(now, Tick{}) {
 			switch cmd := cmd.(type) {
 			case Dial:
 				dialed = dialed || cmd.Addr == "new:1"
-				h.Step(now, DialFailed{Addr: cmd.Addr})
+				core.Step(now, DialFailed{Addr: cmd.Addr})
 			case ReadContacts:
 				asked++
-				h.Step(now, ContactsRead{Addrs: []string{"new:1"}})
+				core.Step(now, ContactsRead{Addrs: []string{"new:1"}})
 			}
 		}
 	}
 	c.Check(dialed, qt.IsTrue)
 	c.Check(asked <= 3, qt.IsTrue, qt.Commentf("asked %d times in 30 s", asked))
 
-	h, now = lone(c)
+	core, now = linkedCore(c)
 	var left []string
 	for range 100 {
-		now = now.Add(TickEvery)
-		h.Step(now, Received{1, Beat{}})
-		for _, cmd := range h.Step(now, Tick{}) {
+		now = now.Add(TickInterval)
+		core.Step(now, Received{1, Heartbeat{}})
+		for _, cmd := range core.Step(now, Tick{}) {
 			if w, ok := cmd.(WriteContacts); ok {
 				c.Check(left, qt.IsNil)
 				left = w.Addrs
 			}
 		}
 	}
-	if h.isRoot() {
+	if core.isRoot() {
 		c.Check(left, qt.HasLen, 2)
 	} else {
 		c.Check(left, qt.IsNil)
@@ -249,17 +249,17 @@
 	c := qt.New(t)
 	for _, storeUp := range []bool{true, false} {
 		now := time.Unix(1000, 0)
-		h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-		old, next := content(c, 4, 4), content(c, 5, 5)
+		core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+		old, next := fullContent(c, 4, 4), fullContent(c, 5, 5)
 		var served []uint64
 		step := func(m Msg) {
-			served = append(served, used(h.Step(now, m))...)
+			served = append(served, servedVersions(core.Step(now, m))...)
 		}
 		step(Tick{})
 		step(LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: old.Hash}, Addr: "b:1"})
 		step(Received{1, old})
 		for range 20 {
-			now = now.Add(TickEvery)
+			now = now.Add(TickInterval)
 			step(Tick{})
 		}
 		c.Check(served, qt.HasLen, 0)
@@ -267,11 +267,11 @@
 			step(HeadRead{Version: 5, Hash: next.Hash})
 			step(Received{1, next})
 		} else {
-			step(HeadRead{Err: errDown})
+			step(HeadRead{Err: errStoreDown})
 		}
 		for range 20 {
-			now = now.Add(TickEvery)
-			step(Received{1, Beat{Version: 4}})
+			now = now.Add(TickInterval)
+			step(Received{1, Heartbeat{Version: 4}})
 			step(Tick{})
 		}
 		want := []uint64{4}
@@ -288,24 +288,24 @@
 func TestForgetful(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	other := "b"
 	for score(other) < score("a") {
 		other += "b" // the neighbour comes after us, and so is the one to dial
 	}
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member(other)}})
-	c.Assert(h.isRoot(), qt.IsTrue)
-	h.Step(now, LinkDown{1})
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member(other)}})
+	c.Assert(core.isRoot(), qt.IsTrue)
+	core.Step(now, LinkDown{1})
 	dialed := time.Duration(0)
 	for range 40 {
-		now = now.Add(TickEvery)
-		for _, cmd := range h.Step(now, Tick{}) {
+		now = now.Add(TickInterval)
+		for _, cmd := range core.Step(now, Tick{}) {
 			if d, ok := cmd.(Dial); ok && d.Addr == other+":1" && dialed == 0 {
 				dialed = now.Sub(time.Unix(1000, 0))
 			}
 		}
 	}
-	c.Check(dialed > 0 && dialed < suspectAfter, qt.IsTrue, qt.Commentf("after %v", dialed))
+	c.Check(dialed > 0 && dialed < suspectDelay, qt.IsTrue, qt.Commentf("after %v", dialed))
 }
 
 // TestLostDomain loses a whole domain for good.
@@ -316,21 +316,21 @@
 func TestLostDomain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	far := member("z")
 	far.Domain = "superior-a"
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: far}, Addr: "z:1"})
-	h.Step(now, Received{1, Summary{Domain: "superior-a", Region: "superior", At: 1, Members: 1}})
-	h.Step(now, LinkDown{1})
-	now = now.Add(forgetDomain - time.Minute)
-	h.Step(now, Tick{})
-	c.Check(h.Members(), qt.Equals, 2)
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: far}, Addr: "z:1"})
+	core.Step(now, Received{1, Summary{Domain: "superior-a", Region: "superior", At: 1, Members: 1}})
+	core.Step(now, LinkDown{1})
+	now = now.Add(domainForgetAfter - time.Minute)
+	core.Step(now, Tick{})
+	c.Check(core.Members(), qt.Equals, 2)
 	now = now.Add(2 * time.Minute)
-	h.Step(now, Tick{})
-	c.Check(h.Members(), qt.Equals, 1)
+	core.Step(now, Tick{})
+	c.Check(core.Members(), qt.Equals, 1)
 	far.Seq = 1
-	h.Step(now, LinkUp{Link: 2, Hello: Hello{Member: far}})
-	c.Check(h.Members(), qt.Equals, 2)
+	core.Step(now, LinkUp{Link: 2, Hello: Hello{Member: far}})
+	c.Check(core.Members(), qt.Equals, 2)
 }
 
 // TestFrames checks that each frame comes back as it was sent, and that
@@ -339,19 +339,19 @@
 	c := qt.New(t)
 	for _, f := range []Frame{
 		Hello{Member: member("a"), Version: 3},
-		Beat{Root: 1},
+		Heartbeat{Root: 1},
 		Digests{},
 		Listing{Domain: "a"},
-		Wants{},
+		RecordRequest{},
 		Records{[]Member{member("a")}},
-		Notice{Version: 9},
+		VersionNotice{Version: 9},
 		Fetch{},
 		Content{Packed: []byte("x")},
 		Report{},
 		Summary{Domain: "a"},
-		Hold{Print: 4},
-		Known{2},
-		Have{3},
+		CrashReport{Print: 4},
+		FloorNotice{2},
+		VersionAck{3},
 	} {
 		b, err := EncodeFrame(f)
 		c.Assert(err, qt.IsNil)
@@ -359,7 +359,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Check(back.code(), qt.Equals, f.code())
 	}
-	for _, b := range [][]byte{nil, {0}, {200}, {codeBeat}, {codeBeat, 0xff}, {codeRecords, 0xa1, 1, 0x81, 0xa0}} {
+	for _, b := range [][]byte{nil, {0}, {200}, {codeHeartbeat}, {codeHeartbeat, 0xff}, {codeRecords, 0xa1, 1, 0x81, 0xa0}} {
 		_, err := DecodeFrame(b)
 		c.Check(err, qt.Equals, ErrFrame)
 	}
@@ -370,14 +370,14 @@
 func FuzzFrame(f *testing.F) {
 	for _, x := range []Frame{
 		Hello{Member: member("a")},
-		Beat{Root: 1, Version: 4},
+		Heartbeat{Root: 1, Version: 4},
 		Records{[]Member{member("c")}},
 		Listing{Domain: "erie-a", Entries: []Entry{{"c", 1, 0, Dead}}},
-		Notice{Version: 9},
+		VersionNotice{Version: 9},
 		Content{Version: 9, Packed: []byte{1}},
-		Report{Counts: []Count{{1, 2}}},
+		Report{Counts: []VersionCount{{1, 2}}},
 		Summary{Domain: "x", At: 5},
-		Hold{Print: 1, Service: "s"},
+		CrashReport{Print: 1, Service: "s"},
 		Fetch{Version: 5},
 	} {
 		b, err := EncodeFrame(x)
@@ -391,9 +391,9 @@
 		if err != nil {
 			return
 		}
-		h, now := lone(qt.New(t))
-		h.Step(now, Received{1, frame})
-		h.Step(now.Add(time.Second), Tick{})
+		core, now := linkedCore(qt.New(t))
+		core.Step(now, Received{1, frame})
+		core.Step(now.Add(time.Second), Tick{})
 	})
 }
 
@@ -406,24 +406,24 @@
 func TestOtherHost(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	old, fresh := member("old"), member("new")
-	fresh.Peer = old.Peer
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	h.Step(now, Received{1, Records{[]Member{old, fresh}}})
+	fresh.PeerAddr = old.PeerAddr
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
+	core.Step(now, Received{1, Records{[]Member{old, fresh}}})
 	dials, id := 0, LinkID(1)
 	for range 30 {
-		now = now.Add(TickEvery)
-		for _, cmd := range h.Step(now, Tick{}) {
-			if d, ok := cmd.(Dial); ok && d.Addr == old.Peer {
+		now = now.Add(TickInterval)
+		for _, cmd := range core.Step(now, Tick{}) {
+			if d, ok := cmd.(Dial); ok && d.Addr == old.PeerAddr {
 				dials++
 				id++
-				h.Step(now, LinkUp{Link: id, Hello: Hello{Member: fresh}, Addr: old.Peer})
+				core.Step(now, LinkUp{Link: id, Hello: Hello{Member: fresh}, Addr: old.PeerAddr})
 			}
 		}
 	}
 	c.Check(dials <= 2, qt.IsTrue, qt.Commentf("%d dials in three seconds", dials))
-	c.Check(h.byHost["new"], qt.Not(qt.IsNil))
+	c.Check(core.linkByHost["new"], qt.Not(qt.IsNil))
 }
 
 // TestHoldClear lets word of crashes and word that the request has run to its end
@@ -439,20 +439,20 @@
 		r := newRing(5)
 		rng := rand.New(rand.NewPCG(seed, 1))
 		for range 3 {
-			r.happens(rng.IntN(5), Crashed{Print: 7, Service: "posting"})
-			r.pass(rng, rng.IntN(8))
-			r.happens(rng.IntN(5), Crashed{Print: 7, Service: "posting", Clear: true})
-			r.pass(rng, rng.IntN(8))
+			r.deliver(rng.IntN(5), Crashed{Print: 7, Service: "posting"})
+			r.deliverFrames(rng, rng.IntN(8))
+			r.deliver(rng.IntN(5), Crashed{Print: 7, Service: "posting", Clear: true})
+			r.deliverFrames(rng, rng.IntN(8))
 		}
-		c.Assert(r.pass(rng, 1000) < 200, qt.IsTrue, qt.Commentf("seed %d goes on", seed))
+		c.Assert(r.deliverFrames(rng, 1000) < 200, qt.IsTrue, qt.Commentf("seed %d goes on", seed))
 
 		// A request that goes on crashing targets is held back all the same.
 		for _, i := range []int{1, 3} {
-			r.happens(i, Crashed{Print: 7, Service: "posting"})
+			r.deliver(i, Crashed{Print: 7, Service: "posting"})
 		}
-		r.pass(rng, 1000)
-		for _, h := range r.hearts {
-			c.Assert(h.holds.list(), qt.HasLen, 1, qt.Commentf("seed %d", seed))
+		r.deliverFrames(rng, 1000)
+		for _, core := range r.cores {
+			c.Assert(core.crashes.heldRequests(), qt.HasLen, 1, qt.Commentf("seed %d", seed))
 		}
 	}
 }
@@ -460,62 +460,62 @@
 // ring is some Cores, each linked to the next and the last one, and the frames
 // about crashes that are on their way.
 type ring struct {
-	now    time.Time
-	hearts []*Core
-	way    []ringFrame
+	now      time.Time
+	cores    []*Core
+	inFlight []ringFrame
 }
 
 // ringFrame is a frame on its way to a node over one of its two links.
 type ringFrame struct {
 	to   int
 	link LinkID
-	f    Hold
+	f    CrashReport
 }
 
 func newRing(n int) *ring {
 	r := &ring{now: time.Unix(1000, 0)}
 	name := func(i int) string { return string(rune('a' + (i+n)%n)) }
 	for i := range n {
-		h := New(Config{Self: member(name(i))}, rand.New(rand.NewPCG(uint64(i), 1)), r.now)
+		core := New(Config{Self: member(name(i))}, rand.New(rand.NewPCG(uint64(i), 1)), r.now)
 		for link, j := range []int{i + 1, i - 1} {
-			h.Step(r.now, LinkUp{Link: LinkID(link + 1), Hello: Hello{Member: member(name(j))}, Addr: name(j) + ":1"})
+			core.Step(r.now, LinkUp{Link: LinkID(link + 1), Hello: Hello{Member: member(name(j))}, Addr: name(j) + ":1"})
 		}
-		r.hearts = append(r.hearts, h)
+		r.cores = append(r.cores, core)
 	}
 	return r
 }
 
-// happens gives a node a message and puts what it sends on the way.
-func (r *ring) happens(i int, m Msg) {
-	n := len(r.hearts)
-	for _, x := range r.hearts[i].Step(r.now, m) {
+// deliver gives a node a message and puts what it sends on the way.
+func (r *ring) deliver(i int, m Msg) {
+	n := len(r.cores)
+	for _, x := range r.cores[i].Step(r.now, m) {
 		s, _ := x.(Send)
-		f, ok := s.Frame.(Hold)
+		f, ok := s.Frame.(CrashReport)
 		switch {
 		case !ok:
 		case s.Link == 1:
-			r.way = append(r.way, ringFrame{(i + 1) % n, 2, f})
+			r.inFlight = append(r.inFlight, ringFrame{(i + 1) % n, 2, f})
 		default:
-			r.way = append(r.way, ringFrame{(i + n - 1) % n, 1, f})
+			r.inFlight = append(r.inFlight, ringFrame{(i + n - 1) % n, 1, f})
 		}
 	}
 }
 
-// pass delivers up to most frames, those of one link in their order, and returns
+// deliverFrames delivers up to most frames, those of one link in their order, and returns
 // how many there were.
-func (r *ring) pass(rng *rand.Rand, most int) int {
+func (r *ring) deliverFrames(rng *rand.Rand, most int) int {
 	n := 0
-	for ; n < most && len(r.way) > 0; n++ {
-		at := rng.IntN(len(r.way))
-		for i, x := range r.way[:at] {
-			if x.to == r.way[at].to && x.link == r.way[at].link {
+	for ; n < most && len(r.inFlight) > 0; n++ {
+		at := rng.IntN(len(r.inFlight))
+		for i, x := range r.inFlight[:at] {
+			if x.to == r.inFlight[at].to && x.link == r.inFlight[at].link {
 				at = i
 				break
 			}
 		}
-		x := r.way[at]
-		r.way = append(r.way[:at], r.way[at+1:]...)
-		r.happens(x.to, Received{x.link, x.f})
+		x := r.inFlight[at]
+		r.inFlight = append(r.inFlight[:at], r.inFlight[at+1:]...)
+		r.deliver(x.to, Received{x.link, x.f})
 	}
 	return n
 }
--- a/briarrockd/peer/topology.go
+++ b/briarrockd/peer/topology.go
@@ -8,169 +8,173 @@
 	"briarrock.example/mesh/event"
 )
 
-// The shape of the graph of links.
+// Limits of the link graph.
 const (
-	// degree is the number of children of a node in its domain's tree.
-	degree = 4
-	// bridges is the number of members of a domain that link to other domains.
-	bridges = 2
-	// maxLinks bounds the links of a node, those that peers open included.
+	// treeDegree is the number of children of a node in the tree of its domain.
+	treeDegree = 4
+	// bridgesPerDomain is the number of members of a domain that link to other domains,
+	// and of gateways per region.
+	bridgesPerDomain = 2
+	// maxLinks is the maximum number of links of a node, inbound ones included.
 	maxLinks = 512
 )
 
-// The times by which links are sought and given up.
+// Timeouts and intervals of dialing and closing links.
 const (
-	dialFirst    = 100 * time.Millisecond
-	maxDialPause = 5 * time.Second
-	// linger is how long a link stays that the topology has no more use for.
-	linger = 5 * time.Second
-	// tryEvery is the mean time between attempts at contacts that are not
-	// known as members, and at members that were declared dead. These are
-	// what heals a partition after which the two sides have forgotten each
-	// other.
-	tryEvery = 10 * time.Second
-	// isolatedDials is how many contacts a node without links tries at each tick:
-	// some of them may be gone, and an attempt at these takes seconds.
+	minDialBackoff = 100 * time.Millisecond
+	maxDialBackoff = 5 * time.Second
+	// unusedLinkTimeout is how long a link is kept after it has ceased to be one that
+	// this node should have.
+	unusedLinkTimeout = 5 * time.Second
+	// rejoinInterval is the mean interval between attempts to link contacts that are
+	// not known as members and members that were declared dead. These attempts heal a
+	// partition whose sides have deleted each other's records.
+	rejoinInterval = 10 * time.Second
+	// isolatedDials is how many addresses a node without links dials per tick: some of
+	// the hosts may be gone, and a dial to one of these takes seconds to fail.
 	isolatedDials = 3
-	// joinSpread spreads out first attempts when many nodes start at once.
-	joinSpread = 300 * time.Millisecond
+	// startJitter spreads the first attempts of nodes that start at the same time.
+	startJitter = 300 * time.Millisecond
 )
 
-// desiredLink is a link that this node should have and has to dial.
+// desiredLink is a link that this node should have and has to dial itself.
 type desiredLink struct {
 	addr string
 	host string
 	lazy bool
 }
 
-// position is this node's place in the order of its domain, -1 if it has none.
-func (h *Core) position() int {
-	for i, r := range h.table.members(h.self.Domain) {
-		if r.Host == h.self.Host {
+// orderIndex returns this node's position in the order of its domain, or -1 if it is
+// not in it.
+func (c *Core) orderIndex() int {
+	for i, r := range c.table.members(c.self.Domain) {
+		if r.Host == c.self.Host {
 			return i
 		}
 	}
 	return -1
 }
 
-// parent is the member that this node reports to; nil at the root.
-func (h *Core) parent() *record {
-	i := h.position()
+// parent returns this node's parent in the tree of its domain; nil for the root.
+func (c *Core) parent() *record {
+	i := c.orderIndex()
 	if i <= 0 {
 		return nil
 	}
-	return h.table.members(h.self.Domain)[(i-1)/degree]
+	return c.table.members(c.self.Domain)[(i-1)/treeDegree]
 }
 
-// root is the first member of this node's domain.
-func (h *Core) root() *record {
-	order := h.table.members(h.self.Domain)
+// root returns the first member in the order of this node's domain.
+func (c *Core) root() *record {
+	order := c.table.members(c.self.Domain)
 	if len(order) == 0 {
 		return nil
 	}
 	return order[0]
 }
 
-func (h *Core) isRoot() bool { return h.position() == 0 }
+func (c *Core) isRoot() bool { return c.orderIndex() == 0 }
 
-// desiredLinks lists the links that this node has to dial.
-func (h *Core) desiredLinks() []desiredLink {
-	i := h.position()
+// desiredLinks returns the links that this node has to dial.
+func (c *Core) desiredLinks() []desiredLink {
+	i := c.orderIndex()
 	if i < 0 {
 		return nil
 	}
-	order := h.table.members(h.self.Domain)
+	order := c.table.members(c.self.Domain)
 	var out []desiredLink
 	if i > 0 {
-		out = append(out, desiredLink{addr: order[(i-1)/degree].Peer, host: order[(i-1)/degree].Host})
-		if (i-1)/degree != i-1 {
-			out = append(out, desiredLink{addr: order[i-1].Peer, host: order[i-1].Host})
+		out = append(out, desiredLink{addr: order[(i-1)/treeDegree].PeerAddr, host: order[(i-1)/treeDegree].Host})
+		if (i-1)/treeDegree != i-1 {
+			out = append(out, desiredLink{addr: order[i-1].PeerAddr, host: order[i-1].Host})
 		}
 	}
-	if i < bridges {
-		out = append(out, h.domainLinks(i)...)
+	if i < bridgesPerDomain {
+		out = append(out, c.interDomainLinks(i)...)
 	}
-	return append(out, h.interRegionLinks()...)
+	return append(out, c.interRegionLinks()...)
 }
 
-// domainLinks links bridge i to bridge i of each domain of the region that
-// sorts after this one; those before it dial this one.
-func (h *Core) domainLinks(i int) []desiredLink {
+// interDomainLinks returns the links from bridge i of this domain to bridge i of each
+// domain of the region whose name sorts after this one's. Domains that sort before it
+// dial this one.
+func (c *Core) interDomainLinks(i int) []desiredLink {
 	var out []desiredLink
-	for _, name := range h.table.names() {
-		if name <= h.self.Domain || h.table.domains[name].region != h.self.Region {
+	for _, name := range c.table.names() {
+		if name <= c.self.Domain || c.table.domains[name].region != c.self.Region {
 			continue
 		}
-		if r := h.pick(name, i); r != nil {
-			out = append(out, desiredLink{addr: r.Peer, host: r.Host})
+		if r := c.pickMember(name, i); r != nil {
+			out = append(out, desiredLink{addr: r.PeerAddr, host: r.Host})
 		}
 	}
 	return out
 }
 
-// interRegionLinks links the carriers of this region to those of each region that
-// sorts after it. The second carrier's links are lazy: they carry news only
-// when the first one's fail to.
-func (h *Core) interRegionLinks() []desiredLink {
-	own := h.carriers(h.self.Region)
-	i := slices.IndexFunc(own, func(r *record) bool { return r.Host == h.self.Host })
+// interRegionLinks returns the links from the gateways of this region to those of each
+// region whose name sorts after this one's. The second gateway's links are lazy: they
+// carry a version only if the first gateway's link has not delivered it.
+func (c *Core) interRegionLinks() []desiredLink {
+	own := c.gateways(c.self.Region)
+	i := slices.IndexFunc(own, func(r *record) bool { return r.Host == c.self.Host })
 	if i < 0 {
 		return nil
 	}
 	var out []desiredLink
-	for _, region := range h.regions() {
-		if region <= h.self.Region {
+	for _, region := range c.regions() {
+		if region <= c.self.Region {
 			continue
 		}
-		theirs := h.carriers(region)
-		if len(theirs) == 0 {
+		remote := c.gateways(region)
+		if len(remote) == 0 {
 			continue
 		}
-		r := theirs[min(i, len(theirs)-1)]
-		out = append(out, desiredLink{addr: r.Peer, host: r.Host, lazy: i > 0})
+		r := remote[min(i, len(remote)-1)]
+		out = append(out, desiredLink{addr: r.PeerAddr, host: r.Host, lazy: i > 0})
 	}
 	return out
 }
 
-// carriers are the up to two members that keep a region's links to other
-// regions: the first of its first two domains, or the first two of its only
-// one. A domain that has not been heard of gives none if another can.
-func (h *Core) carriers(region string) []*record {
+// gateways returns the members, at most two, that keep a region's links to other
+// regions: the first members of the region's first two domains, or the first two
+// members if it has only one domain. A stale domain provides a gateway only if the
+// others don't provide two.
+func (c *Core) gateways(region string) []*record {
 	var out []*record
 	for pass := range 2 {
-		for _, name := range h.table.names() {
-			d := h.table.domains[name]
-			if d.region != region || h.stale(d) != (pass == 1) {
+		for _, name := range c.table.names() {
+			d := c.table.domains[name]
+			if d.region != region || c.isStale(d) != (pass == 1) {
 				continue
 			}
-			if r := h.pick(name, 0); r != nil {
+			if r := c.pickMember(name, 0); r != nil {
 				out = append(out, r)
 			}
 		}
 	}
 	if len(out) == 1 {
-		if r := h.pick(out[0].Domain, 1); r != nil && r.Host != out[0].Host {
+		if r := c.pickMember(out[0].Domain, 1); r != nil && r.Host != out[0].Host {
 			out = append(out, r)
 		}
 	}
-	if len(out) > bridges {
-		out = out[:bridges]
+	if len(out) > bridgesPerDomain {
+		out = out[:bridgesPerDomain]
 	}
 	return out
 }
 
-// stale tells whether this node, as one that should hear of the domain, has
-// not done so for too long. Members that hold no link to a domain never learn
-// of it first hand, so for them no domain is stale.
-func (h *Core) stale(d *domain) bool {
-	if d.name == h.self.Domain || d.heardAt.IsZero() {
+// isStale reports whether this node has no link to the domain and has received no frame
+// from it for longer than domainStaleAfter. A node that has never had a link to a domain
+// can't judge this, so for it the domain is never stale.
+func (c *Core) isStale(d *domain) bool {
+	if d.name == c.self.Domain || d.lastReceived.IsZero() {
 		return false
 	}
-	return h.now.Sub(d.heardAt) > staleAfter && !h.linked(d.name)
+	return c.now.Sub(d.lastReceived) > domainStaleAfter && !c.linkedToDomain(d.name)
 }
 
-func (h *Core) linked(name string) bool {
-	for _, l := range h.byHost {
+func (c *Core) linkedToDomain(name string) bool {
+	for _, l := range c.linkByHost {
 		if l.domain == name {
 			return true
 		}
@@ -178,11 +182,11 @@
 	return false
 }
 
-func (h *Core) regions() []string {
+func (c *Core) regions() []string {
 	seen := make(map[string]bool)
 	var out []string
-	for _, name := range h.table.names() {
-		region := h.table.domains[name].region
+	for _, name := range c.table.names() {
+		region := c.table.domains[name].region
 		if !seen[region] {
 			seen[region] = true
 			out = append(out, region)
@@ -192,266 +196,272 @@
 	return out
 }
 
-// pick takes member i of a domain; while that can't be linked to, another one
-// at random. So a domain whose first members all died unheard, while it was
-// cut off, is still found again.
-func (h *Core) pick(name string, i int) *record {
-	order := h.table.members(name)
+// pickMember returns member i of a domain. If two dials to another domain's member i
+// have failed, it returns another member, a different one after each further failure.
+// This finds a domain again whose first members have all died while it was cut off, when
+// no record of their deaths could arrive.
+func (c *Core) pickMember(name string, i int) *record {
+	order := c.table.members(name)
 	if len(order) == 0 {
 		return nil
 	}
 	r := order[min(i, len(order)-1)]
-	d := h.dials[r.Peer]
-	if d == nil || d.fails < 2 || h.byHost[r.Host] != nil || name == h.self.Domain {
+	d := c.dials[r.PeerAddr]
+	if d == nil || d.failures < 2 || c.linkByHost[r.Host] != nil || name == c.self.Domain {
 		return r
 	}
-	return order[(i+d.fails)%len(order)]
+	return order[(i+d.failures)%len(order)]
 }
 
-// topology dials what is desired and closes what is not.
-func (h *Core) topology() {
-	if h.self.State == Leaving {
+// maintainLinks dials the links that this node should have and closes those that it
+// should not.
+func (c *Core) maintainLinks() {
+	if c.self.State == Leaving {
 		return
 	}
 	wanted := make(map[string]bool)
-	for _, r := range h.neighbours() {
+	for _, r := range c.neighbours() {
 		wanted[r.Host] = true
 	}
-	for _, w := range h.desiredLinks() {
+	for _, w := range c.desiredLinks() {
 		wanted[w.host] = true
-		if l := h.byHost[w.host]; l != nil {
+		if l := c.linkByHost[w.host]; l != nil {
 			l.lazy = l.outbound && w.lazy
 			continue
 		}
-		h.dial(w.addr, w.host, w.lazy)
+		c.dial(w.addr, w.host, w.lazy)
 	}
-	h.rejoin()
-	for _, l := range h.sortedLinks() {
-		h.release(l, wanted[l.host])
+	c.rejoin()
+	for _, l := range c.sortedLinks() {
+		c.closeUnwanted(l, wanted[l.host])
 	}
 }
 
-// release closes a link that this node opened and has no use for any more.
-func (h *Core) release(l *link, wanted bool) {
-	if wanted || !l.outbound || len(h.links) == 1 {
-		l.unwanted = time.Time{}
+// closeUnwanted closes an outbound link once it has been unwanted for
+// unusedLinkTimeout. The only link of a node is never closed.
+func (c *Core) closeUnwanted(l *link, wanted bool) {
+	if wanted || !l.outbound || len(c.links) == 1 {
+		l.unwantedSince = time.Time{}
 		return
 	}
-	if l.unwanted.IsZero() {
-		l.unwanted = h.now
+	if l.unwantedSince.IsZero() {
+		l.unwantedSince = c.now
 		return
 	}
-	if h.now.Sub(l.unwanted) >= linger {
-		h.do(Close{l.id})
+	if c.now.Sub(l.unwantedSince) >= unusedLinkTimeout {
+		c.emit(CloseLink{l.id})
 	}
 }
 
-// rejoin seeks links beyond the topology: contacts that are not known
-// as members, often while there is no link at all, and the dead of the own
-// domain, who may have declared us dead too.
-func (h *Core) rejoin() {
-	alone := len(h.links) == 0
-	if !alone && h.now.Before(h.nextTry) {
+// rejoin dials addresses beyond the desired links: contacts that are not known as
+// members, or any contact while this node has no link, and dead members of its own
+// domain, which may have declared this node dead as well.
+func (c *Core) rejoin() {
+	isolated := len(c.links) == 0
+	if !isolated && c.now.Before(c.nextRejoin) {
 		return
 	}
-	if !alone {
-		h.nextTry = h.now.Add(tryEvery/2 + h.jitter(tryEvery))
+	if !isolated {
+		c.nextRejoin = c.now.Add(rejoinInterval/2 + c.jitter(rejoinInterval))
 	}
 	var addrs []string
 	known := make(map[string]bool)
-	for _, host := range h.hosts() {
-		r := h.table.byHost[host]
+	for _, host := range c.hosts() {
+		r := c.table.byHost[host]
 		if r.live() {
-			known[r.Peer] = true
-		} else if r.State == Dead && r.Domain == h.self.Domain {
-			addrs = append(addrs, r.Peer)
+			known[r.PeerAddr] = true
+		} else if r.State == Dead && r.Domain == c.self.Domain {
+			addrs = append(addrs, r.PeerAddr)
 		}
 	}
-	for _, addr := range slices.Concat(h.cfg.Contacts, h.stored.addrs) {
-		if addr != h.self.Peer && (alone || !known[addr]) {
+	for _, addr := range slices.Concat(c.cfg.Contacts, c.contacts.addrs) {
+		if addr != c.self.PeerAddr && (isolated || !known[addr]) {
 			addrs = append(addrs, addr)
 		}
 	}
 	n := 1
-	if alone {
+	if isolated {
 		n = isolatedDials
 	}
 	for range min(n, len(addrs)) {
-		h.dial(addrs[h.rng.IntN(len(addrs))], "", false)
+		c.dial(addrs[c.rng.IntN(len(addrs))], "", false)
 	}
 }
 
-// hosts returns the hosts of the table in a fixed order, so that a seed
-// replays to the same run.
-func (h *Core) hosts() []string {
-	out := make([]string, 0, len(h.table.byHost))
-	for host := range h.table.byHost {
+// hosts returns the hosts of the table in sorted order, so that a run can be replayed
+// from its seed.
+func (c *Core) hosts() []string {
+	out := make([]string, 0, len(c.table.byHost))
+	for host := range c.table.byHost {
 		out = append(out, host)
 	}
 	sort.Strings(out)
 	return out
 }
 
-func (h *Core) dial(addr, host string, lazy bool) {
-	d := h.dials[addr]
+// dial opens a link to addr, unless an attempt is in progress or the backoff after a
+// failure has not elapsed. host is the host expected there; empty if unknown.
+func (c *Core) dial(addr, host string, lazy bool) {
+	d := c.dials[addr]
 	if d == nil {
-		d = &dialing{nextAt: h.now}
-		if len(h.links) > 0 {
-			d.nextAt = h.now.Add(h.jitter(dialFirst))
+		d = &dialState{nextAt: c.now}
+		if len(c.links) > 0 {
+			d.nextAt = c.now.Add(c.jitter(minDialBackoff))
 		}
-		h.dials[addr] = d
+		c.dials[addr] = d
 	}
 	if host != "" {
 		d.host = host
 	}
-	if d.busy || h.now.Before(d.nextAt) {
+	if d.inProgress || c.now.Before(d.nextAt) {
 		return
 	}
-	d.busy = true
+	d.inProgress = true
 	to := &link{host: host, lazy: lazy}
-	if r := h.table.byHost[host]; r != nil {
+	if r := c.table.byHost[host]; r != nil {
 		to.domain = r.Domain
 	}
-	h.do(Dial{Addr: addr, Hello: h.hello(to)})
+	c.emit(Dial{Addr: addr, Hello: c.newHello(to)})
 }
 
-func (h *Core) dialFailed(m DialFailed) {
-	d := h.dials[m.Addr]
+func (c *Core) onDialFailed(m DialFailed) {
+	d := c.dials[m.Addr]
 	if d == nil {
 		return
 	}
-	d.busy = false
-	d.fails++
-	wait := min(dialFirst<<min(d.fails, 10), maxDialPause)
-	d.nextAt = h.now.Add(wait/2 + h.jitter(wait/2))
-	// A host on which nobody listens has no process: waiting out the usual
-	// time would only send it calls that are bound to fail.
-	r := h.table.byHost[d.host]
-	if m.Refused && d.fails >= 2 && r != nil && r.State == Alive && r.Domain == h.self.Domain {
-		h.suspect(r)
+	d.inProgress = false
+	d.failures++
+	wait := min(minDialBackoff<<min(d.failures, 10), maxDialBackoff)
+	d.nextAt = c.now.Add(wait/2 + c.jitter(wait/2))
+	// If nobody listens at the address, the process is gone. Waiting for suspectDelay
+	// would only route calls to the host that are bound to fail.
+	r := c.table.byHost[d.host]
+	if m.Refused && d.failures >= 2 && r != nil && r.State == Alive && r.Domain == c.self.Domain {
+		c.suspect(r)
 	}
 }
 
-func (h *Core) linkUp(m LinkUp) {
-	hi := m.Hello
-	if m.Addr != "" && h.otherHost(m) {
-		h.do(Close{m.Link})
+func (c *Core) onLinkUp(m LinkUp) {
+	hello := m.Hello
+	if m.Addr != "" && c.addressReused(m) {
+		c.emit(CloseLink{m.Link})
 		return
 	}
-	if hi.Member.Host == h.self.Host || len(h.links) >= maxLinks {
-		h.do(Close{m.Link})
+	if hello.Member.Host == c.self.Host || len(c.links) >= maxLinks {
+		c.emit(CloseLink{m.Link})
 		return
 	}
-	h.linkReplace(hi.Member.Host)
+	c.replaceLink(hello.Member.Host)
 	l := &link{
-		id: m.Link, host: hi.Member.Host, domain: hi.Member.Domain, region: hi.Member.Region,
-		outbound: m.Addr != "", lazy: m.Addr == "" && hi.Lazy, heardAt: h.now, openedAt: h.now,
-		beatAt: h.now.Add(h.jitter(beatEvery)), version: hi.Version,
-	}
-	h.links[l.id] = l
-	h.byHost[l.host] = l
-	delete(h.lost, l.host)
-	h.table.domain(l.domain, l.region).heardAt = h.now
-	h.log(event.LinkUp, event.Fields{event.Subject: l.host})
+		id: m.Link, host: hello.Member.Host, domain: hello.Member.Domain, region: hello.Member.Region,
+		outbound: m.Addr != "", lazy: m.Addr == "" && hello.Lazy, lastReceived: c.now, openedAt: c.now,
+		nextHeartbeat: c.now.Add(c.jitter(heartbeatInterval)), version: hello.Version,
+	}
+	c.links[l.id] = l
+	c.linkByHost[l.host] = l
+	delete(c.missingSince, l.host)
+	c.table.domain(l.domain, l.region).lastReceived = c.now
+	c.log(event.LinkUp, event.Fields{event.Subject: l.host})
 	if !l.outbound {
-		h.do(Greet{l.id, h.hello(l)})
+		c.emit(SendHello{l.id, c.newHello(l)})
 	}
-	h.greeted(l, hi)
+	c.onHello(l, hello)
 }
 
-// otherHost notes who has answered at an address. It tells whether that is
-// another host than the one that was sought, with which there is a link already.
+// addressReused records which host answered at a dialed address. It reports whether
+// that is a different host than the one dialed and already has a link with this node.
 //
-// Addresses are used again. The record of the host that had one before lives on
-// for some seconds, and each link to it comes up as one to its successor. Taken
-// for a success it would be sought at once again, at each tick, and each of the
-// links would replace the last one, with all that a new link costs. That another
-// host answers also says that the old one's process is gone.
-func (h *Core) otherHost(m LinkUp) bool {
-	answers := m.Hello.Member.Host
-	d := h.dials[m.Addr]
-	h.dials[m.Addr] = &dialing{host: answers}
-	if d == nil || d.host == "" || d.host == answers {
+// Addresses are reused. The record of an address's previous host stays in the table for
+// some seconds, and each link dialed for it reaches the new host. If that counted as
+// success, the address would be dialed again at each tick, and each of these links
+// would replace the previous one, with the full cost of a new link. An answer from a
+// different host also shows that the previous host's process is gone.
+func (c *Core) addressReused(m LinkUp) bool {
+	host := m.Hello.Member.Host
+	d := c.dials[m.Addr]
+	c.dials[m.Addr] = &dialState{host: host}
+	if d == nil || d.host == "" || d.host == host {
 		return false
 	}
-	h.dials[m.Addr].nextAt = h.now.Add(maxDialPause)
-	if r := h.table.byHost[d.host]; r != nil && r.State == Alive && r.Domain == h.self.Domain {
-		h.suspect(r)
+	c.dials[m.Addr].nextAt = c.now.Add(maxDialBackoff)
+	if r := c.table.byHost[d.host]; r != nil && r.State == Alive && r.Domain == c.self.Domain {
+		c.suspect(r)
 	}
-	return h.byHost[answers] != nil
+	return c.linkByHost[host] != nil
 }
 
-// greeted takes in what the peer's hello says.
-func (h *Core) greeted(l *link, hi Hello) {
-	h.reincarnate(hi.Known)
-	h.merge(l.id, hi.Member)
-	h.heardFresh(poll{version: hi.Version, seen: hi.Seen, at: h.ago(hi.Fresh)})
-	h.raiseFloor(hi.Floor)
-	h.raiseFloor(hi.Domain)
-	h.sawUse(l, hi.Version)
-	h.remoteFloor(l, hi.Version)
-	if l.domain == h.self.Domain {
-		h.observeFloor(l.id, hi.Outside)
-	}
-	h.heardVersion(l, hi.Version, hi.Hash)
-	if h.introduces(l, hi) {
-		l.introduces = h.now.Add(introduceFor)
-		h.introduce(l)
+// onHello processes the Hello of a peer.
+func (c *Core) onHello(l *link, hello Hello) {
+	c.raiseIncarnation(hello.KnownIncarnation)
+	c.merge(l.id, hello.Member)
+	c.onPeerPoll(poll{version: hello.Version, cursor: hello.Cursor, at: c.ago(hello.HeadAge)})
+	c.raiseFloor(hello.Floor)
+	c.raiseFloor(hello.DomainFloor)
+	c.recordPeerVersion(l, hello.Version)
+	c.noteRemoteVersion(l, hello.Version)
+	if l.domain == c.self.Domain {
+		c.raiseRemoteFloor(l.id, hello.RemoteFloor)
+	}
+	c.onPeerVersion(l, hello.Version, hello.Hash)
+	if c.shouldIntroduce(l, hello) {
+		l.introductionUntil = c.now.Add(introductionPeriod)
+		c.introduce(l)
 		return
 	}
-	if l.host < h.self.Host {
-		h.send(l, h.ownDigests())
+	if l.host < c.self.Host {
+		c.send(l, c.ownDigests())
 	}
-	h.sendReport()
-	h.sendSummaries(l)
+	c.sendReport()
+	c.sendSummaries(l)
 }
 
-// linkReplace closes an older link to the same host: the peer opened a new
-// one because the old one is dead to it.
-func (h *Core) linkReplace(host string) {
-	if old := h.byHost[host]; old != nil {
-		h.do(Close{old.id})
-		h.drop(old)
+// replaceLink closes an older link to the same host. The peer has opened a new one
+// because on its side the old one is closed.
+func (c *Core) replaceLink(host string) {
+	if old := c.linkByHost[host]; old != nil {
+		c.emit(CloseLink{old.id})
+		c.removeLink(old)
 	}
 }
 
-func (h *Core) linkDown(id LinkID) {
-	l := h.links[id]
+func (c *Core) onLinkDown(id LinkID) {
+	l := c.links[id]
 	if l == nil {
 		return
 	}
-	h.log(event.LinkDown, event.Fields{event.Subject: l.host})
-	h.drop(l)
+	c.log(event.LinkDown, event.Fields{event.Subject: l.host})
+	c.removeLink(l)
 }
 
-func (h *Core) drop(l *link) {
-	delete(h.links, l.id)
-	if h.byHost[l.host] == l {
-		delete(h.byHost, l.host)
-		h.reportLost(l.host)
+func (c *Core) removeLink(l *link) {
+	delete(c.links, l.id)
+	if c.linkByHost[l.host] == l {
+		delete(c.linkByHost, l.host)
+		c.removeReport(l.host)
 	}
-	h.version.linkGone(l.id)
+	c.version.removeSource(l.id)
 }
 
-// tickLinks sends heartbeats and closes links that have gone silent.
-func (h *Core) tickLinks() {
-	for _, l := range h.sortedLinks() {
-		if h.now.Sub(l.heardAt) > silentAfter {
-			h.do(Close{l.id})
-			h.drop(l)
+// tickLinks sends heartbeats and closes links on which nothing has arrived for
+// linkSilenceTimeout.
+func (c *Core) tickLinks() {
+	for _, l := range c.sortedLinks() {
+		if c.now.Sub(l.lastReceived) > linkSilenceTimeout {
+			c.emit(CloseLink{l.id})
+			c.removeLink(l)
 			continue
 		}
-		if h.now.Before(l.beatAt) {
+		if c.now.Before(l.nextHeartbeat) {
 			continue
 		}
-		l.beatAt = h.now.Add(beatEvery)
-		h.send(l, Beat{Root: h.table.digestRoot(), Version: h.version.number, Fresh: age(h.now, h.watch.freshAt), Seen: h.watch.seen})
+		l.nextHeartbeat = c.now.Add(heartbeatInterval)
+		c.send(l, Heartbeat{Root: c.table.rootDigest(), Version: c.version.number, HeadAge: age(c.now, c.watch.headReadAt), Cursor: c.watch.cursor})
 	}
 }
 
-func (h *Core) sortedLinks() []*link {
-	out := make([]*link, 0, len(h.links))
-	for _, l := range h.links {
+func (c *Core) sortedLinks() []*link {
+	out := make([]*link, 0, len(c.links))
+	for _, l := range c.links {
 		out = append(out, l)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].id < out[j].id })
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -97,7 +97,7 @@
 		t.refuse(w, c, nil, Refuse{Kind: kind.Drain})
 		return
 	}
-	if c.fingerprint != 0 && t.deps.CrashCount(c.fingerprint) >= peer.HoldAt {
+	if c.fingerprint != 0 && t.deps.CrashCount(c.fingerprint) >= peer.HoldThreshold {
 		t.refuse(w, c, x, Refuse{Kind: kind.Held})
 		return
 	}
