--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -48,7 +48,7 @@
 	d := i % slopeDomains
 	return peer.Member{
 		Host: fmt.Sprintf("host-%04d", i), Domain: fmt.Sprintf("domain-%02d", d), Region: fmt.Sprintf("region-%d", d/4),
-		Peer: fmt.Sprintf("10.%d.%d.%d:7103", d, i/250, i%250), Call: fmt.Sprintf("10.%d.%d.%d:7102", d, i/250, i%250),
+		PeerAddr: fmt.Sprintf("10.%d.%d.%d:7103", d, i/250, i%250), CallAddr: fmt.Sprintf("10.%d.%d.%d:7102", d, i/250, i%250),
 		Incarnation: 1796256000000 + uint64(i), Targets: []peer.Target{{Service: fmt.Sprintf("service-%03d", i%170), Slots: 6}},
 	}
 }
@@ -64,7 +64,7 @@
 
 func (s *slopeNode) step(m peer.Msg) {
 	for _, c := range s.heart.Step(s.now, m) {
-		if p, ok := c.(peer.Publish); ok {
+		if p, ok := c.(peer.PublishMembers); ok {
 			s.members = p.Members
 		}
 	}
@@ -135,7 +135,7 @@
 			return 0, 0, errors.WithStack(err)
 		}
 		version++
-		f := peer.Content{Version: version, Hash: snapshot.Sum(b), Base: snapshot.Sum(base), Packed: p, Push: true, Out: true}
+		f := peer.Content{Version: version, Hash: snapshot.Sum(b), Base: snapshot.Sum(base), Packed: p, Push: true, HeldRemotely: true}
 		frames, snaps = append(frames, f), append(snaps, snap)
 		base, size = b, frameSize(f)
 	}
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -64,7 +64,7 @@
 	metrics *metrics.Set
 	keys    *keys.Keys
 
-	peers     *peer.Links
+	peers     *peer.Transport
 	targets   *target.Targets
 	proxy     *caller.Proxy
 	claims    *claim.Claims
@@ -190,10 +190,10 @@
 		Hedge: d.Platform != nil,
 	})
 	n.follow = newFollow(n.tell, n.log)
-	n.peers = peer.NewLinks(n.peerConfig(), peer.Deps{
-		Store: st, Log: n.log, Metrics: n.metrics, Keys: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
-		Dial: d.Dial, Claims: n.claims.CommitForwarded,
-		Hooks: peer.Hooks{Use: n.use, Publish: n.publish, Held: n.held, Watch: n.follow.set},
+	n.peers = peer.NewTransport(n.peerConfig(), peer.Deps{
+		Store: st, Log: n.log, Metrics: n.metrics, Credentials: n.peerKeys(), Listener: n.listeners[peers], Seed: rand.Uint64(),
+		Dial: d.Dial, CommitClaims: n.claims.CommitForwarded,
+		Hooks: peer.Hooks{ServeVersion: n.use, PublishMembers: n.publish, HeldRequest: n.held, Watch: n.follow.set},
 	})
 	n.operators = operator.New(operator.Deps{
 		Host: n.cfg.Host, Store: st, Peers: n.peers, Log: n.log, Metrics: n.metrics,
@@ -234,8 +234,8 @@
 
 // handClaims passes claims on to the node that gathers those of the domain.
 func (n *Node) handClaims(ctx context.Context, orders []byte) ([]byte, error) {
-	b, err := n.peers.HandClaims(ctx, orders)
-	if errors.Is(err, peer.ErrNoRoot) {
+	b, err := n.peers.ForwardClaims(ctx, orders)
+	if errors.Is(err, peer.ErrNotForwarded) {
 		return nil, claim.ErrCommitLocally
 	}
 	return b, errors.WithStack(err)
@@ -244,14 +244,14 @@
 // shareClaims gives the claims their part of what the platform can do.
 func (n *Node) shareClaims() {
 	committers := 1
-	n.peers.Ask(func(h *peer.Core) { _, committers = h.Committers() })
+	n.peers.WithCore(func(h *peer.Core) { _, committers = h.Committers() })
 	n.claims.SetCommitters(committers)
 }
 
 // tell passes a message to the Core; before there is one, nothing can happen.
 func (n *Node) tell(m peer.Msg) {
 	if n.peers != nil {
-		n.peers.Tell(m)
+		n.peers.Post(m)
 	}
 }
 
@@ -260,18 +260,18 @@
 	return peer.Config{
 		Self: peer.Member{
 			Host: n.cfg.Host, Domain: n.cfg.Domain, Region: n.cfg.Region,
-			Peer: addr, Call: call, Incarnation: uint64(time.Now().UnixMilli()),
+			PeerAddr: addr, CallAddr: call, Incarnation: uint64(time.Now().UnixMilli()),
 		},
-		Contacts:    n.cfg.Contacts,
-		StoreRegion: n.cfg.Platform.Region,
-		Hosts:       n.cfg.ExpectedHosts,
-		HeadFed:     n.platform.Watch != nil,
-		Bootstrap:   n.platform.Bootstrap,
+		Contacts:        n.cfg.Contacts,
+		StoreRegion:     n.cfg.Platform.Region,
+		ExpectedHosts:   n.cfg.ExpectedHosts,
+		DelegatePolling: n.platform.Watch != nil,
+		Bootstrap:       n.platform.Bootstrap,
 	}
 }
 
 // use takes a version from the Core.
-func (n *Node) use(u peer.Use) {
+func (n *Node) use(u peer.ServeVersion) {
 	n.targets.Configure(u.Snapshot)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -283,7 +283,7 @@
 }
 
 // publish takes the members from the Core.
-func (n *Node) publish(p peer.Publish) {
+func (n *Node) publish(p peer.PublishMembers) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.members = p.Members
@@ -305,7 +305,7 @@
 	n.proxy.SetTable(caller.NewTable(n.version, n.snap, n.members))
 }
 
-func (n *Node) held(h peer.Held) {
+func (n *Node) held(h peer.HeldRequest) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h.Crashes == 0 {
@@ -347,7 +347,7 @@
 func (n *Node) Settings() settings.Settings { return n.cfg }
 
 // Peers returns the node's side towards its peers.
-func (n *Node) Peers() *peer.Links { return n.peers }
+func (n *Node) Peers() *peer.Transport { return n.peers }
 
 // Metrics returns the node's metrics.
 func (n *Node) Metrics() *metrics.Set { return n.metrics }
@@ -384,7 +384,7 @@
 		}
 		next = time.Now().Add(sweepEvery)
 		leads := false
-		n.peers.Ask(func(h *peer.Core) { leads = h.Leads() })
+		n.peers.WithCore(func(h *peer.Core) { leads = h.IsLeader() })
 		if leads {
 			_, _ = n.claims.Sweep(n.ctx, time.Now()) // what is left is for the next time
 		}
--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -9,24 +9,24 @@
 	"storj.io/drpc/drpcconn"
 )
 
-// gatherFrom is the number of members from which on a domain's claims are
+// minForwardingDomain is the number of members from which on a domain's claims are
 // gathered by its first node. Below it, every node's own transactions are few
 // enough, and a hop less is worth more.
-const gatherFrom = 8
+const minForwardingDomain = 8
 
-// ErrNoRoot says that there is nobody to hand claims to: this node is to
+// ErrNotForwarded says that there is nobody to hand claims to: this node is to
 // commit them, or the one that gathers could not be connected to.
-var ErrNoRoot = errors.New("peer: no node gathers")
+var ErrNotForwarded = errors.New("peer: no node gathers")
 
-// rootConn is a lasting connection to the first node of the domain. A drpc
+// claimsConn is a lasting connection to the first node of the domain. A drpc
 // connection carries one call at a time, and there is one batch at a time.
-type rootConn struct {
+type claimsConn struct {
 	mu   sync.Mutex
 	addr string
 	rpc  *drpcconn.Conn
 }
 
-func (c *rootConn) close() {
+func (c *claimsConn) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rpc != nil {
@@ -37,49 +37,49 @@
 
 // Committers returns the address of the node that gathers this one's claims,
 // empty for this node itself, and how many nodes of the mesh commit claims.
-func (h *Core) Committers() (string, int) {
+func (c *Core) Committers() (string, int) {
 	n := 0
-	for _, d := range h.table.domains {
-		if d.count >= gatherFrom {
+	for _, d := range c.table.domains {
+		if d.count >= minForwardingDomain {
 			n++
 		} else {
 			n += d.count
 		}
 	}
-	r := h.root()
-	if r == nil || r.Host == h.self.Host || len(h.table.members(h.self.Domain)) < gatherFrom {
+	r := c.root()
+	if r == nil || r.Host == c.self.Host || len(c.table.members(c.self.Domain)) < minForwardingDomain {
 		return "", n
 	}
-	return r.Peer, n
+	return r.PeerAddr, n
 }
 
-// HandClaims sends claims to the node that gathers them. Its error is
-// ErrNoRoot if nothing was sent.
-func (s *Links) HandClaims(ctx context.Context, orders []byte) ([]byte, error) {
+// ForwardClaims sends claims to the node that gathers them. Its error is
+// ErrNotForwarded if nothing was sent.
+func (t *Transport) ForwardClaims(ctx context.Context, orders []byte) ([]byte, error) {
 	addr := ""
-	s.Ask(func(h *Core) { addr, _ = h.Committers() })
+	t.WithCore(func(core *Core) { addr, _ = core.Committers() })
 	if addr == "" {
-		return nil, ErrNoRoot
+		return nil, ErrNotForwarded
 	}
-	s.root.mu.Lock()
-	defer s.root.mu.Unlock()
-	rpc, err := s.rootRPC(ctx, addr)
+	t.claimsConn.mu.Lock()
+	defer t.claimsConn.mu.Unlock()
+	rpc, err := t.claimsRPC(ctx, addr)
 	if err != nil {
-		return nil, ErrNoRoot
+		return nil, ErrNotForwarded
 	}
-	out := new(blob)
-	if err := rpc.Invoke(ctx, rpcClaims, encoding{}, &blob{orders}, out); err != nil {
+	out := new(rawMessage)
+	if err := rpc.Invoke(ctx, rpcClaims, rawEncoding{}, &rawMessage{orders}, out); err != nil {
 		_ = rpc.Close()
-		s.root.rpc = nil
+		t.claimsConn.rpc = nil
 		return nil, errors.Wrap(err, "peer: claims")
 	}
 	return out.bytes, nil
 }
 
-// rootRPC returns the lasting connection, opened anew if the first node is
+// claimsRPC returns the lasting connection, opened anew if the first node is
 // another one or the connection has ended.
-func (s *Links) rootRPC(ctx context.Context, addr string) (*drpcconn.Conn, error) {
-	c := &s.root
+func (t *Transport) claimsRPC(ctx context.Context, addr string) (*drpcconn.Conn, error) {
+	c := &t.claimsConn
 	if c.rpc != nil && c.addr == addr && !isClosed(c.rpc) {
 		return c.rpc, nil
 	}
@@ -87,11 +87,11 @@
 		_ = c.rpc.Close()
 		c.rpc = nil
 	}
-	conn, err := s.connect(ctx, addr)
+	conn, err := t.connect(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	conn.far(Member{Domain: s.domain})
+	conn.setPeer(Member{Domain: t.domain})
 	c.rpc, c.addr = drpcconn.New(conn), addr
 	return c.rpc, nil
 }
@@ -105,17 +105,17 @@
 	}
 }
 
-func (s *Links) serveClaims(rpc drpc.Stream) error {
-	var in blob
-	if err := rpc.MsgRecv(&in, encoding{}); err != nil {
+func (t *Transport) serveClaims(rpc drpc.Stream) error {
+	var in rawMessage
+	if err := rpc.MsgRecv(&in, rawEncoding{}); err != nil {
 		return errors.Wrap(err, "peer: claims")
 	}
-	if s.claims == nil {
-		return ErrNoRoot
+	if t.commitClaims == nil {
+		return ErrNotForwarded
 	}
-	out, err := s.claims(rpc.Context(), in.bytes)
+	out, err := t.commitClaims(rpc.Context(), in.bytes)
 	if err != nil {
 		return err
 	}
-	return errors.WithStack(rpc.MsgSend(&blob{out}, encoding{}))
+	return errors.WithStack(rpc.MsgSend(&rawMessage{out}, rawEncoding{}))
 }
--- a/briarrockd/peer/contact_test.go
+++ b/briarrockd/peer/contact_test.go
@@ -17,11 +17,11 @@
 func TestStaleContacts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), HeadFed: true, Contacts: []string{"gone:1", "gone:2"}}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(h, now, isolatedAfter+joinSpread+2*TickEvery)
-	c.Check(count[ReadContacts](cmds), qt.Equals, 1)
-	cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1", "c:1", "d:1"}})
-	_, more := ticks(h, now, time.Second)
+	core := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1", "gone:2"}}, rand.New(rand.NewPCG(1, 1)), now)
+	now, cmds := runTicks(core, now, isolatedDelay+startJitter+2*TickInterval)
+	c.Check(countCmds[ReadContacts](cmds), qt.Equals, 1)
+	cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1", "c:1", "d:1"}})
+	_, more := runTicks(core, now, time.Second)
 	cmds = append(cmds, more...)
 	dialed := make(map[string]bool)
 	for _, x := range cmds {
@@ -42,20 +42,20 @@
 // the same links, it gives its peers the usual time.
 func TestAllStopped(t *testing.T) {
 	c := qt.New(t)
-	for near, want := range map[int]bool{1: true, wholeDomain: true, keptContacts: false, 0: false} {
+	for near, want := range map[int]bool{1: true, smallDomainSize: true, contactsPerDomain: false, 0: false} {
 		now := time.Unix(1000, 0)
-		h := New(Config{Self: member("a"), HeadFed: true, Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
-		now, cmds := ticks(h, now, 2*TickEvery)
-		c.Check(count[ReadContacts](cmds), qt.Equals, 1)
-		cmds = h.Step(now, ContactsRead{Addrs: []string{"b:1"}, Near: near})
-		c.Check(turns(cmds), qt.Equals, want, qt.Commentf("%d near", near))
-		_, more := ticks(h, now, peersFirst)
-		c.Check(turns(append(cmds, more...)), qt.IsTrue)
+		core := New(Config{Self: member("a"), DelegatePolling: true, Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
+		now, cmds := runTicks(core, now, 2*TickInterval)
+		c.Check(countCmds[ReadContacts](cmds), qt.Equals, 1)
+		cmds = core.Step(now, ContactsRead{Addrs: []string{"b:1"}, OwnDomain: near})
+		c.Check(startsPolling(cmds), qt.Equals, want, qt.Commentf("%d near", near))
+		_, more := runTicks(core, now, startReadDelay)
+		c.Check(startsPolling(append(cmds, more...)), qt.IsTrue)
 	}
 }
 
-// turns tells whether a Core has decided to poll the platform.
-func turns(cmds []Cmd) bool {
+// startsPolling tells whether a Core has decided to poll the platform.
+func startsPolling(cmds []Cmd) bool {
 	on := false
 	for _, x := range cmds {
 		if w, ok := x.(Watch); ok {
@@ -76,15 +76,15 @@
 	c := qt.New(t)
 	for _, failed := range []bool{true, false} {
 		now := time.Unix(1000, 0)
-		h := New(Config{Self: member("a"), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
-		version := content(c, 4, 4)
-		h.Step(now, Tick{})
-		h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: version.Hash}, Addr: "b:1"})
-		h.Step(now, Received{1, version})
+		core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+		version := fullContent(c, 4, 4)
+		core.Step(now, Tick{})
+		core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: version.Hash}, Addr: "b:1"})
+		core.Step(now, Received{1, version})
 		if failed {
-			h.Step(now, PollFailed{})
+			core.Step(now, PollFailed{})
 		}
-		_, cmds := ticks(h, now, joinedAfter+confirmWithin+2*TickEvery)
-		c.Check(len(used(cmds)) > 0, qt.Equals, failed)
+		_, cmds := runTicks(core, now, linkSettleTime+confirmTimeout+2*TickInterval)
+		c.Check(len(servedVersions(cmds)) > 0, qt.Equals, failed)
 	}
 }
--- a/briarrockd/peer/hold.go
+++ b/briarrockd/peer/hold.go
@@ -8,47 +8,47 @@
 )
 
 const (
-	// HoldAt is how many crashes make a request one that is held back, here and
+	// HoldThreshold is how many crashes make a request one that is held back, here and
 	// wherever calls are admitted.
-	HoldAt = 2
-	// holdFor is how long a request is held back after its last crash, and
+	HoldThreshold = 2
+	// crashTTL is how long a request is held back after its last crash, and
 	// how long a first crash is remembered.
-	holdFor = 10 * time.Minute
-	// maxHolds bounds the table; past it nothing new is suspected.
-	maxHolds = 4096
-	// clearedFor is how long a request that has run to its end is remembered
-	// with the reports about it, and maxReports how many of these are kept.
-	clearedFor = 30 * time.Second
-	maxReports = 64
+	crashTTL = 10 * time.Minute
+	// maxCrashRecords bounds the table; past it nothing new is suspected.
+	maxCrashRecords = 4096
+	// clearedTTL is how long a request that has run to its end is remembered
+	// with the reports about it, and maxCrashReports how many of these are kept.
+	clearedTTL      = 30 * time.Second
+	maxCrashReports = 64
 )
 
-// held is what is known of one request that was in flight at a crash.
-type held struct {
-	service string
-	seen    map[uint64]bool // reports, so that a relayed one counts once
-	crashes int             // 0 once it has run to its end
-	at      time.Time
+// crashRecord is what is known of one request that was in flight at a crash.
+type crashRecord struct {
+	service   string
+	reportIDs map[uint64]bool // reports, so that a relayed one counts once
+	crashes   int             // 0 once it has run to its end
+	updatedAt time.Time
 }
 
-// holds are the requests that are suspected of crashing targets.
-type holds struct {
-	prints map[uint64]*held
+// crashTable are the requests that are suspected of crashing targets.
+type crashTable struct {
+	records map[uint64]*crashRecord
 }
 
-func newHolds() holds { return holds{prints: make(map[uint64]*held)} }
+func newCrashTable() crashTable { return crashTable{records: make(map[uint64]*crashRecord)} }
 
-// crashed takes what this node saw at its own target.
-func (h *Core) crashed(m Crashed) {
-	f := Hold{Print: m.Print, Service: m.Service, Crashes: 1, Clear: m.Clear, ID: h.rng.Uint64()}
-	if p := h.holds.prints[m.Print]; m.Clear && (p == nil || p.crashes == 0) {
+// onCrashed takes what this node saw at its own target.
+func (c *Core) onCrashed(m Crashed) {
+	f := CrashReport{Print: m.Print, Service: m.Service, Crashes: 1, Clear: m.Clear, ID: c.rng.Uint64()}
+	if p := c.crashes.records[m.Print]; m.Clear && (p == nil || p.crashes == 0) {
 		return
 	}
-	h.takeHold(0, f)
+	c.applyCrashReport(0, f)
 }
 
-func (h *Core) hold(l *link, f Hold) { h.takeHold(l.id, f) }
+func (c *Core) onCrashReport(l *link, f CrashReport) { c.applyCrashReport(l.id, f) }
 
-// takeHold counts a report once and passes it on to every link, the lazy ones
+// applyCrashReport counts a report once and passes it on to every link, the lazy ones
 // included: a request that crashes targets must not get through to another
 // region because one link was quiet.
 //
@@ -56,59 +56,59 @@
 // request has run to its end go round the mesh close to each other; a node that
 // forgot the first on hearing the second would take the first for news when it
 // comes by another way, and the two would chase each other for good.
-func (h *Core) takeHold(from LinkID, f Hold) {
-	p := h.holds.prints[f.Print]
+func (c *Core) applyCrashReport(from LinkID, f CrashReport) {
+	p := c.crashes.records[f.Print]
 	if p == nil {
-		if f.Clear || len(h.holds.prints) >= maxHolds {
+		if f.Clear || len(c.crashes.records) >= maxCrashRecords {
 			return
 		}
-		p = &held{service: f.Service, seen: make(map[uint64]bool)}
-		h.holds.prints[f.Print] = p
+		p = &crashRecord{service: f.Service, reportIDs: make(map[uint64]bool)}
+		c.crashes.records[f.Print] = p
 	}
-	if p.seen[f.ID] || len(p.seen) >= maxReports || (f.Clear && p.crashes >= HoldAt) {
+	if p.reportIDs[f.ID] || len(p.reportIDs) >= maxCrashReports || (f.Clear && p.crashes >= HoldThreshold) {
 		return
 	}
-	p.seen[f.ID] = true
-	p.at = h.now
+	p.reportIDs[f.ID] = true
+	p.updatedAt = c.now
 	if f.Clear {
 		p.crashes = 0
 	} else {
 		p.crashes++
 	}
-	h.do(Held{f.Print, p.service, p.crashes})
-	if p.crashes == HoldAt && !f.Clear {
-		h.log(event.RequestHeld, event.Fields{event.Subject: f.Service, "print": f.Print})
+	c.emit(HeldRequest{f.Print, p.service, p.crashes})
+	if p.crashes == HoldThreshold && !f.Clear {
+		c.log(event.RequestHeld, event.Fields{event.Subject: f.Service, "print": f.Print})
 	}
-	h.relayHold(from, f)
+	c.relayCrashReport(from, f)
 }
 
-func (h *Core) relayHold(from LinkID, f Hold) {
-	for _, l := range h.sortedLinks() {
+func (c *Core) relayCrashReport(from LinkID, f CrashReport) {
+	for _, l := range c.sortedLinks() {
 		if l.id != from {
-			h.send(l, f)
+			c.send(l, f)
 		}
 	}
 }
 
-func (h *Core) tickHolds() {
-	for mark, p := range h.holds.prints {
-		kept := holdFor
+func (c *Core) tickCrashes() {
+	for mark, p := range c.crashes.records {
+		kept := crashTTL
 		if p.crashes == 0 {
-			kept = clearedFor
+			kept = clearedTTL
 		}
-		if h.now.Sub(p.at) > kept {
-			delete(h.holds.prints, mark)
-			h.do(Held{mark, p.service, 0})
+		if c.now.Sub(p.updatedAt) > kept {
+			delete(c.crashes.records, mark)
+			c.emit(HeldRequest{mark, p.service, 0})
 		}
 	}
 }
 
-// list returns what is held back now.
-func (h *holds) list() []Held {
-	var out []Held
-	for mark, p := range h.prints {
-		if p.crashes >= HoldAt {
-			out = append(out, Held{mark, p.service, p.crashes})
+// heldRequests returns what is held back now.
+func (t *crashTable) heldRequests() []HeldRequest {
+	var out []HeldRequest
+	for mark, p := range t.records {
+		if p.crashes >= HoldThreshold {
+			out = append(out, HeldRequest{mark, p.service, p.crashes})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Print < out[j].Print })
--- a/briarrockd/peer/introduce.go
+++ b/briarrockd/peer/introduce.go
@@ -8,22 +8,22 @@
 // of the settings, that would grow with the square of the hosts, much of it over the
 // paid link.
 const (
-	// newcomerKnows is how many members a newcomer may know already.
-	newcomerKnows = 8
-	// introduceFor is how long a link to a newcomer stays restricted. One that has found
+	// maxNewcomerMembers is how many members a newcomer may know already.
+	maxNewcomerMembers = 8
+	// introductionPeriod is how long a link to a newcomer stays restricted. One that has found
 	// nobody by then gets what any other peer does.
-	introduceFor = 5 * time.Second
+	introductionPeriod = 5 * time.Second
 )
 
-// introduces tells whether a link that has just come up need only lead its peer to
+// shouldIntroduce tells whether a link that has just come up need only lead its peer to
 // others of its region: it knows hardly anybody, and this node knows some of them.
-func (h *Core) introduces(l *link, hi Hello) bool {
-	if l.outbound || l.domain == h.self.Domain || hi.Members == 0 || hi.Members > newcomerKnows {
+func (c *Core) shouldIntroduce(l *link, hi Hello) bool {
+	if l.outbound || l.domain == c.self.Domain || hi.Members == 0 || hi.Members > maxNewcomerMembers {
 		return false
 	}
-	for _, name := range h.table.names() {
-		d := h.table.domains[name]
-		if d.region != l.region || name == h.self.Domain {
+	for _, name := range c.table.names() {
+		d := c.table.domains[name]
+		if d.region != l.region || name == c.self.Domain {
 			continue
 		}
 		if d.count > 1 || (d.count == 1 && name != l.domain) {
@@ -33,20 +33,20 @@
 	return false
 }
 
-// restricted tells whether a link still only leads a newcomer to its own domain.
-func (h *Core) restricted(l *link) bool { return h.now.Before(l.introduces) }
+// introductionOnly tells whether a link still only leads a newcomer to its own domain.
+func (c *Core) introductionOnly(l *link) bool { return c.now.Before(l.introductionUntil) }
 
 // introduce sends a newcomer the members of its domain and the bridges of its region.
-func (h *Core) introduce(l *link) {
-	for _, name := range h.table.names() {
-		hosts := h.hostsOf(name)
+func (c *Core) introduce(l *link) {
+	for _, name := range c.table.names() {
+		hosts := c.hostsOf(name)
 		switch {
 		case name == l.domain:
-		case h.table.domains[name].region == l.region:
-			hosts = hosts[:min(len(hosts), bridges)]
+		case c.table.domains[name].region == l.region:
+			hosts = hosts[:min(len(hosts), bridgesPerDomain)]
 		default:
 			continue
 		}
-		h.sendRecords(l, hosts, false)
+		c.sendRecords(l, hosts, false)
 	}
 }
--- a/briarrockd/peer/member.go
+++ b/briarrockd/peer/member.go
@@ -58,8 +58,8 @@
 	Domain string `cbor:"2,keyasint"`
 	Region string `cbor:"3,keyasint"`
 	// Peer and Call are the addresses for peers and for calls.
-	Peer string `cbor:"4,keyasint"`
-	Call string `cbor:"5,keyasint"`
+	PeerAddr string `cbor:"4,keyasint"`
+	CallAddr string `cbor:"5,keyasint"`
 	// Incarnation grows with each start of the node's process, Seq with each
 	// change of its record within one incarnation.
 	Incarnation uint64   `cbor:"6,keyasint"`
@@ -74,7 +74,7 @@
 
 // valid bounds what a peer may put into the table.
 func (m *Member) valid() bool {
-	for _, s := range []string{m.Host, m.Domain, m.Region, m.Peer, m.Call} {
+	for _, s := range []string{m.Host, m.Domain, m.Region, m.PeerAddr, m.CallAddr} {
 		if s == "" || len(s) > maxNameSize {
 			return false
 		}
@@ -99,8 +99,8 @@
 
 func (m *Member) rank() rank { return rank{m.Incarnation, m.Seq, m.State} }
 
-// above tells whether a record with rank r replaces one with rank o.
-func (r rank) above(o rank) bool {
+// supersedes tells whether a record with rank r replaces one with rank o.
+func (r rank) supersedes(o rank) bool {
 	if r.incarnation != o.incarnation {
 		return r.incarnation > o.incarnation
 	}
@@ -138,21 +138,21 @@
 
 // domain is the part of the table for one failure domain.
 type domain struct {
-	name    string
-	region  string
-	digest  uint64
-	count   int
-	order   []*record // live members by score; nil when it must be made anew
-	heardAt time.Time
+	name         string
+	region       string
+	digest       uint64
+	count        int
+	order        []*record // live members by score; nil when it must be made anew
+	lastReceived time.Time
 }
 
 // table is every member that a node knows of, by host and by domain. Its
 // digests make comparing two tables cost some tens of bytes.
 type table struct {
-	byHost  map[string]*record
-	domains map[string]*domain
-	root    uint64
-	rootOK  bool
+	byHost    map[string]*record
+	domains   map[string]*domain
+	root      uint64
+	rootValid bool
 }
 
 func newTable() *table {
@@ -169,14 +169,14 @@
 // put takes a record if it outranks the one held. It tells whether it did.
 func (t *table) put(now time.Time, m Member) bool {
 	old := t.byHost[m.Host]
-	if old != nil && !m.rank().above(old.rank()) {
+	if old != nil && !m.rank().supersedes(old.rank()) {
 		return false
 	}
 	if old == nil && len(t.byHost) >= MaxMembers {
 		return false
 	}
 	if old != nil {
-		t.unlink(old)
+		t.removeFromDomain(old)
 	}
 	d := t.domain(m.Domain, m.Region)
 	r := &record{Member: m, since: now, score: score(m.Host)}
@@ -186,24 +186,24 @@
 		d.count++
 	}
 	d.order = nil
-	t.rootOK = false
+	t.rootValid = false
 	return true
 }
 
-func (t *table) unlink(r *record) {
+func (t *table) removeFromDomain(r *record) {
 	d := t.domains[r.Domain]
 	d.digest ^= r.digest()
 	if r.live() {
 		d.count--
 	}
 	d.order = nil
-	t.rootOK = false
+	t.rootValid = false
 }
 
 // forget drops a record that has served its time as a tombstone.
 func (t *table) forget(host string) {
 	if r := t.byHost[host]; r != nil {
-		t.unlink(r)
+		t.removeFromDomain(r)
 		delete(t.byHost, host)
 	}
 }
@@ -252,9 +252,9 @@
 	return names
 }
 
-// digestRoot is one number for the whole table.
-func (t *table) digestRoot() uint64 {
-	if t.rootOK {
+// rootDigest is one number for the whole table.
+func (t *table) rootDigest() uint64 {
+	if t.rootValid {
 		return t.root
 	}
 	t.root = 0
@@ -269,6 +269,6 @@
 		_, _ = x.Write(b[:])
 		t.root ^= x.Sum64()
 	}
-	t.rootOK = true
+	t.rootValid = true
 	return t.root
 }
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -13,7 +13,7 @@
 // Msg is something that happened to this node.
 type Msg interface{ msg() }
 
-// Tick says that time has passed. It comes every TickEvery.
+// Tick says that time has passed. It comes every TickInterval.
 type Tick struct{}
 
 // LinkUp says that a link is open and its peer has said hello.
@@ -62,9 +62,9 @@
 // ContactsRead is the answer to ReadContacts.
 type ContactsRead struct {
 	Addrs []string
-	// Near is how many of them this node's own domain has left; 0 if it has left
+	// OwnDomain is how many of them this node's own domain has left; 0 if it has left
 	// none yet.
-	Near int
+	OwnDomain int
 }
 
 // PollFailed says that this node's own poll of the platform had no answer.
@@ -78,20 +78,20 @@
 	Content []byte
 	// Seen and At are those of the poll that found it, as in Polled; 0 if this
 	// node has put it there.
-	Seen uint64
-	At   time.Time
+	Cursor uint64
+	At     time.Time
 }
 
 // Polled says that this node's watch has found nothing newer than it has told.
 type Polled struct {
 	// Seen is the position in the platform's record of changes up to which
 	// there was nothing else.
-	Seen uint64
+	Cursor uint64
 	// At is the time for which that holds.
 	At time.Time
 	// Delay is the way to the platform and back; 0 where it could not be told from
 	// the wait for a change.
-	Delay time.Duration
+	RTT time.Duration
 }
 
 // Crashed says that a request was in flight when a target of this node
@@ -130,14 +130,14 @@
 	Hello Hello
 }
 
-// Greet sends this node's hello on a link that its peer opened.
-type Greet struct {
+// SendHello sends this node's hello on a link that its peer opened.
+type SendHello struct {
 	Link  LinkID
 	Hello Hello
 }
 
-// Close asks to close a link. LinkDown follows.
-type Close struct{ Link LinkID }
+// CloseLink asks to close a link. LinkDown follows.
+type CloseLink struct{ Link LinkID }
 
 // Send puts a frame on a link.
 type Send struct {
@@ -153,11 +153,11 @@
 	On bool
 	// Seen is the position in the platform's record of changes up to which this
 	// node holds everything; 0 if it doesn't know.
-	Seen uint64
+	Cursor uint64
 	// Wait is how long one poll waits for a change; 0 for an answer at once.
 	Wait time.Duration
 	// Spare is set where this node polls only since nobody else seems to.
-	Spare bool
+	Fallback bool
 }
 
 // ReadObject asks the platform for a snapshot; the answer is ObjectRead.
@@ -171,17 +171,17 @@
 type WriteContacts struct{ Addrs []string }
 
 // Use says that a version is whole and verified: serve it from now on.
-type Use struct {
+type ServeVersion struct {
 	Version  uint64
 	Hash     snapshot.Hash
 	Snapshot *snapshot.Snapshot
 }
 
 // Publish says that the members changed. The slice is never changed again.
-type Publish struct{ Members []Member }
+type PublishMembers struct{ Members []Member }
 
 // Held says what to hold back: requests with this print crash targets.
-type Held struct {
+type HeldRequest struct {
 	Print   uint64
 	Service string
 	Crashes int
@@ -193,16 +193,16 @@
 	Fields event.Fields
 }
 
-func (Dial) cmd()          {}
-func (Greet) cmd()         {}
-func (Close) cmd()         {}
-func (Send) cmd()          {}
-func (ReadHead) cmd()      {}
-func (Watch) cmd()         {}
-func (ReadObject) cmd()    {}
-func (ReadContacts) cmd()  {}
-func (WriteContacts) cmd() {}
-func (Use) cmd()           {}
-func (Publish) cmd()       {}
-func (Held) cmd()          {}
-func (Log) cmd()           {}
+func (Dial) cmd()           {}
+func (SendHello) cmd()      {}
+func (CloseLink) cmd()      {}
+func (Send) cmd()           {}
+func (ReadHead) cmd()       {}
+func (Watch) cmd()          {}
+func (ReadObject) cmd()     {}
+func (ReadContacts) cmd()   {}
+func (WriteContacts) cmd()  {}
+func (ServeVersion) cmd()   {}
+func (PublishMembers) cmd() {}
+func (HeldRequest) cmd()    {}
+func (Log) cmd()            {}
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -5,9 +5,9 @@
 // node knows. Step takes one message, something that happened, and returns
 // commands, things to do:
 //
-//	h := peer.New(peer.Config{Self: me}, rand.New(rand.NewPCG(1, 2)), now)
-//	for _, c := range h.Step(now, peer.LinkUp{Link: 1, Hello: hello}) {
-//		// carry out c: dial, send, read the store, serve a version …
+//	c := peer.New(peer.Config{Self: me}, rand.New(rand.NewPCG(1, 2)), now)
+//	for _, cmd := range c.Step(now, peer.LinkUp{Link: 1, Hello: hello}) {
+//		// carry out cmd: dial, send, read the store, serve a version …
 //	}
 //
 // A Core does no I/O, starts no goroutine and reads no clock, so a test can
@@ -55,27 +55,27 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// TickEvery is how often a Core wants a Tick.
-const TickEvery = 100 * time.Millisecond
+// TickInterval is how often a Core wants a Tick.
+const TickInterval = 100 * time.Millisecond
 
 // The times by which a Core decides.
 const (
-	// beatEvery is the time between heartbeats on a link.
-	beatEvery = 2 * time.Second
-	// silentAfter is how long a link may be silent before it is closed: two
+	// heartbeatInterval is the time between heartbeats on a link.
+	heartbeatInterval = 2 * time.Second
+	// linkSilenceTimeout is how long a link may be silent before it is closed: two
 	// heartbeats lost and some delay.
-	silentAfter = 5 * time.Second
-	// reverseAfter is how long a neighbour that should dial may be missing
+	linkSilenceTimeout = 5 * time.Second
+	// reverseDialDelay is how long a neighbour that should dial may be missing
 	// before this node dials it.
-	reverseAfter = time.Second
-	// suspectAfter is how long a neighbour may be without a link.
-	suspectAfter = 3 * time.Second
-	// deadAfter is how long a suspect has for its objection.
-	deadAfter = 4 * time.Second
-	// forgetAfter is how long a tombstone is kept.
-	forgetAfter = 10 * time.Minute
-	// staleAfter is how long a domain may be unheard of before it is stale.
-	staleAfter = 8 * time.Second
+	reverseDialDelay = time.Second
+	// suspectDelay is how long a neighbour may be without a link.
+	suspectDelay = 3 * time.Second
+	// suspicionTimeout is how long a suspect has for its objection.
+	suspicionTimeout = 4 * time.Second
+	// tombstoneTTL is how long a tombstone is kept.
+	tombstoneTTL = 10 * time.Minute
+	// domainStaleAfter is how long a domain may be unheard of before it is stale.
+	domainStaleAfter = 8 * time.Second
 )
 
 // Config is what a Core must be told.
@@ -89,14 +89,14 @@
 	StoreRegion string
 	// Hosts is about how many nodes the mesh has. A node that starts together
 	// with all the others can't know it otherwise.
-	Hosts int
+	ExpectedHosts int
 	// Bootstrap is set when the whole mesh starts for the first time: nobody is
 	// there yet to be found.
 	Bootstrap bool
-	// HeadFed is set where the platform's adapter does the reading: the Core
+	// DelegatePolling is set where the platform's adapter does the reading: the Core
 	// says who is to poll (Watch) and is told what was found (Committed,
 	// Polled). It then reads nothing itself.
-	HeadFed bool
+	DelegatePolling bool
 }
 
 // Core is everything that a node knows and decides about its peers. Its zero
@@ -110,237 +110,237 @@
 	self  Member
 	table *table
 	links map[LinkID]*link
-	// byHost is the one link that is used for each linked host.
-	byHost map[string]*link
-	dials  map[string]*dialing
+	// linkByHost is the one link that is used for each linked host.
+	linkByHost map[string]*link
+	dials      map[string]*dialState
 
-	lost       map[string]time.Time // neighbours without a link, since when
-	updates    map[string]bool      // hosts whose records are still to be sent
-	updateFrom map[string]LinkID    // and the link that each came over
-	changed    bool                 // members changed since the last Publish
-	nextTry    time.Time            // next attempt at a contact or a tombstone
-	nextSweep  time.Time
+	missingSince   map[string]time.Time // neighbours without a link, since when
+	pendingUpdates map[string]bool      // hosts whose records are still to be sent
+	updateSource   map[string]LinkID    // and the link that each came over
+	membersChanged bool                 // members changed since the last Publish
+	nextRejoin     time.Time            // next attempt at a contact or a tombstone
+	nextSweep      time.Time
 
-	version versions
-	watch   watch
-	stored  contacts
-	report  reports
-	holds   holds
+	version  versions
+	watch    headWatch
+	contacts contactRows
+	reports  reports
+	crashes  crashTable
 }
 
 // link is one open link.
 type link struct {
-	id       LinkID
-	host     string
-	domain   string
-	region   string
-	outbound bool
-	lazy     bool
-	heardAt  time.Time
-	beatAt   time.Time // next heartbeat to send
-	openedAt time.Time
-	// differs counts the heartbeats in a row whose digest was not ours.
-	differs int
+	id            LinkID
+	host          string
+	domain        string
+	region        string
+	outbound      bool
+	lazy          bool
+	lastReceived  time.Time
+	nextHeartbeat time.Time // next heartbeat to send
+	openedAt      time.Time
+	// digestMismatches counts the heartbeats in a row whose digest was not ours.
+	digestMismatches int
 	// version is the highest version that the peer is known to hold, told the
 	// one that it was last told of.
-	version uint64
-	told    uint64
-	toldAt  time.Time
-	// owed is when a lazy link is to be told of a version, if still needed.
-	owed time.Time
-	// introduces is until when the link only leads a newcomer to its own domain.
-	introduces time.Time
-	// unwanted is since when the topology has had no use for the link.
-	unwanted time.Time
+	version     uint64
+	announced   uint64
+	announcedAt time.Time
+	// lazyNoticeAt is when a lazy link is to be told of a version, if still needed.
+	lazyNoticeAt time.Time
+	// introductionUntil is until when the link only leads a newcomer to its own domain.
+	introductionUntil time.Time
+	// unwantedSince is since when the topology has had no use for the link.
+	unwantedSince time.Time
 }
 
-// dialing is what is known of an address that links were sought to.
-type dialing struct {
-	host   string
-	busy   bool
-	fails  int
-	nextAt time.Time
+// dialState is what is known of an address that links were sought to.
+type dialState struct {
+	host       string
+	inProgress bool
+	failures   int
+	nextAt     time.Time
 }
 
 // New returns a Core that knows only itself and its contacts. rng decides
 // all that is spread at random.
 func New(cfg Config, rng *rand.Rand, now time.Time) *Core {
-	h := &Core{
-		cfg:        cfg,
-		rng:        rng,
-		now:        now,
-		self:       cfg.Self,
-		table:      newTable(),
-		links:      make(map[LinkID]*link),
-		byHost:     make(map[string]*link),
-		dials:      make(map[string]*dialing),
-		lost:       make(map[string]time.Time),
-		updates:    make(map[string]bool),
-		updateFrom: make(map[string]LinkID),
-		changed:    true,
+	c := &Core{
+		cfg:            cfg,
+		rng:            rng,
+		now:            now,
+		self:           cfg.Self,
+		table:          newTable(),
+		links:          make(map[LinkID]*link),
+		linkByHost:     make(map[string]*link),
+		dials:          make(map[string]*dialState),
+		missingSince:   make(map[string]time.Time),
+		pendingUpdates: make(map[string]bool),
+		updateSource:   make(map[string]LinkID),
+		membersChanged: true,
 	}
-	h.version = newVersions()
-	h.watch = newWatch(now, h.jitter(joinSpread))
-	h.report = newReports()
-	h.holds = newHolds()
-	h.table.put(now, h.self)
-	return h
+	c.version = newVersions()
+	c.watch = newWatch(now, c.jitter(startJitter))
+	c.reports = newReports()
+	c.crashes = newCrashTable()
+	c.table.put(now, c.self)
+	return c
 }
 
 // Step takes what happened at now and returns what to do. Times must not go
 // back from one call to the next.
-func (h *Core) Step(now time.Time, m Msg) []Cmd {
-	h.now = now
-	h.cmds = nil
+func (c *Core) Step(now time.Time, m Msg) []Cmd {
+	c.now = now
+	c.cmds = nil
 	switch m := m.(type) {
 	case Tick:
-		h.tick()
+		c.tick()
 	case LinkUp:
-		h.linkUp(m)
+		c.onLinkUp(m)
 	case LinkDown:
-		h.linkDown(m.Link)
+		c.onLinkDown(m.Link)
 	case DialFailed:
-		h.dialFailed(m)
+		c.onDialFailed(m)
 	case Received:
-		h.received(m)
+		c.onFrame(m)
 	case TargetsChanged:
-		h.targetsChanged(m.Targets)
+		c.onTargetsChanged(m.Targets)
 	case HeadRead:
-		h.headRead(m)
+		c.onHeadRead(m)
 	case ObjectRead:
-		h.objectRead(m)
+		c.onObjectRead(m)
 	case ContactsRead:
-		h.contactsRead(m)
+		c.onContactsRead(m)
 	case Committed:
-		h.committed(m)
+		c.onCommitted(m)
 	case Polled:
-		h.polled(m)
+		c.onPolled(m)
 	case PollFailed:
-		h.pollFailed()
+		c.onPollFailed()
 	case Crashed:
-		h.crashed(m)
+		c.onCrashed(m)
 	case Leave:
-		h.leave()
+		c.leave()
 	}
-	return h.cmds
+	return c.cmds
 }
 
-func (h *Core) do(c Cmd) { h.cmds = append(h.cmds, c) }
+func (c *Core) emit(cmd Cmd) { c.cmds = append(c.cmds, cmd) }
 
-func (h *Core) log(e event.Event, f event.Fields) { h.do(Log{e, f}) }
+func (c *Core) log(e event.Event, f event.Fields) { c.emit(Log{e, f}) }
 
-func (h *Core) send(l *link, f Frame) { h.do(Send{l.id, f}) }
+func (c *Core) send(l *link, f Frame) { c.emit(Send{l.id, f}) }
 
 // jitter is a random time below d.
-func (h *Core) jitter(d time.Duration) time.Duration {
-	return time.Duration(h.rng.Int64N(int64(d) + 1))
+func (c *Core) jitter(d time.Duration) time.Duration {
+	return time.Duration(c.rng.Int64N(int64(d) + 1))
 }
 
-func (h *Core) tick() {
-	h.flushUpdates()
-	h.topology()
-	h.tickLinks()
-	h.tickMembers()
-	h.tickVersion()
-	h.tickWatch()
-	h.updateWatchRole()
-	h.tickContacts()
-	h.tickReport()
-	h.tickHolds()
-	if h.changed {
-		h.changed = false
-		h.do(Publish{h.members()})
+func (c *Core) tick() {
+	c.flushUpdates()
+	c.maintainLinks()
+	c.tickLinks()
+	c.tickMembers()
+	c.tickVersion()
+	c.tickWatch()
+	c.updatePollRole()
+	c.tickContacts()
+	c.tickReport()
+	c.tickCrashes()
+	if c.membersChanged {
+		c.membersChanged = false
+		c.emit(PublishMembers{c.liveMembers()})
 	}
 }
 
-// members copies the live members, this node included.
-func (h *Core) members() []Member {
-	out := make([]Member, 0, len(h.table.byHost))
-	for _, name := range h.table.names() {
-		for _, r := range h.table.members(name) {
+// liveMembers copies the live members, this node included.
+func (c *Core) liveMembers() []Member {
+	out := make([]Member, 0, len(c.table.byHost))
+	for _, name := range c.table.names() {
+		for _, r := range c.table.members(name) {
 			out = append(out, r.Member)
 		}
 	}
 	return out
 }
 
-func (h *Core) received(m Received) {
-	l := h.links[m.Link]
+func (c *Core) onFrame(m Received) {
+	l := c.links[m.Link]
 	if l == nil {
 		return
 	}
-	l.heardAt = h.now
-	h.table.domain(l.domain, l.region).heardAt = h.now
+	l.lastReceived = c.now
+	c.table.domain(l.domain, l.region).lastReceived = c.now
 	switch f := m.Frame.(type) {
-	case Beat:
-		h.beat(l, f)
+	case Heartbeat:
+		c.onHeartbeat(l, f)
 	case Digests:
-		h.digests(l, f)
+		c.onDigests(l, f)
 	case Listing:
-		h.listing(l, f)
-	case Wants:
-		h.wants(l, f)
+		c.onListing(l, f)
+	case RecordRequest:
+		c.onRecordRequest(l, f)
 	case Records:
-		h.records(l, f)
-	case Notice:
-		h.notice(l, f)
+		c.onRecords(l, f)
+	case VersionNotice:
+		c.onVersionNotice(l, f)
 	case Fetch:
-		h.fetch(l, f)
+		c.onFetch(l, f)
 	case Content:
-		h.content(l, f)
+		c.onContent(l, f)
 	case Report:
-		h.reported(l, f)
+		c.onReport(l, f)
 	case Summary:
-		h.summary(l, f)
-	case Hold:
-		h.hold(l, f)
-	case Have:
-		h.have(l, f)
-	case Known:
-		h.observeFloor(l.id, f.Version)
-	case Fresh:
-		h.fresh(l, f)
+		c.onSummary(l, f)
+	case CrashReport:
+		c.onCrashReport(l, f)
+	case VersionAck:
+		c.onVersionAck(l, f)
+	case FloorNotice:
+		c.raiseRemoteFloor(l.id, f.Version)
+	case PollNotice:
+		c.onPollNotice(l, f)
 	default:
 		// A second Hello on an open link is of no use to an honest peer.
-		h.log(event.PeerGarbage, event.Fields{event.Subject: l.host})
-		h.do(Close{l.id})
+		c.log(event.PeerGarbage, event.Fields{event.Subject: l.host})
+		c.emit(CloseLink{l.id})
 	}
 }
 
-func (h *Core) hello(l *link) Hello {
+func (c *Core) newHello(l *link) Hello {
 	hi := Hello{
-		Member:  h.self,
-		Version: h.version.number,
-		Hash:    h.version.hash,
-		Fresh:   age(h.now, h.watch.freshAt),
-		Seen:    h.watch.seen,
-		Outside: h.version.outside,
-		Members: h.Members(),
+		Member:      c.self,
+		Version:     c.version.number,
+		Hash:        c.version.hash,
+		HeadAge:     age(c.now, c.watch.headReadAt),
+		Cursor:      c.watch.cursor,
+		RemoteFloor: c.version.remoteFloor,
+		Members:     c.Members(),
 	}
 	if l != nil {
 		hi.Lazy = l.lazy
-		hi.Floor = h.version.seen[l.host]
-		hi.Domain = h.version.domains[l.domain]
-		if r := h.table.byHost[l.host]; r != nil {
-			hi.Known = r.Incarnation
+		hi.Floor = c.version.peerVersions[l.host]
+		hi.DomainFloor = c.version.domainVersions[l.domain]
+		if r := c.table.byHost[l.host]; r != nil {
+			hi.KnownIncarnation = r.Incarnation
 		}
 	}
 	return hi
 }
 
 // Version returns the version in use and its hash; 0 before the first.
-func (h *Core) Version() (uint64, snapshot.Hash) { return h.version.number, h.version.hash }
+func (c *Core) Version() (uint64, snapshot.Hash) { return c.version.number, c.version.hash }
 
 // Ready tells whether the node may serve: see versions.ready.
-func (h *Core) Ready() bool { return h.version.ready }
+func (c *Core) Ready() bool { return c.version.ready }
 
 // Links returns how many links are open.
-func (h *Core) Links() int { return len(h.links) }
+func (c *Core) Links() int { return len(c.links) }
 
 // Members returns how many live members are known, this node included.
-func (h *Core) Members() int {
+func (c *Core) Members() int {
 	n := 0
-	for _, d := range h.table.domains {
+	for _, d := range c.table.domains {
 		n += d.count
 	}
 	return n
--- a/briarrockd/peer/stream.go
+++ b/briarrockd/peer/stream.go
@@ -15,16 +15,16 @@
 	"briarrock.example/mesh/event"
 )
 
-// blob is a message whose bytes are made and read elsewhere.
-type blob struct{ bytes []byte }
+// rawMessage is a message whose bytes are made and read elsewhere.
+type rawMessage struct{ bytes []byte }
 
-// encoding passes blobs through drpc unchanged: frames are encoded by the
+// rawEncoding passes blobs through drpc unchanged: frames are encoded by the
 // CBOR library, so that no generated code is needed.
-type encoding struct{}
+type rawEncoding struct{}
 
 // Marshal implements drpc.Encoding.
-func (encoding) Marshal(m drpc.Message) ([]byte, error) {
-	b, ok := m.(*blob)
+func (rawEncoding) Marshal(m drpc.Message) ([]byte, error) {
+	b, ok := m.(*rawMessage)
 	if !ok {
 		return nil, ErrFrame
 	}
@@ -32,8 +32,8 @@
 }
 
 // Unmarshal implements drpc.Encoding.
-func (encoding) Unmarshal(buf []byte, m drpc.Message) error {
-	b, ok := m.(*blob)
+func (rawEncoding) Unmarshal(buf []byte, m drpc.Message) error {
+	b, ok := m.(*rawMessage)
 	if !ok {
 		return ErrFrame
 	}
@@ -43,26 +43,26 @@
 
 // stream is one open link: a drpc stream and the goroutine that writes it.
 type stream struct {
-	id    LinkID
-	rpc   drpc.Stream
-	conn  *countedConn
-	out   chan []byte
-	done  chan struct{}
-	once  sync.Once
-	drops sync.Once
-	last  chan struct{}
+	id        LinkID
+	rpc       drpc.Stream
+	conn      *countedConn
+	out       chan []byte
+	done      chan struct{}
+	closeOnce sync.Once
+	drainOnce sync.Once
+	draining  chan struct{}
 }
 
 // close ends the link at once.
 func (st *stream) close() {
-	st.once.Do(func() {
+	st.closeOnce.Do(func() {
 		close(st.done)
 		_ = st.conn.Close()
 	})
 }
 
 // drain ends the link after what is in its outbox has been written.
-func (st *stream) drain() { st.drops.Do(func() { close(st.last) }) }
+func (st *stream) drain() { st.drainOnce.Do(func() { close(st.draining) }) }
 
 // inboundPeer is what accepting a connection found out about its other side.
 type inboundPeer struct {
@@ -76,70 +76,70 @@
 	return context.WithValue(ctx, peerKey{}, p)
 }
 
-func (s *Links) secureServer(conn net.Conn) (net.Conn, string, error) {
-	if s.keys.Server == nil {
+func (t *Transport) secureServer(conn net.Conn) (net.Conn, string, error) {
+	if t.creds.Server == nil {
 		return conn, "", nil
 	}
-	return s.shake(tls.Server(conn, s.keys.Server()))
+	return t.handshake(tls.Server(conn, t.creds.Server()))
 }
 
-func (s *Links) secureClient(conn net.Conn) (net.Conn, string, error) {
-	if s.keys.Client == nil {
+func (t *Transport) secureClient(conn net.Conn) (net.Conn, string, error) {
+	if t.creds.Client == nil {
 		return conn, "", nil
 	}
-	return s.shake(tls.Client(conn, s.keys.Client()))
+	return t.handshake(tls.Client(conn, t.creds.Client()))
 }
 
-func (s *Links) shake(c *tls.Conn) (net.Conn, string, error) {
-	ctx, cancel := context.WithTimeout(s.ctx, helloWithin)
+func (t *Transport) handshake(c *tls.Conn) (net.Conn, string, error) {
+	ctx, cancel := context.WithTimeout(t.ctx, helloTimeout)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
 		return nil, "", errors.Wrap(err, "peer: handshake")
 	}
-	name, err := s.keys.Peer(c.ConnectionState())
+	name, err := t.creds.VerifyPeer(c.ConnectionState())
 	return c, name, err
 }
 
 // connect opens a connection to a peer.
-func (s *Links) connect(ctx context.Context, addr string) (*countedConn, error) {
-	conn, err := s.dialTCP(ctx, "tcp", addr)
+func (t *Transport) connect(ctx context.Context, addr string) (*countedConn, error) {
+	conn, err := t.dialTCP(ctx, "tcp", addr)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	secured, _, err := s.secureClient(conn)
+	secured, _, err := t.secureClient(conn)
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	return s.traffic.wrap(secured), nil
+	return t.traffic.wrap(secured), nil
 }
 
 // dial opens a link and reports how it went.
-func (s *Links) dial(c Dial) {
-	ctx, cancel := context.WithTimeout(s.ctx, helloWithin)
+func (t *Transport) dial(c Dial) {
+	ctx, cancel := context.WithTimeout(t.ctx, helloTimeout)
 	defer cancel()
-	conn, err := s.connect(ctx, c.Addr)
+	conn, err := t.connect(ctx, c.Addr)
 	if err != nil {
-		s.Tell(DialFailed{Addr: c.Addr, Refused: errors.Is(err, syscall.ECONNREFUSED)})
+		t.Post(DialFailed{Addr: c.Addr, Refused: errors.Is(err, syscall.ECONNREFUSED)})
 		return
 	}
 	rpc := drpcconn.New(conn)
-	st, hello, err := s.open(rpc, conn, c.Hello)
+	st, hello, err := t.openStream(rpc, conn, c.Hello)
 	if err != nil {
 		_ = conn.Close()
-		s.Tell(DialFailed{Addr: c.Addr})
+		t.Post(DialFailed{Addr: c.Addr})
 		return
 	}
-	s.wg.Go(func() {
+	t.wg.Go(func() {
 		defer func() { _ = rpc.Close() }()
-		s.converse(st, LinkUp{Link: st.id, Hello: hello, Addr: c.Addr})
+		t.runLink(st, LinkUp{Link: st.id, Hello: hello, Addr: c.Addr})
 	})
 }
 
-// open starts the stream of an outbound link and exchanges hellos.
-func (s *Links) open(rpc *drpcconn.Conn, conn *countedConn, hi Hello) (*stream, Hello, error) {
-	_ = conn.SetDeadline(time.Now().Add(helloWithin))
-	st, err := rpc.NewStream(s.ctx, rpcLink, encoding{})
+// openStream starts the stream of an outbound link and exchanges hellos.
+func (t *Transport) openStream(rpc *drpcconn.Conn, conn *countedConn, hi Hello) (*stream, Hello, error) {
+	_ = conn.SetDeadline(time.Now().Add(helloTimeout))
+	st, err := rpc.NewStream(t.ctx, rpcLink, rawEncoding{})
 	if err != nil {
 		return nil, Hello{}, errors.WithStack(err)
 	}
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, Hello{}, err
 	}
-	if err := st.MsgSend(&blob{b}, encoding{}); err != nil {
+	if err := st.MsgSend(&rawMessage{b}, rawEncoding{}); err != nil {
 		return nil, Hello{}, errors.WithStack(err)
 	}
 	hello, err := recvHello(st)
@@ -155,13 +155,13 @@
 		return nil, Hello{}, err
 	}
 	_ = conn.SetDeadline(time.Time{})
-	conn.far(hello.Member)
-	return s.newStream(st, conn), hello, nil
+	conn.setPeer(hello.Member)
+	return t.newStream(st, conn), hello, nil
 }
 
 func recvHello(rpc drpc.Stream) (Hello, error) {
-	var m blob
-	if err := rpc.MsgRecv(&m, encoding{}); err != nil {
+	var m rawMessage
+	if err := rpc.MsgRecv(&m, rawEncoding{}); err != nil {
 		return Hello{}, errors.WithStack(err)
 	}
 	f, err := DecodeFrame(m.bytes)
@@ -175,88 +175,88 @@
 	return hello, nil
 }
 
-func (s *Links) newStream(rpc drpc.Stream, conn *countedConn) *stream {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lastID++
+func (t *Transport) newStream(rpc drpc.Stream, conn *countedConn) *stream {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lastID++
 	st := &stream{
-		id: s.lastID, rpc: rpc, conn: conn,
-		out: make(chan []byte, outboxSize), done: make(chan struct{}), last: make(chan struct{}),
+		id: t.lastID, rpc: rpc, conn: conn,
+		out: make(chan []byte, outboxSize), done: make(chan struct{}), draining: make(chan struct{}),
 	}
-	s.streams[st.id] = st
+	t.streams[st.id] = st
 	return st
 }
 
 // serveLink takes a link that a peer opens. The peer's name in its
 // certificate must be the host that it says it is.
-func (s *Links) serveLink(rpc drpc.Stream) error {
+func (t *Transport) serveLink(rpc drpc.Stream) error {
 	p, _ := rpc.Context().Value(peerKey{}).(*inboundPeer)
 	if p == nil {
 		return errors.New("peer: connection without identity")
 	}
-	_ = p.conn.SetReadDeadline(time.Now().Add(helloWithin))
+	_ = p.conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	hello, err := recvHello(rpc)
 	if err != nil {
-		s.log.Emit(event.PeerGarbage, event.Fields{event.Subject: p.conn.RemoteAddr().String()})
+		t.log.Emit(event.PeerGarbage, event.Fields{event.Subject: p.conn.RemoteAddr().String()})
 		return err
 	}
 	if p.name != "" && p.name != hello.Member.Host {
-		s.refused.Inc()
-		s.log.Emit(event.PeerRefused, event.Fields{event.Subject: p.name, "claims": hello.Member.Host})
+		t.refused.Inc()
+		t.log.Emit(event.PeerRefused, event.Fields{event.Subject: p.name, "claims": hello.Member.Host})
 		return errors.Errorf("peer: %q says that it is %q", p.name, hello.Member.Host)
 	}
 	_ = p.conn.SetReadDeadline(time.Time{})
-	p.conn.far(hello.Member)
-	st := s.newStream(rpc, p.conn)
-	s.converse(st, LinkUp{Link: st.id, Hello: hello})
+	p.conn.setPeer(hello.Member)
+	st := t.newStream(rpc, p.conn)
+	t.runLink(st, LinkUp{Link: st.id, Hello: hello})
 	return nil
 }
 
-// converse runs an open link until either side ends it.
-func (s *Links) converse(st *stream, up LinkUp) {
-	stop := context.AfterFunc(s.ctx, st.close)
+// runLink runs an open link until either side ends it.
+func (t *Transport) runLink(st *stream, up LinkUp) {
+	stop := context.AfterFunc(t.ctx, st.close)
 	defer stop()
-	s.wg.Go(func() { s.write(st) })
-	if s.Tell(up) {
-		s.read(st)
+	t.wg.Go(func() { t.write(st) })
+	if t.Post(up) {
+		t.read(st)
 	}
 	st.close()
-	s.mu.Lock()
-	delete(s.streams, st.id)
-	s.mu.Unlock()
-	s.Tell(LinkDown{st.id})
+	t.mu.Lock()
+	delete(t.streams, st.id)
+	t.mu.Unlock()
+	t.Post(LinkDown{st.id})
 }
 
-func (s *Links) read(st *stream) {
+func (t *Transport) read(st *stream) {
 	for {
-		var m blob
-		if err := st.rpc.MsgRecv(&m, encoding{}); err != nil {
+		var m rawMessage
+		if err := st.rpc.MsgRecv(&m, rawEncoding{}); err != nil {
 			return
 		}
 		f, err := DecodeFrame(m.bytes)
 		if err != nil {
-			s.log.Emit(event.PeerGarbage, event.Fields{event.Subject: st.conn.RemoteAddr().String()})
+			t.log.Emit(event.PeerGarbage, event.Fields{event.Subject: st.conn.RemoteAddr().String()})
 			return
 		}
-		if !s.Tell(Received{st.id, f}) {
+		if !t.Post(Received{st.id, f}) {
 			return
 		}
 	}
 }
 
-func (s *Links) write(st *stream) {
+func (t *Transport) write(st *stream) {
 	defer st.close()
 	for {
 		select {
 		case <-st.done:
 			return
 		case b := <-st.out:
-			if !st.put(b) {
+			if !st.writeFrame(b) {
 				return
 			}
-		case <-st.last:
+		case <-st.draining:
 			for len(st.out) > 0 {
-				if !st.put(<-st.out) {
+				if !st.writeFrame(<-st.out) {
 					return
 				}
 			}
@@ -265,7 +265,7 @@
 	}
 }
 
-func (st *stream) put(b []byte) bool {
-	_ = st.conn.SetWriteDeadline(time.Now().Add(sendWithin))
-	return st.rpc.MsgSend(&blob{b}, encoding{}) == nil
+func (st *stream) writeFrame(b []byte) bool {
+	_ = st.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
+	return st.rpc.MsgSend(&rawMessage{b}, rawEncoding{}) == nil
 }
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -9,9 +9,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// large is a fed Core in a domain of n members, linked to the two that watch
+// largeDomainCore is a fed Core in a domain of n members, linked to the two that watch
 // there, with version 1 in use.
-func large(c *qt.C, n int) (*Core, time.Time) {
+func largeDomainCore(c *qt.C, n int) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	hosts := make([]string, 0, n)
 	for i := range n {
@@ -23,39 +23,39 @@
 	}
 	order := probe.members("erie-a")
 	self := order[n-1].Host
-	h := New(Config{Self: member(self), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
-	for i := range bridges {
+	core := New(Config{Self: member(self), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+	for i := range bridgesPerDomain {
 		m := member(order[i].Host)
-		h.Step(now, LinkUp{Link: LinkID(i + 1), Hello: Hello{Member: m}, Addr: m.Peer})
+		core.Step(now, LinkUp{Link: LinkID(i + 1), Hello: Hello{Member: m}, Addr: m.PeerAddr})
 	}
 	for _, host := range hosts {
-		h.Step(now, Received{1, Records{[]Member{member(host)}}})
+		core.Step(now, Received{1, Records{[]Member{member(host)}}})
 	}
-	b, hash := bytesOf(c, 1)
-	h.Step(now, Committed{Version: 1, Hash: hash, Content: b, Seen: 10, At: now})
-	c.Assert(h.Members(), qt.Equals, n)
-	return h, now
+	b, hash := encodeSample(c, 1)
+	core.Step(now, Committed{Version: 1, Hash: hash, Content: b, Cursor: 10, At: now})
+	c.Assert(core.Members(), qt.Equals, n)
+	return core, now
 }
 
-// beats steps a Core while its first peer tells of polls of the platform.
-func beats(h *Core, now time.Time, d time.Duration, f Fresh) (time.Time, []Cmd) {
+// runWithNotices steps a Core while its first peer tells of polls of the platform.
+func runWithNotices(core *Core, now time.Time, d time.Duration, f PollNotice) (time.Time, []Cmd) {
 	var out []Cmd
 	for end := now.Add(d); now.Before(end); {
 		f.Serial++
-		out = append(out, h.Step(now, Received{1, f})...)
+		out = append(out, core.Step(now, Received{1, f})...)
 		var cmds []Cmd
-		now, cmds = ticks(h, now, announceEvery)
+		now, cmds = runTicks(core, now, pollNoticeInterval)
 		out = append(out, cmds...)
 	}
 	return now, out
 }
 
-// told is word of a poll 20 ms ago by a process that is new each time.
-func told(version, seen uint64) Fresh {
-	return Fresh{Version: version, Seen: seen, Age: 20, Host: "watcher", Incarnation: seen}
+// pollNotice is word of a poll 20 ms ago by a process that is new each time.
+func pollNotice(version, seen uint64) PollNotice {
+	return PollNotice{Version: version, Cursor: seen, HeadAge: 20, Host: "watcher", Incarnation: seen}
 }
 
-func watchOf(cmds []Cmd) (Watch, bool) {
+func lastWatch(cmds []Cmd) (Watch, bool) {
 	var last Watch
 	found := false
 	for _, x := range cmds {
@@ -76,27 +76,27 @@
 // so that the rest of the domain hears of it before they lapse as well.
 func TestDuty(t *testing.T) {
 	c := qt.New(t)
-	h, now := large(c, 25)
-	now, cmds := beats(h, now, 10*time.Second, told(1, 40))
-	w, ok := watchOf(cmds)
+	core, now := largeDomainCore(c, 25)
+	now, cmds := runWithNotices(core, now, 10*time.Second, pollNotice(1, 40))
+	w, ok := lastWatch(cmds)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(w.On, qt.IsFalse)
 
 	quiet := now
 	for ok = false; !ok || !w.On; {
-		now, cmds = ticks(h, now, TickEvery)
-		w, ok = watchOf(cmds)
-		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread, qt.IsTrue)
+		now, cmds = runTicks(core, now, TickInterval)
+		w, ok = lastWatch(cmds)
+		c.Assert(now.Sub(quiet) <= pollNoticeTimeout+pollNoticeTimeoutSpread, qt.IsTrue)
 	}
-	c.Check(now.Sub(quiet) >= lapseAfter-announceEvery, qt.IsTrue)
-	c.Check(w, qt.Equals, Watch{On: true, Seen: 40, Spare: true})
-	h.Step(now, Polled{Seen: 41, At: now})
-	now, cmds = ticks(h, now, TickEvery)
-	w, _ = watchOf(cmds)
-	c.Check(w, qt.Equals, Watch{On: true, Seen: 41, Wait: watchShort, Spare: true})
+	c.Check(now.Sub(quiet) >= pollNoticeTimeout-pollNoticeInterval, qt.IsTrue)
+	c.Check(w, qt.Equals, Watch{On: true, Cursor: 40, Fallback: true})
+	core.Step(now, Polled{Cursor: 41, At: now})
+	now, cmds = runTicks(core, now, TickInterval)
+	w, _ = lastWatch(cmds)
+	c.Check(w, qt.Equals, Watch{On: true, Cursor: 41, Wait: shortPollWait, Fallback: true})
 
-	_, cmds = beats(h, now, lapseKeep+2*time.Second, told(1, 41))
-	w, ok = watchOf(cmds)
+	_, cmds = runWithNotices(core, now, minFallbackPolling+2*time.Second, pollNotice(1, 41))
+	w, ok = lastWatch(cmds)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(w.On, qt.IsFalse)
 }
@@ -108,17 +108,17 @@
 // version has come.
 func TestDutyBehind(t *testing.T) {
 	c := qt.New(t)
-	h, now := large(c, 25)
-	now, cmds := beats(h, now, 4*time.Second, told(2, 50))
-	w, _ := watchOf(cmds)
+	core, now := largeDomainCore(c, 25)
+	now, cmds := runWithNotices(core, now, 4*time.Second, pollNotice(2, 50))
+	w, _ := lastWatch(cmds)
 	c.Check(w.On, qt.IsTrue)
-	c.Check(w.Seen, qt.Equals, uint64(10))
-	next := content(c, 2, 2)
-	h.Step(now, Received{1, Notice{2, next.Hash, true}})
-	now, _ = ticks(h, now, hedgeAfter+2*TickEvery)
-	h.Step(now, Received{1, told(2, 50)})
-	h.Step(now, Received{1, next})
-	c.Check(h.watch.seen, qt.Equals, uint64(50))
+	c.Check(w.Cursor, qt.Equals, uint64(10))
+	next := fullContent(c, 2, 2)
+	core.Step(now, Received{1, VersionNotice{2, next.Hash, true}})
+	now, _ = runTicks(core, now, hedgeDelay+2*TickInterval)
+	core.Step(now, Received{1, pollNotice(2, 50)})
+	core.Step(now, Received{1, next})
+	c.Check(core.watch.cursor, qt.Equals, uint64(50))
 }
 
 // TestDutyFetch has a peer tell of a version to a node that does not watch.
@@ -128,15 +128,15 @@
 // node the time for its calls.
 func TestDutyFetch(t *testing.T) {
 	c := qt.New(t)
-	h, now := large(c, 25)
-	now, _ = beats(h, now, 10*time.Second, told(1, 40))
-	next := content(c, 2, 2)
-	c.Check(fetches(h.Step(now, Received{1, Notice{2, next.Hash, true}})), qt.Equals, 1)
-	h.Step(now, Received{1, next})
-	after := content(c, 3, 3)
-	c.Check(fetches(h.Step(now, Received{1, Notice{3, after.Hash, true}})), qt.Equals, 0)
-	_, cmds := ticks(h, now, fetchEvery+2*TickEvery)
-	c.Check(fetches(cmds), qt.Equals, 1)
+	core, now := largeDomainCore(c, 25)
+	now, _ = runWithNotices(core, now, 10*time.Second, pollNotice(1, 40))
+	next := fullContent(c, 2, 2)
+	c.Check(countFetches(core.Step(now, Received{1, VersionNotice{2, next.Hash, true}})), qt.Equals, 1)
+	core.Step(now, Received{1, next})
+	after := fullContent(c, 3, 3)
+	c.Check(countFetches(core.Step(now, Received{1, VersionNotice{3, after.Hash, true}})), qt.Equals, 0)
+	_, cmds := runTicks(core, now, minFetchInterval+2*TickInterval)
+	c.Check(countFetches(cmds), qt.Equals, 1)
 }
 
 // TestDutyStart starts a node among peers that serve already.
@@ -147,23 +147,23 @@
 func TestDutyStart(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
-	now, cmds := ticks(h, now, TickEvery)
-	w, _ := watchOf(cmds)
+	core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+	now, cmds := runTicks(core, now, TickInterval)
+	w, _ := lastWatch(cmds)
 	c.Check(w.On, qt.IsFalse)
-	next := content(c, 7, 7)
-	cmds = h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 7, Hash: next.Hash, Seen: 30, Fresh: 100}, Addr: "b:1"})
-	c.Check(fetches(cmds), qt.Equals, 1)
-	cmds = h.Step(now, Received{1, next})
-	w, _ = watchOf(cmds)
-	c.Check(w, qt.Equals, Watch{On: true, Seen: 30})
-	c.Check(h.Ready(), qt.IsFalse)
-	h.Step(now, Polled{Seen: 31, At: now})
-	c.Check(h.Ready(), qt.IsTrue)
+	next := fullContent(c, 7, 7)
+	cmds = core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 7, Hash: next.Hash, Cursor: 30, HeadAge: 100}, Addr: "b:1"})
+	c.Check(countFetches(cmds), qt.Equals, 1)
+	cmds = core.Step(now, Received{1, next})
+	w, _ = lastWatch(cmds)
+	c.Check(w, qt.Equals, Watch{On: true, Cursor: 30})
+	c.Check(core.Ready(), qt.IsFalse)
+	core.Step(now, Polled{Cursor: 31, At: now})
+	c.Check(core.Ready(), qt.IsTrue)
 
-	h = New(Config{Self: member("a"), HeadFed: true}, rand.New(rand.NewPCG(1, 1)), now)
-	_, cmds = ticks(h, now, peersFirst+2*TickEvery)
-	w, _ = watchOf(cmds)
+	core = New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
+	_, cmds = runTicks(core, now, startReadDelay+2*TickInterval)
+	w, _ = lastWatch(cmds)
 	c.Check(w, qt.Equals, Watch{On: true})
 }
 
@@ -175,19 +175,19 @@
 // polls, and serve an old version with no error anywhere.
 func TestDutyEcho(t *testing.T) {
 	c := qt.New(t)
-	h, now := large(c, 25)
-	f := told(1, 40)
+	core, now := largeDomainCore(c, 25)
+	f := pollNotice(1, 40)
 	f.Serial = 7
-	cmds := h.Step(now, Received{1, f})
-	c.Check(count[Send](cmds) > 0, qt.IsTrue)
+	cmds := core.Step(now, Received{1, f})
+	c.Check(countCmds[Send](cmds) > 0, qt.IsTrue)
 	quiet := now
 	on := false
 	for !on {
-		c.Check(count[Send](h.Step(now, Received{2, f})), qt.Equals, 0)
+		c.Check(countCmds[Send](core.Step(now, Received{2, f})), qt.Equals, 0)
 		var w Watch
-		now, cmds = ticks(h, now, TickEvery)
-		w, _ = watchOf(cmds)
-		on = w.On && w.Spare
-		c.Assert(now.Sub(quiet) <= lapseAfter+lapseSpread+TickEvery, qt.IsTrue)
+		now, cmds = runTicks(core, now, TickInterval)
+		w, _ = lastWatch(cmds)
+		on = w.On && w.Fallback
+		c.Assert(now.Sub(quiet) <= pollNoticeTimeout+pollNoticeTimeoutSpread+TickInterval, qt.IsTrue)
 	}
 }
