--- a/briarrockd/peer/floor.go
+++ b/briarrockd/peer/floor.go
@@ -5,9 +5,10 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// recordPeerVersion remembers what a peer uses, so that it can be told its floor after a
-// restart: the peer itself if it is of the own domain, and its whole domain,
-// in case all of its nodes restart.
+// recordPeerVersion records the version that a peer uses, so that this node can send
+// it as a floor after the peer restarts. It is recorded for the peer itself if it
+// belongs to this node's domain, and for the peer's whole domain in case all nodes
+// there restart.
 func (c *Core) recordPeerVersion(l *link, version uint64) {
 	v := &c.version
 	v.everLinked = true
@@ -17,13 +18,13 @@
 	}
 }
 
-// raiseFloor takes a peer's word for what this host has served before.
+// raiseFloor raises this host's version floor to the one that a peer has recorded.
 func (c *Core) raiseFloor(floor uint64) {
 	c.version.floor = max(c.version.floor, floor)
 }
 
-// noteRemoteVersion notes that a peer of another domain holds a version, and so
-// remembers that this domain uses it.
+// noteRemoteVersion raises the remote floor to a version that a peer of another
+// domain holds: that peer has recorded that this domain uses the version.
 func (c *Core) noteRemoteVersion(l *link, version uint64) {
 	if l.domain == c.self.Domain || version == 0 {
 		return
@@ -31,9 +32,9 @@
 	c.raiseRemoteFloor(l.id, min(version, max(c.version.number, c.version.remoteFloor)))
 }
 
-// raiseRemoteFloor takes in that other domains know that this one uses a version,
-// and passes it on within the domain. A node that has not served yet takes it
-// for its floor.
+// raiseRemoteFloor raises the remote floor and floods it within the domain, except
+// over the link that it came from. A node that is not ready raises its own floor to
+// it as well.
 func (c *Core) raiseRemoteFloor(from LinkID, version uint64) {
 	v := &c.version
 	if version <= v.remoteFloor {
@@ -51,8 +52,8 @@
 	c.serve()
 }
 
-// setVersion puts a version into use. It is the only place where the number changes,
-// and the one check that keeps a node from ever going back stands in arrived.
+// setVersion puts a version into use. Only setVersion changes the number in use, and
+// the one check against going back to an older version is in acceptVersion.
 func (c *Core) setVersion(number uint64, hash snapshot.Hash, s *snapshot.Snapshot) {
 	v := &c.version
 	v.previousHash, v.previousNumber = v.hash, v.number
@@ -78,15 +79,17 @@
 	c.markReportDirty()
 }
 
-// serve hands the newest verified version to the proxy, once the node may.
+// serve passes the newest verified version to the proxy, once the node is ready and
+// the version is confirmed.
 //
-// The host could die right after, while the store is down, and come back to
-// peers that have never heard of the version: it would then serve an older
-// one than before. So a version is served only once it is remembered: by
-// another node of the domain, whoever sent the content here or asked for it,
-// and, in case the whole domain dies, by another domain. That costs a round
-// trip or two, and only in the domain where the version came in; where nobody
-// answers, a node waits confirmTimeout. docs/design/floor.md has what is left.
+// If the host crashed right after serving a version, while the store was down, it
+// could restart among peers that had not received the version, and would then
+// serve an older one than before. So a version is served only once it is recorded
+// by another node of the domain (the one that sent the content or fetched it) and,
+// in case the whole domain fails, by another domain. This costs one or two round
+// trips, and only in the domain where the version arrives first. If no peer
+// answers, the node serves after confirmTimeout. docs/design/floor.md lists the
+// cases that remain.
 func (c *Core) serve() {
 	v := &c.version
 	if !v.ready || v.staged == nil {
@@ -100,6 +103,8 @@
 	v.staged = nil
 }
 
+// confirmed reports whether the staged version may be served: other nodes have
+// recorded that this node holds it, or confirmTimeout has passed.
 func (c *Core) confirmed() bool {
 	v := &c.version
 	if c.now.Sub(v.stagedAt) >= confirmTimeout {
@@ -111,7 +116,7 @@
 	return v.remoteFloor >= v.number || len(c.table.names()) < 2
 }
 
-// hasNeighbour tells whether there is a link within the domain.
+// hasNeighbour reports whether any link within the domain is open.
 func (c *Core) hasNeighbour() bool {
 	for _, l := range c.linkByHost {
 		if l.domain == c.self.Domain {
@@ -121,7 +126,8 @@
 	return false
 }
 
-// confirmInDomain notes that a peer knows that this node holds a version.
+// confirmInDomain marks the version in use as confirmed in the domain if the peer
+// belongs to it and has recorded that this node holds that version.
 func (c *Core) confirmInDomain(l *link, number uint64) {
 	v := &c.version
 	if l.domain != c.self.Domain || number < v.number || v.number == 0 {
@@ -131,47 +137,48 @@
 	c.serve()
 }
 
-// linkedToAll tells whether this node has been linked for a while with everybody who
-// remembers what it served, while the platform can't be asked: its neighbours in
-// the domain, and one member of each other domain of the region. A version is
-// served only once one of them holds it.
+// linkedToAll reports whether polls of the platform fail, and this node has had links
+// for linkSettleTime to all peers that could have recorded the versions it served:
+// its neighbours in the domain and, if it is a bridge node, one member of each other
+// domain of the region. A version is served only once one of these peers holds it.
 func (c *Core) linkedToAll() bool {
 	if len(c.links) == 0 || c.watch.failures == 0 {
 		return false
 	}
-	long := func(l *link) bool { return l != nil && c.now.Sub(l.openedAt) >= linkSettleTime }
+	settled := func(l *link) bool { return l != nil && c.now.Sub(l.openedAt) >= linkSettleTime }
 	for _, r := range c.neighbours() {
-		if !long(c.linkByHost[r.Host]) {
+		if !settled(c.linkByHost[r.Host]) {
 			return false
 		}
 	}
-	met := make(map[string]bool)
+	linkedDomains := make(map[string]bool)
 	for _, l := range c.linkByHost {
-		met[l.domain] = met[l.domain] || long(l)
+		linkedDomains[l.domain] = linkedDomains[l.domain] || settled(l)
 	}
-	others := 0
+	otherDomains := 0
 	for _, name := range c.table.names() {
 		if name == c.self.Domain || c.table.domains[name].region != c.self.Region {
 			continue
 		}
-		others++
-		if !met[name] && c.orderIndex() < bridgesPerDomain {
+		otherDomains++
+		if !linkedDomains[name] && c.orderIndex() < bridgesPerDomain {
 			return false
 		}
 	}
-	return others > 0 || len(c.table.members(c.self.Domain)) > 1
+	return otherDomains > 0 || len(c.table.members(c.self.Domain)) > 1
 }
 
-// becomeReady decides when a node that has just started may serve.
+// becomeReady marks a node that has just started as ready once it may serve.
 //
-// Its host keeps nothing, so it can't know what it served before. The fault
-// would be to serve an older version than before the restart, if the peer it
-// meets first is behind; the symptom, an accepted change that goes away again
-// on one host. A head that was read after this process started is at least as
-// new as anything that it ever served, since versions are served only after
-// they are the head. Where the store can't be reached, the node waits for its
-// domain's peers and never goes below what they saw it use: once a poll has failed,
-// until it has met all of those who would remember, or else for startServeDelay.
+// A host stores nothing on disk, so after a restart it doesn't know which version it
+// served before. If the first peer it links to is behind, it could serve an older
+// version than before the restart, and a committed change would disappear on that
+// host. A head read after this process started is at least as new as any version
+// the host has served, since a version is served only after it is the head. If the
+// store is unreachable, the node waits for the peers of its domain, and never serves
+// a version below the floor they report: after a failed poll it waits until it is
+// linked to all peers that could have recorded one (linkedToAll), or else for
+// startServeDelay.
 func (c *Core) becomeReady() {
 	v := &c.version
 	if v.ready || v.number == 0 || v.number < v.floor {
--- a/briarrockd/peer/frame.go
+++ b/briarrockd/peer/frame.go
@@ -9,52 +9,53 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// Frame is one message between two nodes. On the wire it is one byte for its
-// type and then CBOR (RFC 8949) with small integers for field names, so that
-// fields can be added without breaking older nodes.
+// Frame is one message between two nodes. On the wire it is one byte for its type
+// followed by CBOR (RFC 8949) with small integers as field keys, so that fields can be
+// added without breaking older nodes.
 type Frame interface{ code() byte }
 
-// Hello opens a link, in both directions. Floor and KnownIncarnation are what the sender
-// remembers of the receiver from before: a host keeps nothing, so its peers
-// are its memory.
+// Hello opens a link and is sent in both directions. Floor and KnownIncarnation are what
+// the sender has recorded of the receiver, possibly before the receiver restarted: a
+// host stores no state on disk and restores it from its peers.
 type Hello struct {
 	Member Member `cbor:"1,keyasint"`
 	// KnownIncarnation is the highest incarnation of the receiver that the sender holds.
 	KnownIncarnation uint64 `cbor:"2,keyasint,omitempty"`
-	// Floor is the highest version that the sender saw the receiver use.
+	// Floor is the highest version that the sender has recorded as used by the receiver.
 	Floor   uint64        `cbor:"3,keyasint,omitempty"`
 	Version uint64        `cbor:"4,keyasint,omitempty"`
 	Hash    snapshot.Hash `cbor:"5,keyasint"`
-	// HeadAge is the age in milliseconds of the last read of the head, as far
-	// as the sender has heard; 0 for never.
+	// HeadAge is the age in milliseconds of the last read of the head known to the
+	// sender; 0 for never.
 	HeadAge uint64 `cbor:"6,keyasint,omitempty"`
-	// DomainFloor is the highest version that the receiver's domain is known to
-	// have used.
+	// DomainFloor is the highest version that the sender has recorded as used by the
+	// receiver's domain.
 	DomainFloor uint64 `cbor:"8,keyasint,omitempty"`
-	// Lazy asks that this link carries news only as a reserve.
+	// Lazy marks this link as a backup: the receiver announces versions on it only
+	// after a delay, and sends no summaries or poll notices.
 	Lazy bool `cbor:"7,keyasint,omitempty"`
-	// Seen is the position in the platform's record of changes up to which the
-	// sender's version is the newest; 0 if it doesn't know.
+	// Cursor is the position in the platform's change feed up to which the sender's
+	// version is the newest; 0 if unknown.
 	Cursor uint64 `cbor:"9,keyasint,omitempty"`
-	// RemoteFloor is the highest version that other domains are known to remember as one
-	// that the sender's domain uses.
+	// RemoteFloor is the highest version that other domains are known to have recorded
+	// as used by the sender's domain.
 	RemoteFloor uint64 `cbor:"10,keyasint,omitempty"`
-	// Members is how many live members the sender knows, itself included.
+	// Members is the number of live members known to the sender, itself included.
 	Members int `cbor:"11,keyasint,omitempty"`
 }
 
-// Heartbeat is the heartbeat of a link. It carries just enough to notice that the
-// two sides differ.
+// Heartbeat is sent periodically over each link. It carries just enough for the
+// receiver to detect that the two sides differ.
 type Heartbeat struct {
-	Root    uint64 `cbor:"1,keyasint"`
+	Root    uint64 `cbor:"1,keyasint"` // digest of the sender's member table
 	Version uint64 `cbor:"2,keyasint,omitempty"`
-	HeadAge uint64 `cbor:"3,keyasint,omitempty"`
-	Cursor  uint64 `cbor:"4,keyasint,omitempty"`
+	HeadAge uint64 `cbor:"3,keyasint,omitempty"` // as in Hello
+	Cursor  uint64 `cbor:"4,keyasint,omitempty"` // as in Hello
 }
 
-// PollNotice floods through the mesh: one poll of the platform, how long ago it was,
-// and which version was the newest then. Host, Incarnation and Serial name it, so
-// that each node passes it on once.
+// PollNotice is flooded through the mesh to announce one poll of the platform: how long
+// ago it was, and which version was the newest then. Host, Incarnation and Serial
+// identify it, so that each node forwards it once.
 type PollNotice struct {
 	Version     uint64 `cbor:"1,keyasint,omitempty"`
 	Cursor      uint64 `cbor:"2,keyasint,omitempty"` // as in Hello
@@ -62,27 +63,28 @@
 	Host        string `cbor:"4,keyasint"`
 	Incarnation uint64 `cbor:"5,keyasint"`
 	Serial      uint64 `cbor:"6,keyasint"` // counts the notices of this incarnation
-	// Started is set where a node says that it begins to poll; it has no answer yet.
+	// Started is set when the host begins to poll and has no answer yet.
 	Started bool `cbor:"7,keyasint,omitempty"`
-	// Region is that of the host, and Delay the milliseconds of its way to the
-	// platform and back; 0 if it doesn't know.
+	// Region is the host's region, and RTT its round-trip time to the platform in
+	// milliseconds; 0 if unknown.
 	Region string `cbor:"8,keyasint,omitempty"`
 	RTT    uint64 `cbor:"9,keyasint,omitempty"`
 }
 
-// DomainDigest is the digest of one domain's part of the table.
+// DomainDigest is the digest of one domain's part of the member table.
 type DomainDigest struct {
 	Name   string `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"`
 	Count  int    `cbor:"3,keyasint"`
 }
 
-// Digests is sent when the roots differ: which domains do?
+// Digests is sent when the table digests in heartbeats differ, to find the domains
+// whose records differ.
 type Digests struct {
 	Domains []DomainDigest `cbor:"1,keyasint"`
 }
 
-// Entry is the rank of one member, without its record.
+// Entry identifies the revision of one member's record, without the record itself.
 type Entry struct {
 	Host        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
@@ -92,73 +94,76 @@
 
 func (e Entry) rank() rank { return rank{e.Incarnation, e.Seq, e.State} }
 
-// Listing lists what the sender holds of one domain that differs.
+// Listing lists the revisions that the sender holds of one domain whose digest differs.
 type Listing struct {
 	Domain  string  `cbor:"1,keyasint"`
 	Entries []Entry `cbor:"2,keyasint,omitempty"`
 }
 
-// RecordRequest asks for the records of some hosts.
+// RecordRequest requests the records of some hosts.
 type RecordRequest struct {
 	Hosts []string `cbor:"1,keyasint"`
 }
 
-// Records carries members' records: news when they change, or a repair.
+// Records carries members' records, when they change or in answer to a RecordRequest.
 type Records struct {
 	Members []Member `cbor:"1,keyasint"`
 }
 
-// VersionNotice says which version the sender holds.
+// VersionNotice announces the version that the sender holds.
 type VersionNotice struct {
 	Version uint64        `cbor:"1,keyasint"`
 	Hash    snapshot.Hash `cbor:"2,keyasint"`
-	// Out is set when another domain than the receiver's holds it too.
+	// HeldRemotely is set when a domain other than the receiver's holds it too.
 	HeldRemotely bool `cbor:"3,keyasint,omitempty"`
 }
 
-// VersionAck tells the sender of a pushed version that it has arrived.
+// VersionAck acknowledges a received version to the peer that sent it.
 type VersionAck struct {
 	Version uint64 `cbor:"1,keyasint"`
 }
 
-// FloorNotice floods within a domain: other domains know that it uses a version.
+// FloorNotice is flooded within a domain to announce that other domains have recorded
+// that this domain uses a version.
 type FloorNotice struct {
 	Version uint64 `cbor:"1,keyasint"`
 }
 
-// Fetch asks for a version's content, and says which content the asker has to
-// build on.
+// Fetch requests the content of a version. Base is the content that the sender holds
+// and can apply a delta to; zero requests the full snapshot.
 type Fetch struct {
 	Version uint64        `cbor:"1,keyasint"`
 	Hash    snapshot.Hash `cbor:"2,keyasint"`
 	Base    snapshot.Hash `cbor:"3,keyasint"`
 }
 
-// Content answers a Fetch. Packed is compressed against Base, or by itself
-// when Base is zero. An empty Packed says that the sender does not have it.
+// Content answers a Fetch, or pushes a version. Packed is compressed against Base, or
+// by itself when Base is zero. Packed is empty if the sender doesn't hold the version.
 type Content struct {
 	Version uint64        `cbor:"1,keyasint"`
 	Hash    snapshot.Hash `cbor:"2,keyasint"`
 	Base    snapshot.Hash `cbor:"3,keyasint"`
 	Packed  []byte        `cbor:"4,keyasint,omitempty"`
-	// HeldRemotely is as in VersionNotice. Push is set when the version was not asked for.
+	// HeldRemotely is as in VersionNotice. Push is set when no Fetch was sent for the
+	// version.
 	HeldRemotely bool `cbor:"5,keyasint,omitempty"`
 	Push         bool `cbor:"6,keyasint,omitempty"`
 }
 
-// VersionCount is how many nodes serve one version.
+// VersionCount is the number of nodes that serve one version.
 type VersionCount struct {
 	Version uint64 `cbor:"1,keyasint" json:"version"`
 	Nodes   int    `cbor:"2,keyasint" json:"nodes"`
 }
 
-// Report tells a parent of the tree what its child's subtree serves.
+// Report is sent by a node to its parent in the tree: which versions the nodes of its
+// subtree serve.
 type Report struct {
 	Counts   []VersionCount `cbor:"1,keyasint"`
-	Laggards []string       `cbor:"2,keyasint,omitempty"`
+	Laggards []string       `cbor:"2,keyasint,omitempty"` // some hosts with an older version
 }
 
-// Summary tells other domains what a whole domain serves.
+// Summary is sent to other domains: which versions the nodes of one domain serve.
 type Summary struct {
 	Domain   string         `cbor:"1,keyasint"`
 	Region   string         `cbor:"2,keyasint"`
@@ -168,18 +173,19 @@
 	Laggards []string       `cbor:"6,keyasint,omitempty"`
 }
 
-// CrashReport says that a request that crashes targets is held back everywhere.
+// CrashReport is flooded to all nodes after a target crashed with a request in flight.
+// A request with HoldThreshold reports is held back on all nodes.
 type CrashReport struct {
 	Print   uint64 `cbor:"1,keyasint"` // fingerprint of the request
 	Service string `cbor:"2,keyasint"`
 	Crashes int    `cbor:"3,keyasint"`
-	// Clear takes the suspicion back: the request has run to its end.
+	// Clear withdraws the suspicion: the request has completed.
 	Clear bool `cbor:"4,keyasint,omitempty"`
-	// ID tells two reports of the same print apart.
+	// ID distinguishes two reports of the same print.
 	ID uint64 `cbor:"5,keyasint"`
 }
 
-// The type codes on the wire. A code is never used again for another frame.
+// The type codes on the wire. A code is never reused for another frame.
 const (
 	codeHello byte = iota + 1
 	codeHeartbeat
@@ -214,7 +220,7 @@
 func (VersionAck) code() byte    { return codeVersionAck }
 func (PollNotice) code() byte    { return codePollNotice }
 
-// Bounds of the lists in frames.
+// Bounds of the lists in frames, in elements, and of an encoded frame.
 const (
 	maxRecords        = 256
 	maxEntries        = MaxMembers
@@ -222,23 +228,23 @@
 	maxDomains        = 256
 	maxCounts         = 16
 	maxLaggards       = 8
-	// MaxFrame bounds one encoded frame: a packed snapshot and its envelope.
+	// MaxFrame bounds one encoded frame in bytes: a packed snapshot and its envelope.
 	MaxFrame = snapshot.MaxBytes + 4096
 )
 
-// ErrFrame says that bytes from a peer are no frame.
+// ErrFrame is returned for bytes from a peer that are not a valid frame.
 var ErrFrame = errors.New("peer: malformed frame")
 
 // EncodeFrame returns the bytes of f.
 func EncodeFrame(f Frame) ([]byte, error) {
 	body, err := codec.Encode(f)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer: encode")
+		return nil, errors.Wrap(err, "peer: encode frame")
 	}
 	return append([]byte{f.code()}, body...), nil
 }
 
-// DecodeFrame reads a frame and checks its bounds; its error is ErrFrame.
+// DecodeFrame decodes a frame and checks its bounds. Its only error is ErrFrame.
 func DecodeFrame(b []byte) (Frame, error) {
 	if len(b) == 0 || len(b) > MaxFrame {
 		return nil, ErrFrame
@@ -301,11 +307,12 @@
 	return true
 }
 
-func boundedCounts(counts []VersionCount, laggard []string) bool {
-	return len(counts) <= maxCounts && len(laggard) <= maxLaggards
+func boundedCounts(counts []VersionCount, laggards []string) bool {
+	return len(counts) <= maxCounts && len(laggards) <= maxLaggards
 }
 
-// age is a time as milliseconds before now, at least 1; 0 for never.
+// age converts a time to its age in milliseconds at now, at least 1. The zero time,
+// which stands for never, gives 0.
 func age(now, t time.Time) uint64 {
 	if t.IsZero() {
 		return 0
--- a/briarrockd/peer/push.go
+++ b/briarrockd/peer/push.go
@@ -6,46 +6,48 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// notifyIfBehind tells a peer of the version in use if it does not have it. A
-// notice that was lost is told again when the peer's heartbeat still shows an
-// older version.
-func (c *Core) notifyIfBehind(l *link, number uint64) {
-	if number >= c.version.number {
+// notifyIfBehind pushes or announces the version in use to a peer whose version,
+// peerVersion, is older. A lost notice is sent again when the peer's heartbeat still
+// shows an older version.
+func (c *Core) notifyIfBehind(l *link, peerVersion uint64) {
+	if peerVersion >= c.version.number {
 		return
 	}
 	if l.announced == c.version.number && c.now.Sub(l.announcedAt) < heartbeatInterval {
 		return
 	}
-	out := c.version.remoteFloor >= c.version.number || l.domain != c.self.Domain
-	// Where the platform's adapter reads, the peer may watch as well and be about
-	// to have the version: the notice of it is enough, and who wants it asks.
-	if c.cfg.DelegatePolling || !c.pushVersion(l, number, out) {
-		c.send(l, VersionNotice{c.version.number, c.version.hash, out})
+	heldRemotely := c.version.remoteFloor >= c.version.number || l.domain != c.self.Domain
+	// With delegated polling the peer may poll the platform too and receive the
+	// version that way. A notice is enough: a peer that needs the version fetches it.
+	if c.cfg.DelegatePolling || !c.pushVersion(l, peerVersion, heldRemotely) {
+		c.send(l, VersionNotice{c.version.number, c.version.hash, heldRemotely})
 	}
 	l.announced = c.version.number
 	l.announcedAt = c.now
 }
 
-// pushVersion sends the version in use itself instead of a notice of it, where the
-// peer has the version before and the difference is small: that spares it the
-// round trip of a fetch. A difference is mostly smaller than the notice.
-func (c *Core) pushVersion(l *link, has uint64, out bool) bool {
+// pushVersion sends a delta to the version in use instead of a notice, if the peer
+// holds the previous version and the delta is small. This saves the round trip of a
+// fetch, and the delta is mostly smaller than the notice. It reports whether the
+// delta was sent.
+func (c *Core) pushVersion(l *link, peerVersion uint64, heldRemotely bool) bool {
 	v := &c.version
 	base, ok := v.content[v.previousHash]
-	if !ok || has != v.previousNumber {
+	if !ok || peerVersion != v.previousNumber {
 		return false
 	}
-	p, err := c.cachedDelta(v.previousHash, v.hash, base, v.content[v.hash])
-	if err != nil || len(p) > c.maxPush(l) {
+	packed, err := c.cachedDelta(v.previousHash, v.hash, base, v.content[v.hash])
+	if err != nil || len(packed) > c.maxPush(l) {
 		return false
 	}
-	c.send(l, Content{Version: v.number, Hash: v.hash, Base: v.previousHash, Packed: p, HeldRemotely: out, Push: true})
+	c.send(l, Content{Version: v.number, Hash: v.hash, Base: v.previousHash, Packed: packed, HeldRemotely: heldRemotely, Push: true})
 	c.recordPeerVersion(l, v.number)
 	return true
 }
 
-// maxPush bounds what is pushed over a link. Within a region a peer may get
-// the same push from several links; over the paid link there is one copy.
+// maxPush returns the size limit in bytes of a delta pushed over a link. It is lower
+// within a region, where a peer may get the same push over several links, than over
+// a paid inter-region link, which carries one copy.
 func (c *Core) maxPush(l *link) int {
 	if l.region != c.self.Region {
 		return maxPushInterRegion
@@ -53,7 +55,7 @@
 	return maxPushInRegion
 }
 
-// onVersionAck takes a peer's word that a push has arrived.
+// onVersionAck handles a peer's acknowledgement that a version has arrived there.
 func (c *Core) onVersionAck(l *link, f VersionAck) {
 	l.version = max(l.version, f.Version)
 	c.recordPeerVersion(l, f.Version)
@@ -61,15 +63,16 @@
 	c.confirmInDomain(l, f.Version)
 }
 
-// onPush takes a version that was not asked for. Its sender waits to hear
-// that it has arrived, unless ours has crossed it on the way.
+// onPush handles a pushed version as a notice and acknowledges it: the sender waits
+// for the acknowledgement, unless this node's own notice of the version crossed the
+// push in transit.
 func (c *Core) onPush(l *link, f Content) {
 	c.onVersionNotice(l, VersionNotice{f.Version, f.Hash, f.HeldRemotely})
 	c.acknowledge(l, f.Version)
 }
 
-// acknowledge tells who sent a version that it has arrived, unless it has been
-// told of the same version from here meanwhile.
+// acknowledge sends a VersionAck to the peer that sent a version, unless this node
+// has already announced that version to the peer.
 func (c *Core) acknowledge(l *link, number uint64) {
 	if l.announced < number {
 		l.announced, l.announcedAt = number, c.now
@@ -77,8 +80,8 @@
 	}
 }
 
-// onVersionNotice takes a peer's word that it holds a version. It may be about to
-// serve it, so that is remembered as its floor.
+// onVersionNotice handles a peer's notice that it holds a version. The peer may be
+// about to serve it, so the version is recorded as the peer's floor.
 func (c *Core) onVersionNotice(l *link, f VersionNotice) {
 	c.recordPeerVersion(l, f.Version)
 	c.noteRemoteVersion(l, f.Version)
@@ -89,8 +92,10 @@
 	c.confirmInDomain(l, f.Version)
 }
 
-// notifyLazy tells a lazy link of the version in use, after a delay in which
-// the other carriers' link has mostly done it at no cost here.
+// notifyLazy announces the version in use over a lazy link, if the peer is still
+// behind after a random delay of one to two times lazyDelay. By then the link between
+// the regions' other gateway nodes has mostly delivered the version, and this link
+// carries nothing.
 func (c *Core) notifyLazy(l *link) {
 	if !l.lazy || l.version >= c.version.number {
 		l.lazyNoticeAt = time.Time{}
@@ -105,21 +110,23 @@
 	}
 }
 
+// cachedDelta returns b packed against base, from the cache if the last delta was
+// for the same pair of hashes. A nil base packs the full snapshot.
 func (c *Core) cachedDelta(baseHash, hash snapshot.Hash, base, b []byte) ([]byte, error) {
-	p := &c.version.lastDelta
-	if p.bytes != nil && p.base == baseHash && p.hash == hash {
-		return p.bytes, nil
+	last := &c.version.lastDelta
+	if last.bytes != nil && last.base == baseHash && last.hash == hash {
+		return last.bytes, nil
 	}
-	out, err := snapshot.Pack(base, b)
+	packed, err := snapshot.Pack(base, b)
 	if err != nil {
 		return nil, err
 	}
-	*p = delta{baseHash, hash, out}
-	return out, nil
+	*last = delta{baseHash, hash, packed}
+	return packed, nil
 }
 
-// applyPush tries to put a pushed version into use. If it doesn't fit, it
-// counts as a notice.
+// applyPush puts a pushed version into use. It returns false if this node doesn't
+// hold the base or the delta is invalid; the caller then treats the push as a notice.
 func (c *Core) applyPush(f Content) bool {
 	base, ok := c.version.content[f.Base]
 	if !ok {
@@ -131,19 +138,20 @@
 	return c.applyContent("", base, f)
 }
 
-// applyContent puts a version that came from a peer into use, if it is whole. The
-// difference is passed on as it came, so that only the first node packs it.
+// applyContent unpacks a version received from a peer and puts it into use if it is
+// valid; from is the sending host, for the log. The received delta is cached and
+// forwarded as it is, so that only the first node packs it.
 func (c *Core) applyContent(from string, base []byte, f Content) bool {
 	b, err := snapshot.Unpack(base, f.Packed)
 	if err != nil {
 		c.logRefused(from, f.Version, err)
 		return false
 	}
-	before := c.version.lastDelta
+	previous := c.version.lastDelta
 	c.version.lastDelta = delta{f.Base, f.Hash, f.Packed}
 	if c.acceptVersion(f.Version, f.Hash, b) {
 		return true
 	}
-	c.version.lastDelta = before
+	c.version.lastDelta = previous
 	return false
 }
--- a/briarrockd/peer/report.go
+++ b/briarrockd/peer/report.go
@@ -7,12 +7,13 @@
 	"briarrock.example/mesh/event"
 )
 
-// summaryInterval is how often a root tells its summary again, so that a domain
-// that falls silent can be told from one where nothing happens.
+// summaryInterval is how often the root of a domain sends its summary even if nothing
+// has changed, so that other domains can distinguish an idle domain from one that is
+// unreachable.
 const summaryInterval = 10 * time.Second
 
-// domainForgetAfter is how long a whole domain may be silent before its members are
-// forgotten: longer than domains and regions are ever cut off.
+// domainForgetAfter is how long no summary of a domain may arrive before its members
+// are declared dead. It is longer than any partition of a domain or region lasts.
 const domainForgetAfter = 6 * time.Hour
 
 // tally counts nodes by the version that they use.
@@ -21,21 +22,25 @@
 	laggards []string
 }
 
-// reports is what a node knows of who uses which version.
+// reports is a node's state of which versions are in use: the reports of its subtree
+// and the summaries of the domains.
 type reports struct {
-	// children are the last reports of the children in the tree.
+	// children is, by host, the last report of each child in the tree.
 	children map[string]Report
-	// lastSent is the last report that went to parent.
+	// lastSent is the last report sent, to the host named by parent.
 	lastSent Report
 	parent   string
-	dirty    bool
-	// domains are the latest summaries, this domain's own included at its root.
+	// dirty is set when the report may have changed since it was sent.
+	dirty bool
+	// domains is, by domain, the latest summary; at a root this includes its own.
 	domains     map[string]receivedSummary
 	nextSummary time.Time
-	stale       map[string]bool
+	// stale holds the domains whose summaries are overdue, so that each outage is
+	// logged once.
+	stale map[string]bool
 }
 
-// receivedSummary is a summary and when it came.
+// receivedSummary is a summary and when it arrived.
 type receivedSummary struct {
 	Summary
 	at time.Time
@@ -70,9 +75,9 @@
 	c.reports.dirty = true
 }
 
-// subtreeReport adds up this node and what its children reported. Reports of hosts
-// that are no longer children are dropped: after the order changed they would
-// be counted in two places.
+// subtreeReport returns the report of this node and the subtrees of its children.
+// Reports of hosts that are no longer children are dropped: after a change of the
+// order they would be counted in two places.
 func (c *Core) subtreeReport() Report {
 	children := make(map[string]bool)
 	i := c.orderIndex()
@@ -97,8 +102,9 @@
 	return t.report(c.self.Host, c.version.number)
 }
 
-// report turns a tally into its bounded form: the newest versions, and the
-// names of some that are behind.
+// report converts a tally to a Report of bounded size: the newest versions, with older
+// ones added to the last of them, and the names of some hosts with an older version.
+// host and own are this node and the version it uses.
 func (t *tally) report(host string, own uint64) Report {
 	var r Report
 	newest := uint64(0)
@@ -130,8 +136,8 @@
 	c.checkStaleDomains()
 }
 
-// sendReport sends this node's report to its parent, if either changed. At
-// the root it goes out to the other domains instead.
+// sendReport sends this node's report to its parent, if the report or the parent has
+// changed. The root sends a summary to the other domains instead.
 func (c *Core) sendReport() {
 	r := c.subtreeReport()
 	c.reports.dirty = false
@@ -172,7 +178,7 @@
 	return true
 }
 
-// summarize tells the other domains what this one uses.
+// summarize sends the summary of this domain to the other domains.
 func (c *Core) summarize() {
 	c.reports.nextSummary = c.now.Add(summaryInterval)
 	r := c.subtreeReport()
@@ -197,8 +203,9 @@
 	c.relaySummary(l.id, f)
 }
 
-// relaySummary passes a summary on to the bridges of other domains, and to
-// the first two of the own one, who may have to take over.
+// relaySummary forwards a summary over all links that carry summaries, except the one
+// it came from: to the bridge nodes of other domains, and to the other bridge node of
+// this domain, which may become the root. A from of 0 excludes no link.
 func (c *Core) relaySummary(from LinkID, s Summary) {
 	for _, l := range c.sortedLinks() {
 		if l.id == from || l.lazy || l.domain == s.Domain || !c.carriesSummaries(l) || c.introductionOnly(l) {
@@ -208,8 +215,8 @@
 	}
 }
 
-// carriesSummaries tells whether summaries go over a link: those between domains, and
-// the one between the two bridges of this domain.
+// carriesSummaries reports whether summaries are sent over a link: links between domains,
+// and the link between the two bridge nodes of this domain.
 func (c *Core) carriesSummaries(l *link) bool {
 	if l.domain != c.self.Domain {
 		return true
@@ -223,7 +230,7 @@
 	return false
 }
 
-// sendSummaries brings a new link up to date.
+// sendSummaries sends all known summaries over a new link.
 func (c *Core) sendSummaries(l *link) {
 	if l.lazy || !c.carriesSummaries(l) {
 		return
@@ -244,7 +251,8 @@
 	return names
 }
 
-// checkStaleDomains logs, at the root, when another domain falls silent.
+// checkStaleDomains logs, at the root, when the summaries of another domain stop, and
+// declares the domain dead after domainForgetAfter.
 func (c *Core) checkStaleDomains() {
 	if !c.isRoot() {
 		return
@@ -261,10 +269,10 @@
 	}
 }
 
-// declareDomainDead declares the members of a domain dead that has been silent for
-// so long that it was most likely given up: nobody of its own is left to say
-// so, and its members would be kept for good. If it was only cut off, they
-// object when they come back.
+// declareDomainDead declares all members of a domain dead. It is called after so long
+// without a summary that the domain was most likely decommissioned. No member is left
+// there to declare the others dead, so they would stay in the table forever. If the
+// domain was only partitioned, its members refute this when they are reachable again.
 func (c *Core) declareDomainDead(name string) {
 	delete(c.reports.domains, name)
 	delete(c.reports.stale, name)
@@ -275,15 +283,15 @@
 	}
 }
 
-// DomainStatus is what one domain serves, as the asked node knows it.
+// DomainStatus is what one domain serves, as known to the node that answers.
 type DomainStatus struct {
 	Domain   string         `json:"domain"`
 	Region   string         `json:"region"`
 	Members  int            `json:"members"`
 	Counts   []VersionCount `json:"counts"`
 	Laggards []string       `json:"laggards,omitempty"`
-	// Silent is for how many milliseconds nothing was heard of the domain; 0
-	// while it is heard of as usual.
+	// SilentMillis is the time in milliseconds since the last summary of the domain,
+	// if that is overdue; else 0.
 	SilentMillis int64 `json:"silent,omitempty"`
 }
 
@@ -292,18 +300,18 @@
 	Version uint64         `json:"version"`
 	Hash    string         `json:"hash"`
 	Domains []DomainStatus `json:"domains"`
-	// Whole is set when the answer came from the root of a domain, which
-	// hears of all the others.
+	// Complete is set when the answer comes from the root of a domain, which receives
+	// the summaries of all others.
 	Complete bool `json:"whole"`
-	// Store is for how many milliseconds nobody has read the head; -1 for
-	// never.
+	// HeadAgeMillis is the time in milliseconds since the last known read of the head
+	// by any node; -1 for never.
 	HeadAgeMillis int64 `json:"store"`
-	// Held are requests that are held back because they crash targets.
+	// Held lists the requests that are held back because they crash targets.
 	Held []HeldRequest `json:"held,omitempty"`
 }
 
-// Status returns what this node knows of the mesh, and the address of the
-// node to ask instead when this one is not the root of its domain.
+// Status returns the mesh's status as known to this node. If this node is not the root
+// of its domain, it also returns the root's peer address, where the status is complete.
 func (c *Core) Status(now time.Time) (Status, string) {
 	s := Status{Version: c.version.number, Hash: c.version.hash.String(), Complete: c.isRoot(), HeadAgeMillis: -1}
 	if !c.watch.headReadAt.IsZero() {
--- a/briarrockd/peer/stream.go
+++ b/briarrockd/peer/stream.go
@@ -15,11 +15,11 @@
 	"briarrock.example/mesh/event"
 )
 
-// rawMessage is a message whose bytes are made and read elsewhere.
+// rawMessage is a drpc message that is already encoded.
 type rawMessage struct{ bytes []byte }
 
-// rawEncoding passes blobs through drpc unchanged: frames are encoded by the
-// CBOR library, so that no generated code is needed.
+// rawEncoding passes encoded messages through drpc unchanged. Frames are encoded as
+// CBOR, so no generated code is needed.
 type rawEncoding struct{}
 
 // Marshal implements drpc.Encoding.
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// stream is one open link: a drpc stream and the goroutine that writes it.
+// stream is one open link: a drpc stream and the outbox of the goroutine that writes
+// to it.
 type stream struct {
 	id        LinkID
 	rpc       drpc.Stream
@@ -61,12 +62,12 @@
 	})
 }
 
-// drain ends the link after what is in its outbox has been written.
+// drain ends the link after the frames in its outbox have been written.
 func (st *stream) drain() { st.drainOnce.Do(func() { close(st.draining) }) }
 
-// inboundPeer is what accepting a connection found out about its other side.
+// inboundPeer is the remote side of an accepted connection.
 type inboundPeer struct {
-	name string // in its certificate; empty without TLS
+	name string // host name in its certificate; empty without TLS
 	conn *countedConn
 }
 
@@ -94,13 +95,13 @@
 	ctx, cancel := context.WithTimeout(t.ctx, helloTimeout)
 	defer cancel()
 	if err := c.HandshakeContext(ctx); err != nil {
-		return nil, "", errors.Wrap(err, "peer: handshake")
+		return nil, "", errors.Wrap(err, "peer: TLS handshake")
 	}
 	name, err := t.creds.VerifyPeer(c.ConnectionState())
 	return c, name, err
 }
 
-// connect opens a connection to a peer.
+// connect opens a connection to a peer, with TLS if there are credentials.
 func (t *Transport) connect(ctx context.Context, addr string) (*countedConn, error) {
 	conn, err := t.dialTCP(ctx, "tcp", addr)
 	if err != nil {
@@ -114,7 +115,7 @@
 	return t.traffic.wrap(secured), nil
 }
 
-// dial opens a link and reports how it went.
+// dial opens a link. It posts LinkUp to the Core, or DialFailed on failure.
 func (t *Transport) dial(c Dial) {
 	ctx, cancel := context.WithTimeout(t.ctx, helloTimeout)
 	defer cancel()
@@ -136,14 +137,15 @@
 	})
 }
 
-// openStream starts the stream of an outbound link and exchanges hellos.
-func (t *Transport) openStream(rpc *drpcconn.Conn, conn *countedConn, hi Hello) (*stream, Hello, error) {
+// openStream starts the stream of an outbound link, sends own and returns the peer's
+// hello.
+func (t *Transport) openStream(rpc *drpcconn.Conn, conn *countedConn, own Hello) (*stream, Hello, error) {
 	_ = conn.SetDeadline(time.Now().Add(helloTimeout))
 	st, err := rpc.NewStream(t.ctx, rpcLink, rawEncoding{})
 	if err != nil {
 		return nil, Hello{}, errors.WithStack(err)
 	}
-	b, err := EncodeFrame(hi)
+	b, err := EncodeFrame(own)
 	if err != nil {
 		return nil, Hello{}, err
 	}
@@ -187,12 +189,12 @@
 	return st
 }
 
-// serveLink takes a link that a peer opens. The peer's name in its
-// certificate must be the host that it says it is.
+// serveLink runs a link that a peer has opened. The host name in the peer's
+// certificate must equal the host in its hello.
 func (t *Transport) serveLink(rpc drpc.Stream) error {
 	p, _ := rpc.Context().Value(peerKey{}).(*inboundPeer)
 	if p == nil {
-		return errors.New("peer: connection without identity")
+		return errors.New("peer: stream context has no accepted connection")
 	}
 	_ = p.conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	hello, err := recvHello(rpc)
@@ -203,7 +205,7 @@
 	if p.name != "" && p.name != hello.Member.Host {
 		t.refused.Inc()
 		t.log.Emit(event.PeerRefused, event.Fields{event.Subject: p.name, "claims": hello.Member.Host})
-		return errors.Errorf("peer: %q says that it is %q", p.name, hello.Member.Host)
+		return errors.Errorf("peer: certificate is for host %q, hello claims host %q", p.name, hello.Member.Host)
 	}
 	_ = p.conn.SetReadDeadline(time.Time{})
 	p.conn.setPeer(hello.Member)
--- a/briarrockd/peer/traffic.go
+++ b/briarrockd/peer/traffic.go
@@ -7,14 +7,15 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// The metric of control bytes, by how far they go and in which direction.
+// trafficMetric counts control bytes, by distance (far) and direction (way).
 const trafficMetric = "briarrock_control_bytes_total"
 
-// traffic counts the bytes of links, TLS included.
+// traffic counts the bytes of links, including the overhead of TLS. In each pair the
+// first counter is of written bytes, the second of read bytes.
 type traffic struct {
 	self        Member
-	domain      [2]*metrics.Counter // written, read; within the failure domain
-	region      [2]*metrics.Counter // within the region
+	domain      [2]*metrics.Counter // within the failure domain
+	region      [2]*metrics.Counter // within the region, between failure domains
 	interRegion [2]*metrics.Counter // between regions
 }
 
@@ -29,8 +30,8 @@
 	return &traffic{self: self, domain: pair("domain"), region: pair("region"), interRegion: pair("paid")}
 }
 
-// countedConn counts its bytes. What passes before the other side is known is
-// counted once it is.
+// countedConn counts the bytes of a connection. Bytes that pass before the peer is
+// known are added to the counters once setPeer is called.
 type countedConn struct {
 	net.Conn
 	traffic   *traffic
@@ -40,7 +41,7 @@
 
 func (t *traffic) wrap(c net.Conn) *countedConn { return &countedConn{Conn: c, traffic: t} }
 
-// setPeer says who is at the other side.
+// setPeer selects the counters by the domain and region of the peer.
 func (c *countedConn) setPeer(m Member) {
 	pair := &c.traffic.interRegion
 	switch {
@@ -50,17 +51,18 @@
 		pair = &c.traffic.region
 	}
 	c.counters.Store(pair)
-	for way := range c.uncounted {
-		pair[way].Add(int(c.uncounted[way].Swap(0)))
+	for dir := range c.uncounted {
+		pair[dir].Add(int(c.uncounted[dir].Swap(0)))
 	}
 }
 
-func (c *countedConn) add(way, n int) {
+// add counts n bytes; dir is 0 for written bytes, 1 for read bytes.
+func (c *countedConn) add(dir, n int) {
 	if pair := c.counters.Load(); pair != nil {
-		pair[way].Add(n)
+		pair[dir].Add(n)
 		return
 	}
-	c.uncounted[way].Add(int64(n))
+	c.uncounted[dir].Add(int64(n))
 }
 
 // Write implements net.Conn.
@@ -77,17 +79,17 @@
 	return n, err
 }
 
-// Traffic is the control bytes of a node so far, both directions added up.
+// Traffic is the control bytes of a node since its start, both directions added up.
 type Traffic struct {
 	Domain      uint64 `json:"domain"`
 	Region      uint64 `json:"region"`
 	InterRegion uint64 `json:"paid"`
-	// PaidOut is the part of Paid that this node wrote, so that adding up
-	// over the nodes counts each byte of the paid link once.
+	// InterRegionOut is the part of InterRegion that this node wrote. Its sum over all
+	// nodes counts each byte on the paid inter-region links once.
 	InterRegionOut uint64 `json:"paidout"`
 }
 
-// Traffic returns the control bytes so far.
+// Traffic returns the control bytes since the start.
 func (t *Transport) Traffic() Traffic {
 	sum := func(p [2]*metrics.Counter) uint64 { return p[0].Get() + p[1].Get() }
 	return Traffic{sum(t.traffic.domain), sum(t.traffic.region), sum(t.traffic.interRegion), t.traffic.interRegion[0].Get()}
--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -8,91 +8,99 @@
 )
 
 const (
-	// maxKeptVersions is how many versions' contents a node keeps, to make
-	// differences from and to answer peers that are behind, maxKeptBytes how many
-	// bytes of them at most beside the newest two: eight of 400 KB would be the
-	// largest thing in a node's memory.
+	// maxKeptVersions is the number of versions whose encoded snapshots a node
+	// caches, as delta bases and to answer fetches from peers with an older
+	// version. maxKeptBytes bounds the cache in bytes; the newest two versions
+	// are kept even above it. Eight snapshots of 400 KB would be the largest
+	// part of a node's memory.
 	maxKeptVersions = 8
 	maxKeptBytes    = 512 << 10
-	// hedgeDelay is how long a fetch may take before another source is asked.
+	// hedgeDelay is how long a fetch may take before it is sent to another source.
 	hedgeDelay = 400 * time.Millisecond
-	// lazyDelay is how much later a lazy link is told of a version.
+	// lazyDelay is the minimum delay before a version is announced over a lazy
+	// link; see notifyLazy.
 	lazyDelay = 400 * time.Millisecond
-	// maxSources bounds the links that are remembered as having a version.
+	// maxSources bounds the links recorded as sources of the pending version.
 	maxSources = 16
-	// maxFetchTries bounds the attempts at one version, after which the node goes
-	// back to believing its peers and the head anew.
+	// maxFetchTries bounds the attempts to fetch one version. After that the
+	// version is dropped, and the next notice or head read starts a new fetch.
 	maxFetchTries = 12
-	// minTriesBeforeDrop is the number of attempts from which on a version that the
-	// head has not reached is given up; before, the head may have been read
-	// just before the version was accepted.
+	// minTriesBeforeDrop is the number of fetch attempts before a version above
+	// the head is dropped. With fewer attempts, the head may have been read just
+	// before the version was committed.
 	minTriesBeforeDrop = 4
-	// maxPushInRegion and maxPushInterRegion bound the differences that are pushed unasked, in
-	// bytes, within a region and over the paid link.
+	// maxPushInRegion and maxPushInterRegion bound, in bytes, the deltas that are
+	// pushed without a fetch: within a region, and over a paid inter-region link.
 	maxPushInRegion    = 256
 	maxPushInterRegion = 4 << 10
-	// confirmTimeout bounds the wait for a neighbour to remember a version.
+	// confirmTimeout bounds how long a version waits to be served until other
+	// nodes have recorded that this one holds it; see serve.
 	confirmTimeout = 250 * time.Millisecond
-	// startServeDelay is how long a node that has just started waits for word that
-	// is newer than its start, before it serves what its peers hold.
+	// startServeDelay is how long a restarted node waits for a head read that is
+	// newer than its start before it serves the version of its peers.
 	startServeDelay = 3 * time.Second
-	// linkSettleTime is how long a link is open until all that its peer remembers has
-	// come over it.
+	// linkSettleTime is how long after a link opens the version floors known to
+	// its peer are taken to have arrived over it.
 	linkSettleTime = 500 * time.Millisecond
 )
 
-// versions is what a node holds of the configuration.
+// versions is a node's state of the configuration: the version in use, cached
+// snapshots, the pending fetch, and the version floor.
 type versions struct {
 	number       uint64
 	hash         snapshot.Hash
 	content      map[snapshot.Hash][]byte
 	contentOrder []snapshot.Hash // the keys of content, oldest first
-	// previousHash and previousNumber are the version that was in use before.
+	// previousHash and previousNumber identify the version in use before this one.
 	previousHash   snapshot.Hash
 	previousNumber uint64
 	// floor is the highest version that this host is known to have served,
-	// before a restart too.
+	// including before a restart. A node below its floor is not ready.
 	floor uint64
-	// ready is set once the node may serve; it is never unset.
+	// ready is set once the node may serve, and stays set.
 	ready bool
 	// startedAt is the time of the first Tick.
 	startedAt time.Time
-	// everLinked is set once any peer has been linked with.
+	// everLinked is set once a link to any peer has been open.
 	everLinked bool
-	// peerVersions is the highest version that each neighbour was seen to use.
+	// peerVersions is, by host, the highest version recorded for each peer of
+	// this node's domain.
 	peerVersions map[string]uint64
 	pending      pendingFetch
 	lastDelta    delta
-	// staged is verified but not yet served: the node is not ready, or nobody
-	// else is known to remember it yet.
+	// staged is verified but not yet served, because the node is not ready or
+	// because no other node has confirmed the version; see serve. It was staged
+	// at stagedAt.
 	staged   *snapshot.Snapshot
 	stagedAt time.Time
-	// confirmedInDomain is set once another node of the domain is known to remember that
-	// this one holds the version.
+	// confirmedInDomain is set once another node of the domain has recorded that
+	// this node holds the version in use.
 	confirmedInDomain bool
-	// remoteFloor is the highest version that is known to be held in another
-	// domain, with the knowledge that this one uses it.
+	// remoteFloor is the highest version that nodes of another domain hold and
+	// have recorded as used by this node's domain.
 	remoteFloor uint64
-	// domainVersions is the highest version that each domain was seen to use.
+	// domainVersions is, by domain, the highest version recorded for any of its
+	// nodes.
 	domainVersions map[string]uint64
 }
 
-// pendingFetch is a version that is being fetched.
+// pendingFetch is the version that is being fetched; its number is 0 if none is.
 type pendingFetch struct {
 	number      uint64
 	hash        snapshot.Hash
-	sources     []LinkID // who has it, best last
+	sources     []LinkID // links whose peers hold it, preferred last
 	requested   bool
 	requestedAt time.Time
 	tries       int
-	// fullOnly is set when a difference turned out not to fit.
+	// fullOnly is set after a delta could not be applied: the next fetch requests
+	// the full snapshot.
 	fullOnly bool
-	// readingStore is set while the object store is asked.
+	// readingStore is set while a read from the object store is outstanding.
 	readingStore bool
 }
 
-// delta is the last difference that was made: the children of a node mostly
-// ask for the same one.
+// delta is a packed delta from one snapshot to another. The last one is cached,
+// since the children of a node in the tree mostly fetch the same delta.
 type delta struct {
 	base, hash snapshot.Hash
 	bytes      []byte
@@ -106,6 +114,8 @@
 	}
 }
 
+// keep caches the encoded snapshot b, and evicts the oldest snapshots beyond
+// maxKeptVersions and maxKeptBytes.
 func (v *versions) keep(hash snapshot.Hash, b []byte) {
 	if _, ok := v.content[hash]; ok {
 		return
@@ -126,8 +136,8 @@
 	return n
 }
 
-// dropAboveHead gives up a version above the head: the head is the authority, and
-// a number that it has not reached can only have come from a peer in error.
+// dropAboveHead drops the pending fetch if its version is above the head. The
+// head is authoritative, so a higher number can only come from a faulty peer.
 func (v *versions) dropAboveHead(head uint64) {
 	if v.pending.number > head && v.pending.tries >= minTriesBeforeDrop {
 		v.pending = pendingFetch{}
@@ -143,7 +153,9 @@
 	}
 }
 
-// onPeerVersion notes that a peer holds a version.
+// onPeerVersion handles the information that a peer holds a version: it starts a
+// fetch if the version is newer than the one in use, and else notifies the peer
+// if it is behind.
 func (c *Core) onPeerVersion(l *link, number uint64, hash snapshot.Hash) {
 	l.version = max(l.version, number)
 	if number > c.version.number {
@@ -153,59 +165,62 @@
 	c.notifyIfBehind(l, number)
 }
 
-// requestVersion starts to fetch a version, or adds one more source for it.
+// requestVersion starts to fetch a version, or adds a source to the fetch that is
+// pending for it. A from of 0 adds no source.
 func (c *Core) requestVersion(number uint64, hash snapshot.Hash, from LinkID) {
-	w := &c.version.pending
-	if number < w.number || number <= c.version.number {
+	p := &c.version.pending
+	if number < p.number || number <= c.version.number {
 		return
 	}
-	if number > w.number || hash != w.hash {
+	if number > p.number || hash != p.hash {
 		c.version.pending = pendingFetch{number: number, hash: hash}
-		w = &c.version.pending
+		p = &c.version.pending
 	}
-	if from != 0 && len(w.sources) < maxSources {
-		w.sources = append(w.sources, from)
+	if from != 0 && len(p.sources) < maxSources {
+		p.sources = append(p.sources, from)
 	}
 	if b, ok := c.version.content[hash]; ok {
 		c.acceptVersion(number, hash, b)
 		return
 	}
-	if w.requested {
+	if p.requested {
 		return
 	}
 	if at := c.earliestFetch(); at.After(c.now) {
-		// As if it had been asked for then in vain: retryFetch goes on from there.
-		w.requested, w.requestedAt, w.tries = true, at.Add(-hedgeDelay), 1
+		// Record an attempt that times out at that moment: retryFetch then sends
+		// the first fetch.
+		p.requested, p.requestedAt, p.tries = true, at.Add(-hedgeDelay), 1
 		return
 	}
 	c.requestFromNext()
 }
 
-// requestFromNext asks the next source for the wanted version, in the end the store.
+// requestFromNext sends a fetch for the pending version to the next source. With no
+// source left, it reads the version from the object store.
 func (c *Core) requestFromNext() {
-	w := &c.version.pending
-	w.requested = true
-	w.requestedAt = c.now
-	w.tries++
-	for len(w.sources) > 0 {
-		id := w.sources[len(w.sources)-1]
-		w.sources = w.sources[:len(w.sources)-1]
+	p := &c.version.pending
+	p.requested = true
+	p.requestedAt = c.now
+	p.tries++
+	for len(p.sources) > 0 {
+		id := p.sources[len(p.sources)-1]
+		p.sources = p.sources[:len(p.sources)-1]
 		l := c.links[id]
 		if l == nil {
 			continue
 		}
-		have := c.version.hash
-		if w.fullOnly {
-			have = snapshot.Hash{}
+		base := c.version.hash
+		if p.fullOnly {
+			base = snapshot.Hash{}
 		}
-		c.send(l, Fetch{w.number, w.hash, have})
+		c.send(l, Fetch{p.number, p.hash, base})
 		return
 	}
-	if w.readingStore || c.cfg.DelegatePolling {
+	if p.readingStore || c.cfg.DelegatePolling {
 		return
 	}
-	w.readingStore = true
-	c.emit(ReadObject{w.hash})
+	p.readingStore = true
+	c.emit(ReadObject{p.hash})
 }
 
 func (c *Core) tickVersion() {
@@ -221,36 +236,38 @@
 	c.serve()
 }
 
-// retryFetch goes on to the next source when one has not answered in time. A
-// version that nobody can give in the end is given up: its number may have
-// come from a peer in error, and must not keep the node from the true head.
+// retryFetch requests the pending version from the next source if the last one has
+// not answered in time; the timeout grows by hedgeDelay with each attempt. After
+// maxFetchTries the version is dropped: its number may come from a faulty peer,
+// and must not block the fetch of the true head.
 func (c *Core) retryFetch() {
-	w := &c.version.pending
-	if !w.requested || c.now.Sub(w.requestedAt) <= hedgeDelay*time.Duration(w.tries) {
+	p := &c.version.pending
+	if !p.requested || c.now.Sub(p.requestedAt) <= hedgeDelay*time.Duration(p.tries) {
 		return
 	}
-	if w.tries >= maxFetchTries {
-		c.log(event.VersionNotFound, event.Fields{"version": w.number, "tries": w.tries})
+	if p.tries >= maxFetchTries {
+		c.log(event.VersionNotFound, event.Fields{"version": p.number, "tries": p.tries})
 		c.version.pending = pendingFetch{}
 		return
 	}
-	if len(w.sources) == 0 {
+	if len(p.sources) == 0 {
 		c.addSources()
 	}
 	c.requestFromNext()
 }
 
-// addSources collects the links whose peers are known to have the version.
+// addSources adds the links whose peers are known to hold the pending version.
 func (c *Core) addSources() {
-	w := &c.version.pending
+	p := &c.version.pending
 	for _, l := range c.sortedLinks() {
-		if l.version >= w.number && len(w.sources) < maxSources {
-			w.sources = append(w.sources, l.id)
+		if l.version >= p.number && len(p.sources) < maxSources {
+			p.sources = append(p.sources, l.id)
 		}
 	}
 }
 
-// onFetch answers a peer that asks for a version.
+// onFetch answers a peer's fetch: with a delta if this node holds the base that the
+// peer named, else with the full snapshot, or empty if it doesn't hold the version.
 func (c *Core) onFetch(l *link, f Fetch) {
 	c.confirmInDomain(l, f.Version)
 	b, ok := c.version.content[f.Hash]
@@ -258,23 +275,24 @@
 		c.send(l, Content{Version: f.Version, Hash: f.Hash})
 		return
 	}
-	out := Content{Version: f.Version, Hash: f.Hash}
+	resp := Content{Version: f.Version, Hash: f.Hash}
 	var base []byte
-	if have, ok := c.version.content[f.Base]; ok {
-		base = have
-		out.Base = f.Base
+	if cached, ok := c.version.content[f.Base]; ok {
+		base = cached
+		resp.Base = f.Base
 	}
-	p, err := c.cachedDelta(out.Base, f.Hash, base, b)
+	packed, err := c.cachedDelta(resp.Base, f.Hash, base, b)
 	if err != nil {
 		return
 	}
-	out.Packed = p
+	resp.Packed = packed
 	c.recordPeerVersion(l, f.Version)
-	c.send(l, out)
+	c.send(l, resp)
 }
 
-// onContent takes a version from a peer. What doesn't fit is dropped whole: the
-// node goes on with the version that it has and asks somebody else.
+// onContent handles a version sent by a peer, pushed or in answer to a fetch.
+// Content that can't be applied is dropped as a whole: the node keeps the version
+// in use and requests the new one from another source.
 func (c *Core) onContent(l *link, f Content) {
 	if f.Push && f.Version > c.version.number && c.applyPush(f) {
 		c.onPush(l, f)
@@ -283,8 +301,8 @@
 	if f.Push {
 		c.onPush(l, f)
 	}
-	w := &c.version.pending
-	if f.Push || f.Version != w.number || f.Hash != w.hash || f.Version <= c.version.number {
+	p := &c.version.pending
+	if f.Push || f.Version != p.number || f.Hash != p.hash || f.Version <= c.version.number {
 		return
 	}
 	if len(f.Packed) == 0 {
@@ -293,12 +311,12 @@
 	}
 	base := c.version.content[f.Base]
 	if !f.Base.IsZero() && base == nil {
-		w.fullOnly = true
+		p.fullOnly = true
 		c.requestFull(l)
 		return
 	}
 	if !c.applyContent(l.host, base, f) {
-		w.fullOnly = true
+		p.fullOnly = true
 		c.requestFromNext()
 		return
 	}
@@ -306,7 +324,7 @@
 	c.confirmInDomain(l, f.Version)
 }
 
-// requestFull asks the same source once more, for the whole this time.
+// requestFull repeats the fetch at the same source, for the full snapshot.
 func (c *Core) requestFull(l *link) {
 	c.version.pending.sources = append(c.version.pending.sources, l.id)
 	c.requestFromNext()
@@ -317,16 +335,16 @@
 }
 
 func (c *Core) onObjectRead(m ObjectRead) {
-	w := &c.version.pending
-	if m.Hash != w.hash || w.number <= c.version.number {
+	p := &c.version.pending
+	if m.Hash != p.hash || p.number <= c.version.number {
 		return
 	}
-	w.readingStore = false
+	p.readingStore = false
 	if m.Err != nil {
-		c.log(event.VersionNotFound, event.Fields{"version": w.number, "error": m.Err.Error()})
+		c.log(event.VersionNotFound, event.Fields{"version": p.number, "error": m.Err.Error()})
 		return
 	}
-	c.acceptVersion(w.number, m.Hash, m.Content)
+	c.acceptVersion(p.number, m.Hash, m.Content)
 }
 
 func (c *Core) onCommitted(m Committed) {
@@ -342,8 +360,8 @@
 	}
 }
 
-// acceptVersion verifies a version and, if it is whole and newer, puts it into use.
-// It tells whether the content was whole.
+// acceptVersion verifies the encoded snapshot b of a version and puts it into use
+// if it is newer than the one in use. It reports whether b is valid.
 func (c *Core) acceptVersion(number uint64, hash snapshot.Hash, b []byte) bool {
 	s, err := snapshot.Open(b, hash)
 	if err != nil {
--- a/briarrockd/peer/watch.go
+++ b/briarrockd/peer/watch.go
@@ -7,42 +7,44 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// How old the last read of the head, by anybody, may grow before this node
-// reads it, by its place. The first of the list reads as a rule; the others
-// only notice that nobody else has, and so the role needs no handover.
+// The head is the platform's row that names the version in force. A node reads it
+// when the last known read, by any node, is older than the node's threshold below.
+// Normally only the leader reads. The other nodes take over when that read gets too
+// old, so the role needs no handover.
 const (
 	leaderReadAge = 1 * time.Second
 	rootReadAge   = 5 * time.Second
 	bridgeReadAge = 8 * time.Second
 	otherReadAge  = 20 * time.Second
-	// otherReadJitter spreads out those who are left when all bridges are gone.
+	// otherReadJitter spreads out the reads of the remaining nodes when all bridge
+	// nodes are gone.
 	otherReadJitter = 30 * time.Second
-	// startReadSpread is the time over which startReadsPerSpread nodes that start together
-	// spread their first read, if no peer spares them it: together they take a
-	// quarter of the platform's two thousand reads a second.
+	// startReadSpread is the time over which startReadsPerSpread nodes that start
+	// together spread their first reads, unless a peer's read makes them unnecessary.
+	// Together they use a quarter of the platform's limit of 2000 reads a second.
 	startReadSpread     = time.Second
 	startReadsPerSpread = 500
 	// headAgeMargin is how much later than this node's start a peer's read must
-	// seem to be to count as later: more than a message is ever on its way.
+	// appear to be to count as later. It exceeds the transit time of any message.
 	headAgeMargin = time.Second
-	// maxReadBackoff bounds the pause after reads that failed.
+	// maxReadBackoff bounds the backoff after failed reads.
 	maxReadBackoff = 20 * time.Second
 )
 
-// headWatch is what a node knows of the head row.
+// headWatch is a node's state of reading the head.
 type headWatch struct {
 	startedAt time.Time
-	// headReadAt is when the head was last read by anybody, as far as is known.
-	// This node's version is never below what the head was then: a read counts
-	// only once the version that it named has arrived, here and at whoever
-	// passes the time on.
+	// headReadAt is the time of the last known read of the head, by any node.
+	// This node's version is never below the head of that time: a read is recorded
+	// only once the version it found has arrived, both here and at each node that
+	// forwards the time of the read.
 	headReadAt time.Time
-	// ownPollCounted is set once a read of this node itself has counted.
+	// ownPollCounted is set once a read by this node itself has been recorded.
 	ownPollCounted bool
-	// pendingPoll is a poll that named a version which has not arrived.
+	// pendingPoll is a poll that found a version which has not arrived yet.
 	pendingPoll poll
-	// cursor is the position in the platform's record of changes up to which this
-	// node holds everything; 0 where that is not known or not used.
+	// cursor is the position in the platform's change feed up to which this node
+	// holds all changes; 0 if it is unknown or not used.
 	cursor   uint64
 	role     pollRole
 	nextRead time.Time
@@ -51,25 +53,25 @@
 	failures int
 }
 
-func newWatch(now time.Time, spread time.Duration) headWatch {
-	return headWatch{startedAt: now, nextRead: now.Add(spread)}
+func newWatch(now time.Time, firstDelay time.Duration) headWatch {
+	return headWatch{startedAt: now, nextRead: now.Add(firstDelay)}
 }
 
 // poll is one read of the head, by this node or another one.
 type poll struct {
 	version uint64 // the newest version at that time
-	cursor  uint64 // position in the platform's record of changes
+	cursor  uint64 // position in the platform's change feed
 	at      time.Time
-	own     bool
-	// noticedAt is when a freshness notice of the poll came; zero for one that is a part
-	// of what a peer knows.
+	own     bool // by this node
+	// noticedAt is when a PollNotice of the poll arrived; zero if the poll is known
+	// from a peer's Hello or Heartbeat, or is this node's own.
 	noticedAt time.Time
 }
 
-// ago is the time that a peer says was so many milliseconds ago; zero for 0,
-// which stands for never. The age counts from the peer's sending, so the way
-// here only makes it look younger by the delay of one message, which the
-// thresholds are far above.
+// ago converts an age in milliseconds, received from a peer, to a time; an age of 0
+// stands for never and gives the zero time. The age counts from when the peer sent
+// it, so the time is too late by the delay of one message. The thresholds are far
+// above that delay.
 func (c *Core) ago(ms uint64) time.Time {
 	if ms == 0 {
 		return time.Time{}
@@ -77,37 +79,36 @@
 	return c.now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// onPeerPoll takes a peer's word of a read of the head.
-//
-// The peer's version is at least the head of that time, so the word counts
-// only once this node has that version too.
-func (c *Core) onPeerPoll(k poll) {
-	if k.at.IsZero() || k.at.After(c.now) {
+// onPeerPoll handles a peer's report of a read of the head. The peer's version is at
+// least the head of that time, so the read is recorded only once this node holds that
+// version too.
+func (c *Core) onPeerPoll(p poll) {
+	if p.at.IsZero() || p.at.After(c.now) {
 		return
 	}
-	if k.version > c.version.number {
-		if k.at.After(c.watch.pendingPoll.at) {
-			c.watch.pendingPoll = k
+	if p.version > c.version.number {
+		if p.at.After(c.watch.pendingPoll.at) {
+			c.watch.pendingPoll = p
 		}
 		return
 	}
-	c.recordPoll(k)
+	c.recordPoll(p)
 }
 
-// recordPoll takes in a poll whose version this node has.
-func (c *Core) recordPoll(k poll) {
+// recordPoll records a poll whose version this node holds.
+func (c *Core) recordPoll(p poll) {
 	w := &c.watch
-	if k.at.After(w.headReadAt) {
-		w.headReadAt = k.at
+	if p.at.After(w.headReadAt) {
+		w.headReadAt = p.at
 	}
-	w.cursor = max(w.cursor, k.cursor)
-	if k.own {
+	w.cursor = max(w.cursor, p.cursor)
+	if p.own {
 		w.ownPollCounted = true
 		w.failures = 0
-		w.role.ownPollAt = laterOf(w.role.ownPollAt, k.at)
+		w.role.ownPollAt = laterOf(w.role.ownPollAt, p.at)
 		return
 	}
-	w.role.noticedAt = laterOf(w.role.noticedAt, k.noticedAt)
+	w.role.noticedAt = laterOf(w.role.noticedAt, p.noticedAt)
 }
 
 func laterOf(a, b time.Time) time.Time {
@@ -117,7 +118,7 @@
 	return b
 }
 
-// readThreshold is how old the last read may be before this node reads itself.
+// readThreshold returns how old the last read may be before this node reads the head.
 func (c *Core) readThreshold() time.Duration {
 	i := c.orderIndex()
 	switch {
@@ -132,12 +133,12 @@
 	}
 }
 
-// Leads tells whether this node is the one that reads the head as a rule, and
-// does the mesh's other small regular work at the platform.
+// IsLeader reports whether this node is the one that normally reads the head, and does
+// the mesh's other small periodic work at the platform.
 func (c *Core) IsLeader() bool { return c.isRoot() && c.inLeaderDomain() }
 
-// inLeaderDomain tells whether this node's domain is the first of all, those in the
-// store's region before the others.
+// inLeaderDomain reports whether this node's domain sorts first of all domains. The
+// domains in the store's region sort before the others.
 func (c *Core) inLeaderDomain() bool {
 	first := ""
 	for _, name := range c.table.names() {
@@ -149,7 +150,7 @@
 	return first == c.self.Domain
 }
 
-// tickWatch reads the head when nobody else seems to.
+// tickWatch reads the head if no recent read by another node is known.
 func (c *Core) tickWatch() {
 	w := &c.watch
 	if c.cfg.DelegatePolling || w.reading || c.now.Before(w.nextRead) || c.self.State == Leaving {
@@ -166,12 +167,13 @@
 	c.emit(ReadHead{})
 }
 
-// firstReadDelay spreads the first reads of a herd that starts together, by the
-// number of nodes and this node's place among the hosts.
+// firstReadDelay returns the delay of this node's first read. It spreads the reads of
+// nodes that start together: the spread grows with the number of nodes, and a node's
+// delay within it is set by the hash of its host name.
 func (c *Core) firstReadDelay() time.Duration {
 	n := time.Duration(max(c.Members(), c.cfg.ExpectedHosts))
-	whole := startReadSpread * n / startReadsPerSpread
-	return whole * time.Duration(score(c.self.Host)%1000) / 1000
+	spread := startReadSpread * n / startReadsPerSpread
+	return spread * time.Duration(score(c.self.Host)%1000) / 1000
 }
 
 func (c *Core) onHeadRead(m HeadRead) {
@@ -198,8 +200,8 @@
 	c.recordHeadRead(c.version.number, w.lastRead)
 }
 
-// recordHeadRead notes that the head was read no earlier than at, and that this node
-// has the version that it named.
+// recordHeadRead records this node's own read of the head, if the version it found has
+// arrived. The read took place at the given time or later.
 func (c *Core) recordHeadRead(version uint64, at time.Time) {
 	if c.version.number < version {
 		return
@@ -208,14 +210,14 @@
 	c.becomeReady()
 }
 
-// recordPendingPoll lets a poll count once the version that it named has arrived.
+// recordPendingPoll records the pending poll once the version it found has arrived.
 func (c *Core) recordPendingPoll() {
-	k := c.watch.pendingPoll
-	if k.version == 0 || c.version.number < k.version {
+	p := c.watch.pendingPoll
+	if p.version == 0 || c.version.number < p.version {
 		return
 	}
 	c.watch.pendingPoll = poll{}
-	c.recordPoll(k)
+	c.recordPoll(p)
 }
 
 func (c *Core) headFailed(err error) {
@@ -224,15 +226,15 @@
 		c.log(event.StoreDown, event.Fields{"error": err.Error()})
 	}
 	w.failures++
-	pause := min(leaderReadAge<<min(w.failures, 6), maxReadBackoff)
+	backoff := min(leaderReadAge<<min(w.failures, 6), maxReadBackoff)
 	if c.orderIndex() >= bridgesPerDomain {
-		pause = otherReadJitter
+		backoff = otherReadJitter
 	}
-	w.nextRead = c.now.Add(pause/2 + c.jitter(pause))
+	w.nextRead = c.now.Add(backoff/2 + c.jitter(backoff))
 }
 
-// fetchHead fetches a version that the head names: from a peer that is known
-// to have it, or else from the store.
+// fetchHead fetches the version that the head names from a peer that is known to
+// hold it, or else from the store.
 func (c *Core) fetchHead(number uint64, hash snapshot.Hash) {
 	for _, l := range c.sortedLinks() {
 		if l.version >= number {
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -5,99 +5,112 @@
 	"time"
 )
 
-// Who watches the platform, where the platform's adapter does the reading.
+// These constants apply where polling is delegated to the platform's adapter
+// (Config.DelegatePolling): the Core decides whether this node polls, and the adapter
+// carries out the polls.
 //
-// In a large region only its carriers watch, and of several regions only those that
-// are near the platform: calls to it then don't grow with the hosts, and a change
-// crosses between regions once, as a difference. The others get versions from their
-// peers, and freshness notices that say how long ago the platform was last polled. Any
-// node polls once its last freshness notice expires, so the role needs no handover:
-// losing all watchers costs pollNoticeTimeout, well within the time in which a change must be
-// in force.
+// In a small region each node polls for itself. In a large region, one with a domain of
+// more than smallDomainSize members, only the gateway nodes poll: those that hold the
+// links to other regions. Of several regions only those near the platform poll. So the
+// number of calls to the platform doesn't grow with the number of hosts, and a change
+// crosses between two regions once, as a delta. The other nodes receive versions from their peers, and poll notices
+// (PollNotice) with the time of the last poll. A node polls itself, as a fallback, once
+// its newest poll notice is older than pollNoticeTimeout, so the role needs no handover:
+// the loss of all polling nodes delays a change by pollNoticeTimeout, well within the
+// time in which a change must be in force.
 const (
-	// smallDomainSize is the size of a domain up to which all of its members watch, each
+	// smallDomainSize is the size of a domain up to which each of its members polls
 	// for itself, if no domain of the region is larger.
 	smallDomainSize = 4
-	// longPollWait is how long one question waits for a change where all watch. A
-	// longer one costs fewer calls; but one whose store has fallen silent and come
-	// back meanwhile is waited for in vain until its end.
+	// longPollWait is how long one poll waits for a change where all members poll. A
+	// longer wait costs fewer calls, but if the store becomes unreachable and
+	// recovers during a poll, that poll stays unanswered until its wait ends.
 	longPollWait = 6 * time.Second
-	// shortPollWait is the same for the watchers of a large region: others count on
-	// their freshness notices.
+	// shortPollWait is the same for the polling nodes of a large region, since other
+	// nodes depend on their poll notices.
 	shortPollWait = 2 * time.Second
-	// pollNoticeInterval is how often a node that watches says so while its poll waits
-	// for a change: others notice within pollNoticeTimeout that it has gone.
+	// pollNoticeInterval is how often a polling node repeats its poll notice while its
+	// poll waits for a change. Other nodes detect within pollNoticeTimeout that it is
+	// gone.
 	pollNoticeInterval = time.Second
-	// pollNoticeStartDelay is the time in which a starting node gets to know the others.
+	// pollNoticeStartDelay is how long after its start a node doesn't broadcast its
+	// long polls: it doesn't know the other members yet.
 	pollNoticeStartDelay = time.Second
-	// maxNoticedPollAge is the age of its last answered poll up to which it does. A poll
-	// that is overdue has most likely met a silent connection.
+	// maxNoticedPollAge is the age of its last answered poll up to which a polling node
+	// repeats its notice. A poll that takes longer is most likely on a dead
+	// connection.
 	maxNoticedPollAge = shortPollWait + time.Second
-	// pollNoticeTimeout is the age of the newest freshness notice from which on a node
-	// polls itself: one pollNoticeInterval and the way here through the tree.
-	// pollNoticeTimeoutSpread is added by the place in the domain, so that the first to
-	// poll spare the others.
+	// pollNoticeTimeout is the age of the newest poll notice above which a node polls
+	// itself. It covers one pollNoticeInterval and the transit through the tree.
+	// pollNoticeTimeoutSpread is added in proportion to the node's position in its
+	// domain's order, so that the first nodes to poll make the polls of the others
+	// unnecessary.
 	pollNoticeTimeout       = 1500 * time.Millisecond
 	pollNoticeTimeoutSpread = 600 * time.Millisecond
-	// minFallbackPolling is how long a node that has begun to poll goes on, so that two
-	// of them don't make each other stop and lapse again in turns.
+	// minFallbackPolling is the minimum time for which a fallback node polls once it
+	// has started. It keeps two such nodes from stopping each other by their notices
+	// and timing out again in turns.
 	minFallbackPolling = 5 * time.Second
-	// fallbackPollInterval is the mean time between the polls of all spare nodes
-	// together while they fail: an outage of the platform must not multiply them by
-	// the hosts, but one that rejects most hosts must still find those it serves.
+	// fallbackPollInterval is the mean time between the polls of all fallback nodes
+	// together while polls fail. In an outage of the platform the polls must not be
+	// multiplied by the number of hosts; if the platform rejects most hosts only,
+	// those that it still serves must be found.
 	fallbackPollInterval = 100 * time.Millisecond
-	// startReadDelay is the time that a starting node gives its peers to send it the
-	// version in use, before it reads the whole from the platform. One of a domain
-	// where all watch doesn't wait.
+	// startReadDelay is how long a starting node waits for its peers to send it the
+	// version in use before it reads the full snapshot from the platform. A node of a
+	// domain where all members poll doesn't wait.
 	startReadDelay = 500 * time.Millisecond
-	// gatewayStartReadDelay is the same for a carrier, which may just have been linked with
-	// others that have started with it. startReadStep is added by the place in the domain
-	// for each of the others that is linked.
+	// gatewayStartReadDelay is the same for a gateway node: its links may lead only to
+	// nodes that have started at the same time. startReadStep is added, per position
+	// in the domain's order, for any other node that has a link.
 	gatewayStartReadDelay = 100 * time.Millisecond
 	startReadStep         = 100 * time.Millisecond
-	// bootstrapReadDelay is the same where the whole mesh starts for the first time. The
-	// carriers read the version then, and callers come only after that.
+	// bootstrapReadDelay is the same at the first start of the whole mesh. The gateway
+	// nodes read the version during that time, and caller traffic starts only after it.
 	bootstrapReadDelay = 3 * time.Second
-	// nearerRegionFactor is how many times nearer the platform another region must be for this
-	// one to leave the polling to it, rttSmoothing the inverse weight of a longer delay
-	// than the usual one.
+	// nearerRegionFactor is the ratio of round-trip times to the platform above which
+	// this region leaves the polling to a nearer one. rttSmoothing is the inverse
+	// weight of a sample above the current estimate.
 	nearerRegionFactor = 3
 	rttSmoothing       = 10
-	// maxKnownPollers bounds the hosts whose polls are told apart.
+	// maxKnownPollers bounds the hosts whose newest notice is remembered.
 	maxKnownPollers = 2048
-	// minFetchInterval is the least time between two versions that are fetched from
-	// peers: in a storm of changes a small node would do nothing else.
+	// minFetchInterval is the minimum time after a version arrives before a peer is
+	// asked for the next one. Without it, a small host would do nothing but fetch
+	// while many changes are made.
 	minFetchInterval = 250 * time.Millisecond
 )
 
-// pollRole is this node's part in watching the platform.
+// pollRole is this node's role in polling the platform.
 type pollRole struct {
+	// current is the last Watch command that was emitted; emitted is set once there
+	// is one.
 	current Watch
-	// emitted is set once a Watch has been given out.
 	emitted bool
-	// pollUntil is how long a node that polls since nobody else did goes on.
+	// pollUntil is when this node stops polling as a fallback.
 	pollUntil time.Time
-	// noticedAt is when the newest freshness notice came, ownPollAt the time of this
+	// noticedAt is when the newest poll notice arrived, ownPollAt the time of this
 	// node's own newest poll.
 	noticedAt time.Time
 	ownPollAt time.Time
-	// lastSerial counts this node's own freshness notices, noticeSentAt is the time of
-	// the newest.
+	// lastSerial counts this node's own poll notices; the newest was sent at
+	// noticeSentAt.
 	lastSerial   uint64
 	noticeSentAt time.Time
-	// attemptAt is when a spare node last began to poll, or this node's own poll last
-	// failed, and pause how long after that this node may begin.
+	// attemptAt is when a fallback node last began to poll, or this node's own poll
+	// last failed. This node may begin attemptPause after that.
 	attemptAt    time.Time
 	attemptPause time.Duration
-	// rtt is this node's way to the platform and back, as a rule; 0 if unknown.
+	// rtt is the estimated round-trip time to the platform; 0 if unknown.
 	rtt time.Duration
-	// nearerRegionAt is when a notice last came from a region that is much nearer to it.
+	// nearerRegionAt is when the last notice came from a region much nearer to the
+	// platform.
 	nearerRegionAt time.Time
-	// lastNotice is the newest notice of each host.
+	// lastNotice is, by host, the newest notice received.
 	lastNotice map[string]noticeID
 }
 
-// noticeID tells the notices of one host apart; later ones are greater.
+// noticeID identifies a notice among those of its host; later ones are greater.
 type noticeID struct{ incarnation, serial uint64 }
 
 func (a noticeID) after(b noticeID) bool {
@@ -107,8 +120,8 @@
 	return a.serial > b.serial
 }
 
-// allMembersPoll tells whether each node watches for itself: no domain of the region is
-// large.
+// allMembersPoll reports whether each node of the region polls for itself: no domain of
+// the region has more than smallDomainSize members.
 func (c *Core) allMembersPoll() bool {
 	for _, d := range c.table.domains {
 		if d.region == c.self.Region && d.count > smallDomainSize {
@@ -118,8 +131,8 @@
 	return true
 }
 
-// pollsForRegion tells whether this node is one of those that watch for a large region,
-// while no region nearer to the platform does.
+// pollsForRegion reports whether this node polls on behalf of its region: it is one of
+// the region's gateway nodes, and no region much nearer to the platform polls.
 func (c *Core) pollsForRegion() bool {
 	if c.now.Sub(c.watch.role.nearerRegionAt) <= pollNoticeTimeout {
 		return false
@@ -127,21 +140,22 @@
 	return slices.ContainsFunc(c.gateways(c.self.Region), func(r *record) bool { return r.Host == c.self.Host })
 }
 
-// updatePollRole decides whether this node is to poll the platform, and how.
+// updatePollRole decides whether and how this node polls the platform, and emits a Watch
+// command when that changes.
 func (c *Core) updatePollRole() {
 	if !c.cfg.DelegatePolling {
 		return
 	}
 	w := c.choosePolling()
 	c.repeatPollNotice()
-	d := &c.watch.role
-	if d.emitted && w.On == d.current.On && w.Wait == d.current.Wait && w.Fallback == d.current.Fallback {
+	r := &c.watch.role
+	if r.emitted && w.On == r.current.On && w.Wait == r.current.Wait && w.Fallback == r.current.Fallback {
 		return
 	}
-	if w.On && w.Fallback && (!d.current.On || !d.current.Fallback) {
+	if w.On && w.Fallback && (!r.current.On || !r.current.Fallback) {
 		c.broadcastPollStart()
 	}
-	d.current, d.emitted = w, true
+	r.current, r.emitted = w, true
 	c.emit(w)
 }
 
@@ -158,26 +172,27 @@
 		w.Fallback = true
 		w.On = c.pollNoticesLapsed()
 		if c.now.Sub(c.watch.role.ownPollAt) <= maxNoticedPollAge {
-			// The first poll is answered at once, and spares the others theirs.
+			// Only later polls wait for a change. The first one is answered at once,
+			// so that its notice soon keeps other nodes from polling.
 			w.Wait = shortPollWait
 		}
 	}
 	return w
 }
 
-// pollsAtStart tells whether a node that is not ready yet polls the platform itself.
-// A restarted node does so as soon as it has a version to confirm. Where nobody that it
-// is linked to has one either, the carriers read it for all: whole copies for each node
-// would fill the link between regions for seconds.
+// pollsAtStart reports whether a node that is not ready yet polls the platform itself. A
+// restarted node does so as soon as it has a version to confirm. If its linked peers
+// have no version either, the gateway nodes read it for all: a full snapshot for each
+// node would saturate the inter-region link for seconds.
 func (c *Core) pollsAtStart() bool {
 	since := c.now.Sub(c.watch.startedAt)
-	carrier := len(c.links) > 0 && c.pollsForRegion()
+	gateway := len(c.links) > 0 && c.pollsForRegion()
 	switch {
 	case c.cfg.Bootstrap:
-		return since >= bootstrapReadDelay || (since >= startReadDelay && carrier)
+		return since >= bootstrapReadDelay || (since >= startReadDelay && gateway)
 	case c.version.number > 0 || c.contacts.smallDomain:
 		return true
-	case carrier:
+	case gateway:
 		return since >= gatewayStartReadDelay
 	case len(c.links) == 0:
 		return since >= startReadDelay
@@ -186,42 +201,44 @@
 	}
 }
 
-// pollNoticesLapsed tells whether nobody else seems to poll the platform. Where others have just
-// tried, this node waits for its turn: a poll that succeeds makes its own needless,
-// and one that fails most likely fails for all.
+// pollNoticesLapsed reports whether this node polls as a fallback, because its newest
+// poll notice has timed out. If another fallback node has just begun to poll, this one
+// first waits for attemptPause: a poll that succeeds makes its own unnecessary, and one
+// that fails most likely fails for all nodes.
 func (c *Core) pollNoticesLapsed() bool {
-	d := &c.watch.role
+	r := &c.watch.role
 	n := len(c.table.members(c.self.Domain))
 	spread := pollNoticeTimeoutSpread * time.Duration(max(c.orderIndex(), 0)) / time.Duration(n+1)
-	// A version that has come says as well that somebody polls.
-	silent := c.now.Sub(laterOf(d.noticedAt, c.version.stagedAt)) > pollNoticeTimeout+spread
-	if silent && c.now.Sub(d.attemptAt) > d.attemptPause {
-		d.pollUntil = c.now.Add(minFallbackPolling)
+	// A version that has arrived also shows that some node polls.
+	timedOut := c.now.Sub(laterOf(r.noticedAt, c.version.stagedAt)) > pollNoticeTimeout+spread
+	if timedOut && c.now.Sub(r.attemptAt) > r.attemptPause {
+		r.pollUntil = c.now.Add(minFallbackPolling)
 	}
-	return c.now.Before(d.pollUntil)
+	return c.now.Before(r.pollUntil)
 }
 
-// onPollFailed notes that this node's own poll had no answer. A spare node leaves the
-// next try to the others.
+// onPollFailed handles an unanswered poll of this node's own. A fallback node stops
+// polling and leaves the next attempt to the others.
 func (c *Core) onPollFailed() {
 	c.watch.failures++
-	d := &c.watch.role
-	if !d.current.Fallback {
+	r := &c.watch.role
+	if !r.current.Fallback {
 		return
 	}
-	d.pollUntil = time.Time{}
+	r.pollUntil = time.Time{}
 	c.delayFallbackPoll()
 	c.updatePollRole()
 }
 
-// delayFallbackPoll draws the pause after a poll by a spare node, here or elsewhere.
+// delayFallbackPoll sets a random pause after a poll by any fallback node, this one
+// included. Its mean grows with the number of members.
 func (c *Core) delayFallbackPoll() {
-	d := &c.watch.role
-	d.attemptAt, d.attemptPause = c.now, c.jitter(fallbackPollInterval*time.Duration(c.Members()))
+	r := &c.watch.role
+	r.attemptAt, r.attemptPause = c.now, c.jitter(fallbackPollInterval*time.Duration(c.Members()))
 }
 
-// onPolled takes this node's own poll of the platform, which found nothing newer
-// than what it has told.
+// onPolled handles this node's own poll of the platform that found nothing newer than
+// the version already reported by Committed.
 func (c *Core) onPolled(m Polled) {
 	c.watch.cursor = max(c.watch.cursor, m.Cursor)
 	c.watch.role.updateRTT(m.RTT)
@@ -229,45 +246,46 @@
 	c.broadcastPoll(m.At)
 }
 
-// updateRTT takes the delay of one poll. The least of late counts: what it is above
-// that was spent in queues.
-func (d *pollRole) updateRTT(delay time.Duration) {
+// updateRTT updates the round-trip estimate with the sample of one poll. The estimate
+// follows the lowest recent samples, since time above that was spent in queues.
+func (r *pollRole) updateRTT(sample time.Duration) {
 	switch {
-	case delay <= 0:
-	case d.rtt == 0 || delay < d.rtt:
-		d.rtt = delay
+	case sample <= 0:
+	case r.rtt == 0 || sample < r.rtt:
+		r.rtt = sample
 	default:
-		d.rtt += (delay - d.rtt) / rttSmoothing
+		r.rtt += (sample - r.rtt) / rttSmoothing
 	}
 }
 
-// broadcastPoll tells the other nodes of this node's own poll, if it polls for them. A
-// herd of starting nodes polls as well, each for itself, and takes itself for a carrier
-// until it knows the others: notices of that would grow with the square of the hosts.
+// broadcastPoll floods a poll notice of this node's own poll, if it polls for other
+// nodes. Nodes that start together also poll, each for itself, and each computes that it
+// is a gateway until it knows the other members. Notices of those polls would grow with
+// the square of the number of hosts, so none are sent.
 func (c *Core) broadcastPoll(at time.Time) {
-	d := &c.watch.role
-	forOthers := d.current.Fallback || (d.current.Wait > 0 && c.now.Sub(c.watch.startedAt) >= pollNoticeStartDelay)
-	if !c.cfg.DelegatePolling || c.allMembersPoll() || !d.current.On || !forOthers {
+	r := &c.watch.role
+	forOthers := r.current.Fallback || (r.current.Wait > 0 && c.now.Sub(c.watch.startedAt) >= pollNoticeStartDelay)
+	if !c.cfg.DelegatePolling || c.allMembersPoll() || !r.current.On || !forOthers {
 		return
 	}
-	d.noticeSentAt = c.now
+	r.noticeSentAt = c.now
 	f := c.newPollNotice()
 	f.Version, f.Cursor, f.HeadAge = c.version.number, c.watch.cursor, age(c.now, at)
-	f.RTT = uint64(d.rtt.Milliseconds())
+	f.RTT = uint64(r.rtt.Milliseconds())
 	c.floodPollNotice(0, f)
 }
 
-// repeatPollNotice tells the other nodes that this node still watches, while its poll waits.
+// repeatPollNotice repeats the notice of this node's newest poll while its next poll
+// waits for a change, so that other nodes know that it still polls.
 func (c *Core) repeatPollNotice() {
-	d := &c.watch.role
-	waits := d.current.On && d.current.Wait > 0 && c.watch.failures == 0
-	if waits && c.now.Sub(d.noticeSentAt) >= pollNoticeInterval && c.now.Sub(d.ownPollAt) <= maxNoticedPollAge {
-		c.broadcastPoll(d.ownPollAt)
+	r := &c.watch.role
+	polling := r.current.On && r.current.Wait > 0 && c.watch.failures == 0
+	if polling && c.now.Sub(r.noticeSentAt) >= pollNoticeInterval && c.now.Sub(r.ownPollAt) <= maxNoticedPollAge {
+		c.broadcastPoll(r.ownPollAt)
 	}
 }
 
-// broadcastPollStart tells the other nodes that this one begins to poll since nobody else
-// seems to.
+// broadcastPollStart floods the notice that this node begins to poll as a fallback.
 func (c *Core) broadcastPollStart() {
 	f := c.newPollNotice()
 	f.Started = true
@@ -275,30 +293,30 @@
 }
 
 func (c *Core) newPollNotice() PollNotice {
-	d := &c.watch.role
-	d.lastSerial++
-	return PollNotice{Host: c.self.Host, Incarnation: c.self.Incarnation, Serial: d.lastSerial, Region: c.self.Region}
+	r := &c.watch.role
+	r.lastSerial++
+	return PollNotice{Host: c.self.Host, Incarnation: c.self.Incarnation, Serial: r.lastSerial, Region: c.self.Region}
 }
 
-// onPollNotice takes a peer's notice of a poll of the platform, and passes it on.
+// onPollNotice handles a peer's notice of a poll of the platform, and forwards it.
 //
-// Each poll counts once. Its age doesn't grow on its way over a link; if a poll
-// could come back to a node by another way it would seem younger each time, and
-// over slow links a region would go on telling itself that somebody polls long
-// after nobody did.
+// Each notice is handled once per node. The age in a notice doesn't include its transit
+// time, so a notice that reached a node again over another path would make the poll
+// seem more recent each time. Over slow links the notices would then circulate in a
+// region, and suppress polling, long after the last node stopped polling.
 func (c *Core) onPollNotice(l *link, f PollNotice) {
-	d := &c.watch.role
-	name := noticeID{f.Incarnation, f.Serial}
-	last, known := d.lastNotice[f.Host]
-	if f.Host == c.self.Host || (known && !name.after(last)) {
+	r := &c.watch.role
+	received := noticeID{f.Incarnation, f.Serial}
+	last, known := r.lastNotice[f.Host]
+	if f.Host == c.self.Host || (known && !received.after(last)) {
 		return
 	}
-	if d.lastNotice == nil || len(d.lastNotice) >= maxKnownPollers {
-		d.lastNotice = make(map[string]noticeID)
+	if r.lastNotice == nil || len(r.lastNotice) >= maxKnownPollers {
+		r.lastNotice = make(map[string]noticeID)
 	}
-	d.lastNotice[f.Host] = name
-	if f.Region != c.self.Region && f.RTT > 0 && nearerRegionFactor*time.Duration(f.RTT)*time.Millisecond < d.rtt {
-		d.nearerRegionAt = c.now
+	r.lastNotice[f.Host] = received
+	if f.Region != c.self.Region && f.RTT > 0 && nearerRegionFactor*time.Duration(f.RTT)*time.Millisecond < r.rtt {
+		r.nearerRegionAt = c.now
 	}
 	if f.Started {
 		c.delayFallbackPoll()
@@ -308,6 +326,8 @@
 	c.floodPollNotice(l.id, f)
 }
 
+// floodPollNotice sends a notice over all links except the one that it came from, lazy
+// links and links that only introduce a newcomer. A from of 0 excludes no link.
 func (c *Core) floodPollNotice(from LinkID, f PollNotice) {
 	for _, l := range c.sortedLinks() {
 		if l.id != from && !l.lazy && !c.introductionOnly(l) {
@@ -316,14 +336,14 @@
 	}
 }
 
-// earliestFetch is from when on a version that a peer has may be asked for.
+// earliestFetch returns the time from which a version held by a peer may be fetched.
 func (c *Core) earliestFetch() time.Time {
 	switch {
 	case !c.cfg.DelegatePolling || !c.version.ready:
 		return c.now
 	case c.watch.role.current.On:
-		// This node's own watch has most likely seen the version too. A peer is
-		// asked only if it has not come by then.
+		// This node's own poll has most likely found the version too. It is fetched
+		// from a peer only if it has not arrived by then.
 		return c.now.Add(hedgeDelay)
 	default:
 		return c.version.stagedAt.Add(minFetchInterval)
