--- a/briarrockd/peer/fed_test.go
+++ b/briarrockd/peer/fed_test.go
@@ -10,7 +10,8 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// delegatingCore is a Core whose node watches the platform itself, with one link.
+// delegatingCore returns a Core with delegated polling and one link, and the time. Its
+// domain is small, so the node polls the platform for itself.
 func delegatingCore(c *qt.C) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
@@ -19,7 +20,7 @@
 	return core, now
 }
 
-// runTicks steps a Core through a time and returns what it did.
+// runTicks steps a Core with Ticks for d. It returns the time after that and the commands.
 func runTicks(core *Core, now time.Time, d time.Duration) (time.Time, []Cmd) {
 	var out []Cmd
 	for end := now.Add(d); now.Before(end); {
@@ -51,13 +52,14 @@
 	return n
 }
 
-// TestFed checks that a Core which is fed asks the platform for nothing, and
-// its peer only if its own watch has not brought a version that the peer has.
+// TestDelegatedPolling checks that a Core with delegated polling reads nothing from the
+// platform itself, and fetches a version from its peer only if its own poll has not
+// delivered it.
 //
-// Every node watches the platform. If each also sent every version to its
-// neighbours, a change would be packed and sent many times for nothing; if none
-// did, a host that is cut off from the platform would never get it.
-func TestFed(t *testing.T) {
+// Here every node polls the platform. If each also sent every version to its neighbours,
+// a change would be packed and sent many times without need. If none did, a host that is
+// partitioned from the platform would never get it.
+func TestDelegatedPolling(t *testing.T) {
 	c := qt.New(t)
 	core, now := delegatingCore(c)
 	b, hash := encodeSample(c, 4)
@@ -66,15 +68,15 @@
 	b, hash = encodeSample(c, 5)
 	cmds := core.Step(now, Received{1, VersionNotice{5, hash, true}})
 	c.Check(countFetches(cmds), qt.Equals, 0)
-	brought := now.Add(hedgeDelay / 2)
-	cmds = core.Step(brought, Committed{Version: 5, Hash: hash, Content: b})
-	now, more := runTicks(core, brought, 3*time.Second)
+	committedAt := now.Add(hedgeDelay / 2)
+	cmds = core.Step(committedAt, Committed{Version: 5, Hash: hash, Content: b})
+	now, more := runTicks(core, committedAt, 3*time.Second)
 	cmds = append(cmds, more...)
 	c.Check(servedVersions(cmds), qt.DeepEquals, []uint64{5})
 	c.Check(countFetches(cmds), qt.Equals, 0)
 	c.Check(countCmds[ReadHead](cmds), qt.Equals, 0)
 
-	// The next one comes from the peer alone: this host is cut off.
+	// The next version arrives only from the peer: this host can't reach the platform.
 	next := fullContent(c, 6, 6)
 	core.Step(now, Received{1, VersionNotice{6, next.Hash, true}})
 	now, cmds = runTicks(core, now, hedgeDelay+2*TickInterval)
@@ -86,9 +88,9 @@
 	c.Check(countCmds[ReadObject](cmds), qt.Equals, 0)
 }
 
-// TestFedBack feeds a Core an older version, as a store that is restored
-// could: what is served stays.
-func TestFedBack(t *testing.T) {
+// TestOlderCommitIgnored delivers an older version after a newer one, as a store that was
+// restored to an earlier state could. The version in use must stay.
+func TestOlderCommitIgnored(t *testing.T) {
 	c := qt.New(t)
 	core, now := delegatingCore(c)
 	for _, v := range []uint64{5, 4} {
@@ -103,12 +105,12 @@
 	c.Check(snapshot.Hash{} == hash, qt.IsFalse)
 }
 
-// TestFirst starts a node without contacts where nobody has left any.
+// TestFirstNode starts a node without contacts while the table holds none either.
 //
-// It is the first of all, or all start at once. It reads the rows at once, since
-// nobody else can tell it of the others, and then leaves its own address; the
-// others find that when they read the rows again.
-func TestFirst(t *testing.T) {
+// It is the first node, or all nodes start at once. It must read the contact rows at
+// once, since it has no other way to find peers, and then write its own address. Other
+// nodes find that address when they read the rows again, so it must also read them again.
+func TestFirstNode(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
@@ -123,10 +125,10 @@
 	c.Check(reads >= 2 && reads <= 4, qt.IsTrue, qt.Commentf("%d", reads))
 }
 
-// TestFirstOfMany starts a node with many others for the first time. It finds
-// an address that another one has left, and so leaves none itself: the row
-// would be written by each of them otherwise, for a billed call each.
-func TestFirstOfMany(t *testing.T) {
+// TestBootstrapContacts starts a node at the first start of a mesh with many nodes. It
+// finds an address that another node has written, so it must not write its own.
+// Otherwise each node would write the row, at the cost of a billed call each.
+func TestBootstrapContacts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), DelegatePolling: true, Bootstrap: true}, rand.New(rand.NewPCG(1, 1)), now)
--- a/briarrockd/peer/polls_test.go
+++ b/briarrockd/peer/polls_test.go
@@ -10,29 +10,29 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// maxNoticesPerSecond is how many freshness notices the carriers of two regions send in a second
-// at most: four of them, one while a poll waits and one for each poll of two seconds. Each
-// crosses a link once in each direction.
+// maxNoticesPerSecond bounds the poll notices that the gateway nodes of two regions
+// originate in a second: each of the four sends one while its poll waits, and one per
+// poll of two seconds. Each notice crosses a link once in each direction.
 const maxNoticesPerSecond = 6
 
-// Pauses of the fake watch loop after a poll that failed.
+// The times of the fake poll loop: until a poll fails, and from then to the next poll.
 const (
 	failedPollTime = 50 * time.Millisecond
 	pollRetryDelay = time.Second
 )
 
-// pollMesh is a simMesh whose hosts poll the platform only when their Cores say so, as
-// the platform's adapter does.
+// pollMesh is a simMesh with delegated polling: a poll loop on each host polls the
+// platform as its Core's Watch commands direct, as the platform's adapter does.
 type pollMesh struct {
 	*simMesh
 	c     *qt.C
 	hosts map[*simHost]*poller
 	polls int
-	// notices counts the freshness notices that were sent over links.
+	// notices counts the poll notices that were sent over links.
 	notices int
 }
 
-// poller is the watch loop of a host's present process.
+// poller is the poll loop of a host's current process.
 type poller struct {
 	watch     Watch
 	process   int
@@ -59,7 +59,7 @@
 	return f
 }
 
-// setWatch takes a Core's decision on polling.
+// setWatch applies a Watch command of a host's Core.
 func (f *pollMesh) setWatch(x *simHost, w Watch) {
 	p := f.hosts[x]
 	if p == nil || p.process != x.processes {
@@ -70,6 +70,7 @@
 	f.poll(x, p)
 }
 
+// poll starts a poll of the platform unless one is open or the Core directs none.
 func (f *pollMesh) poll(x *simHost, p *poller) {
 	if p.polling || !p.watch.On || !x.alive || p.process != x.processes {
 		return
@@ -124,8 +125,8 @@
 	f.poll(x, p)
 }
 
-// commitVersion has the operator accept the next version. Open polls see it: the fake ends
-// their wait by the next time that they are due.
+// commitVersion commits the next version to the store. A poll that is waiting returns it
+// at the end of its wait.
 func (f *pollMesh) commitVersion() {
 	n := f.newest() + 1
 	b, hash := encodeSample(f.c, int(n))
@@ -144,7 +145,7 @@
 	return n
 }
 
-// pollingHosts are the hosts whose Cores have them poll now.
+// pollingHosts returns the live hosts whose Cores currently direct them to poll.
 func (f *pollMesh) pollingHosts() []*simHost {
 	var out []*simHost
 	for _, x := range f.nodes {
@@ -155,8 +156,8 @@
 	return out
 }
 
-// TestPolls guards against polls of the platform that grow with the hosts, and
-// against a change that is missed once fewer of them poll.
+// TestPolls guards against a number of polls that grows with the number of hosts, and
+// against changes that are missed because only some hosts poll.
 func TestPolls(t *testing.T) {
 	datadriven.Walk(t, "testdata/polls", func(t *testing.T, path string) {
 		synctest.Test(t, func(t *testing.T) {
@@ -174,15 +175,17 @@
 	})
 }
 
+// command runs one command of a script for the seconds given by "for". It returns "ok",
+// or what exceeds the bounds that the command's arguments set.
 func (f *pollMesh) command(t *testing.T, d *datadriven.TestData) string {
-	var span, most int
+	var seconds, maxPolls int
 	if d.HasArg("for") {
-		d.ScanArgs(t, "for", &span)
+		d.ScanArgs(t, "for", &seconds)
 	}
 	if d.HasArg("most") {
-		d.ScanArgs(t, "most", &most)
+		d.ScanArgs(t, "most", &maxPolls)
 	}
-	before, notices := f.polls, f.notices
+	pollsBefore, noticesBefore := f.polls, f.notices
 	switch d.Cmd {
 	case "start":
 		f.commitVersion()
@@ -219,12 +222,12 @@
 			}
 		}
 	}
-	f.advance(time.Duration(span) * time.Second)
+	f.advance(time.Duration(seconds) * time.Second)
 	switch {
-	case d.HasArg("most") && f.polls-before > most:
-		return fmt.Sprintf("%d polls", f.polls-before)
-	case d.HasArg("notices") && f.notices-notices > maxNoticesPerSecond*span*len(f.links):
-		return fmt.Sprintf("%d notices over %d links", f.notices-notices, len(f.links)/2)
+	case d.HasArg("most") && f.polls-pollsBefore > maxPolls:
+		return fmt.Sprintf("%d polls", f.polls-pollsBefore)
+	case d.HasArg("notices") && f.notices-noticesBefore > maxNoticesPerSecond*seconds*len(f.links):
+		return fmt.Sprintf("%d notices over %d links", f.notices-noticesBefore, len(f.links)/2)
 	case d.HasArg("in-force") && f.countLagging() > 0:
 		return fmt.Sprintf("%d hosts lag", f.countLagging())
 	}
--- a/briarrockd/peer/rules_test.go
+++ b/briarrockd/peer/rules_test.go
@@ -15,7 +15,7 @@
 	return Member{Host: host, Domain: "erie-a", Region: "erie", PeerAddr: host + ":1", CallAddr: host + ":2", Incarnation: 1}
 }
 
-// linkedCore is a Core with one link, to a peer of its domain.
+// linkedCore returns a Core with one link, to a peer of its domain, and the time.
 func linkedCore(c *qt.C) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
@@ -56,7 +56,7 @@
 	return false
 }
 
-// servingCore is a Core that serves version 5.
+// servingCore returns a Core with one link that serves version 5, and the time.
 func servingCore(c *qt.C) (*Core, time.Time) {
 	core, now := linkedCore(c)
 	b, hash := encodeSample(c, 5)
@@ -67,13 +67,12 @@
 	return core, now
 }
 
-// TestOlder offers an older version in every way that one can come: as a
-// notice, a push, an answer that was asked for, the head of a store that has
-// lost its memory, and this node's own commit that took long.
+// TestOlderVersionIgnored offers an older version in every way that one can arrive: as
+// a notice, an answer to a fetch, a push, the head of a store that has lost data, an
+// object read, and this node's own commit that took long.
 //
-// A proxy that took one would undo an accepted change. It goes on with what
-// it has.
-func TestOlder(t *testing.T) {
+// A proxy that used one would undo a committed change. It must keep the version in use.
+func TestOlderVersionIgnored(t *testing.T) {
 	c := qt.New(t)
 	core, now := servingCore(c)
 	old := fullContent(c, 4, 4)
@@ -97,35 +96,36 @@
 	}
 }
 
-// TestDamaged offers version 6 cut short, corrupted and with a wrong base: it
-// is dropped whole, logged, and asked for again; the sound one is then used.
-func TestDamaged(t *testing.T) {
+// TestDamagedContent offers version 6 truncated, corrupted and with an unknown base. Each
+// time the content must be dropped as a whole and fetched again, and damaged content must
+// be logged. The valid content that follows must be used.
+func TestDamagedContent(t *testing.T) {
 	c := qt.New(t)
 	core, now := servingCore(c)
 	good := fullContent(c, 6, 6)
 	core.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
-	short, flipped := good, good
-	short.Packed = good.Packed[:len(good.Packed)-3]
-	flipped.Packed = append([]byte(nil), good.Packed...)
-	flipped.Packed[len(flipped.Packed)/2] ^= 0x40
-	for _, bad := range []Content{short, flipped} {
+	truncated, corrupted := good, good
+	truncated.Packed = good.Packed[:len(good.Packed)-3]
+	corrupted.Packed = append([]byte(nil), good.Packed...)
+	corrupted.Packed[len(corrupted.Packed)/2] ^= 0x40
+	for _, bad := range []Content{truncated, corrupted} {
 		cmds := core.Step(now, Received{1, bad})
 		c.Check(servedVersions(cmds), qt.HasLen, 0)
 		c.Check(logged(cmds, event.VersionRefused), qt.IsTrue)
 		n, _ := core.Version()
 		c.Check(n, qt.Equals, uint64(5))
 	}
-	strange := good
-	strange.Base = snapshot.Sum([]byte("unheard of"))
-	c.Check(servedVersions(core.Step(now, Received{1, strange})), qt.HasLen, 0)
+	unknownBase := good
+	unknownBase.Base = snapshot.Sum([]byte("unheard of"))
+	c.Check(servedVersions(core.Step(now, Received{1, unknownBase})), qt.HasLen, 0)
 	c.Check(servedVersions(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
-// TestFalseNotice tells of a version that does not exist.
+// TestNoticeOfMissingVersion announces a version that does not exist.
 //
-// The node asks for it in vain. It must not keep the node from the true next
-// version, whose number is lower.
-func TestFalseNotice(t *testing.T) {
+// The node can't fetch it. The failed fetch must not block the real next version, whose
+// number is lower.
+func TestNoticeOfMissingVersion(t *testing.T) {
 	c := qt.New(t)
 	core, now := servingCore(c)
 	core.Step(now, Received{1, VersionNotice{Version: 900, Hash: snapshot.Sum([]byte("nothing"))}})
@@ -139,7 +139,7 @@
 	c.Check(servedVersions(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
-// TestRank orders records as every node must.
+// TestRank checks the order by which all nodes decide between two records of a host.
 func TestRank(t *testing.T) {
 	c := qt.New(t)
 	order := []rank{
@@ -154,28 +154,30 @@
 	}
 	for i, a := range order {
 		for j, b := range order {
-			c.Check(a.supersedes(b), qt.Equals, i > j, qt.Commentf("%v above %v", a, b))
+			c.Check(a.supersedes(b), qt.Equals, i > j, qt.Commentf("%v supersedes %v", a, b))
 		}
 	}
 }
 
-// TestClockBack starts a process whose host's clock has gone back: its peers
-// remember a later incarnation, and it must go above that to be believed.
-func TestClockBack(t *testing.T) {
+// TestClockStepsBack starts a process on a host whose clock has stepped back. Its peers
+// hold a record of a later incarnation, so it must choose a higher one, or they would
+// ignore its record.
+func TestClockStepsBack(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), KnownIncarnation: 900}, Addr: "b:1"})
 	c.Check(core.self.Incarnation, qt.Equals, uint64(901))
-	// Hearing of itself as of later still does the same.
+	// A record of itself with a still later incarnation has the same effect.
 	m := member("a")
 	m.Incarnation = 2000
 	core.Step(now, Received{1, Records{[]Member{m}}})
 	c.Check(core.self.Incarnation, qt.Equals, uint64(2001))
 }
 
-// TestAlone is a node that reaches nobody: it never serves anything.
-func TestAlone(t *testing.T) {
+// TestIsolatedNode checks that a node which reaches neither a peer nor the store never
+// serves a version.
+func TestIsolatedNode(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), Contacts: []string{"b:1"}}, rand.New(rand.NewPCG(1, 1)), now)
@@ -188,22 +190,24 @@
 			case ReadHead:
 				core.Step(now, HeadRead{Err: errStoreDown})
 			case ServeVersion:
-				t.Fatal("serves something")
+				t.Fatal("an isolated node serves a version")
 			}
 		}
 	}
 	c.Check(core.Ready(), qt.IsFalse)
 }
 
-// TestContacts starts a node whose settings name hosts that are all replaced.
+// TestContacts starts a node whose configured contacts have all been replaced.
 //
-// It would stay by itself for good. After a while without any link it takes
-// the addresses that the domains have left in the table.
+// It would stay isolated forever. After some time without any link it must read the
+// addresses that the domains have written to the platform's table, at a limited rate.
+// A node with a link must write addresses only if it is the root of its domain, and
+// once.
 func TestContacts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
-	asked, dialed := 0, false
+	reads, dialed := 0, false
 	for range 300 {
 		now = now.Add(TickInterval)
 		for _, cmd := range core.Step(now, Tick{}) {
@@ -212,39 +216,39 @@
 				dialed = dialed || cmd.Addr == "new:1"
 				core.Step(now, DialFailed{Addr: cmd.Addr})
 			case ReadContacts:
-				asked++
+				reads++
 				core.Step(now, ContactsRead{Addrs: []string{"new:1"}})
 			}
 		}
 	}
 	c.Check(dialed, qt.IsTrue)
-	c.Check(asked <= 3, qt.IsTrue, qt.Commentf("asked %d times in 30 s", asked))
+	c.Check(reads <= 3, qt.IsTrue, qt.Commentf("%d reads in 30 s", reads))
 
 	core, now = linkedCore(c)
-	var left []string
+	var written []string
 	for range 100 {
 		now = now.Add(TickInterval)
 		core.Step(now, Received{1, Heartbeat{}})
 		for _, cmd := range core.Step(now, Tick{}) {
 			if w, ok := cmd.(WriteContacts); ok {
-				c.Check(left, qt.IsNil)
-				left = w.Addrs
+				c.Check(written, qt.IsNil)
+				written = w.Addrs
 			}
 		}
 	}
 	if core.isRoot() {
-		c.Check(left, qt.HasLen, 2)
+		c.Check(written, qt.HasLen, 2)
 	} else {
-		c.Check(left, qt.IsNil)
+		c.Check(written, qt.IsNil)
 	}
 }
 
 // TestRestart restarts a host next to a peer that is behind.
 //
-// The host served version 5 before, keeps nothing, and the first peer that it
-// meets holds version 4 and has never heard of it. While the store may still
-// answer, the node must wait for it; only when it does not answer may it serve
-// what its peers hold.
+// The host served version 5 before and stores nothing on disk. The first peer that it
+// links to holds version 4 and has received no newer one. While the store may still
+// answer, the node must wait for it. Only after a failed read may it serve the version
+// that its peers hold.
 func TestRestart(t *testing.T) {
 	c := qt.New(t)
 	for _, storeUp := range []bool{true, false} {
@@ -282,16 +286,16 @@
 	}
 }
 
-// TestForgetful restarts a host whose settings name no contact that knows
-// anybody. It can't know that it should dial its neighbour; the neighbour must
-// find it before declaring it dead.
-func TestForgetful(t *testing.T) {
+// TestNeighbourRedials ends the link to a host that has restarted without a usable
+// contact. That host doesn't know its neighbour and can't dial it, so the neighbour must
+// dial it before declaring it dead.
+func TestNeighbourRedials(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	other := "b"
 	for score(other) < score("a") {
-		other += "b" // the neighbour comes after us, and so is the one to dial
+		other += "b" // a neighbour later in the order, which normally dials this node
 	}
 	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member(other)}})
 	c.Assert(core.isRoot(), qt.IsTrue)
@@ -308,11 +312,11 @@
 	c.Check(dialed > 0 && dialed < suspectDelay, qt.IsTrue, qt.Commentf("after %v", dialed))
 }
 
-// TestLostDomain loses a whole domain for good.
+// TestLostDomain loses all nodes of a domain permanently.
 //
-// Nobody is left in it to say that its members are dead. While it may only be
-// cut off they are kept; after hours of silence they are forgotten, and one
-// that comes back all the same is believed.
+// No node is left there to declare its members dead. They must be kept while the domain
+// may only be partitioned, and be declared dead after domainForgetAfter without a
+// summary. A member that returns after that must be accepted.
 func TestLostDomain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -333,8 +337,8 @@
 	c.Check(core.Members(), qt.Equals, 2)
 }
 
-// TestFrames checks that each frame comes back as it was sent, and that
-// nothing else passes for one.
+// TestFrames checks that each type of frame is decoded as the type that was encoded, and
+// that invalid bytes are rejected.
 func TestFrames(t *testing.T) {
 	c := qt.New(t)
 	for _, f := range []Frame{
@@ -355,9 +359,9 @@
 	} {
 		b, err := EncodeFrame(f)
 		c.Assert(err, qt.IsNil)
-		back, err := DecodeFrame(b)
+		decoded, err := DecodeFrame(b)
 		c.Assert(err, qt.IsNil)
-		c.Check(back.code(), qt.Equals, f.code())
+		c.Check(decoded.code(), qt.Equals, f.code())
 	}
 	for _, b := range [][]byte{nil, {0}, {200}, {codeHeartbeat}, {codeHeartbeat, 0xff}, {codeRecords, 0xa1, 1, 0x81, 0xa0}} {
 		_, err := DecodeFrame(b)
@@ -365,8 +369,8 @@
 	}
 }
 
-// FuzzFrame sends bytes as a peer could: they are a frame within its bounds,
-// or an error, and a Core takes any frame without ending the process.
+// FuzzFrame decodes arbitrary bytes as a peer could send them. The result must be an
+// error or a frame within its bounds, and a Core must handle that frame without a panic.
 func FuzzFrame(f *testing.F) {
 	for _, x := range []Frame{
 		Hello{Member: member("a")},
@@ -397,20 +401,20 @@
 	})
 }
 
-// TestOtherHost has another host answer at the address of one that was replaced.
+// TestAddressReuse replaces a host by another one with the same address.
 //
-// The old one's record lives on for some seconds. Each link to its address comes
-// up as one to the new host; if that counted as a success the address would be
-// dialed at each tick, and each new link would replace the last one: nodes would
-// do nothing else, and serve an old configuration meanwhile.
-func TestOtherHost(t *testing.T) {
+// The old host's record stays in the table for some seconds, and each link to its
+// address connects to the new host. If that counted as a success, the address would be
+// dialed at each tick and each new link would replace the last one. The nodes would do
+// nothing else, and would serve an old configuration meanwhile.
+func TestAddressReuse(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-	old, fresh := member("old"), member("new")
-	fresh.PeerAddr = old.PeerAddr
+	old, successor := member("old"), member("new")
+	successor.PeerAddr = old.PeerAddr
 	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	core.Step(now, Received{1, Records{[]Member{old, fresh}}})
+	core.Step(now, Received{1, Records{[]Member{old, successor}}})
 	dials, id := 0, LinkID(1)
 	for range 30 {
 		now = now.Add(TickInterval)
@@ -418,7 +422,7 @@
 			if d, ok := cmd.(Dial); ok && d.Addr == old.PeerAddr {
 				dials++
 				id++
-				core.Step(now, LinkUp{Link: id, Hello: Hello{Member: fresh}, Addr: old.PeerAddr})
+				core.Step(now, LinkUp{Link: id, Hello: Hello{Member: successor}, Addr: old.PeerAddr})
 			}
 		}
 	}
@@ -426,14 +430,14 @@
 	c.Check(core.linkByHost["new"], qt.Not(qt.IsNil))
 }
 
-// TestHoldClear lets word of crashes and word that the request has run to its end
-// go round a ring of five nodes at the same time, in many orders.
+// TestCrashReportClear floods crash reports, and the reports that clear them, through a
+// ring of five nodes at the same time and in many orders.
 //
-// The second follows the first closely: a node that has forgotten the crash hears
-// of it again by the other way round. If it took that for news, the two would
-// chase each other round the ring for good, at the full speed of every node, and
-// calls and configurations would come late everywhere with no error to say why.
-func TestHoldClear(t *testing.T) {
+// The clear closely follows the crash. A node that has cleared the crash receives the
+// crash report again from the other direction of the ring. If it handled that as new,
+// the two reports would circulate forever at full speed, and calls and configurations
+// would be late on all nodes without any error.
+func TestCrashReportClear(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(300) {
 		r := newRing(5)
@@ -444,9 +448,9 @@
 			r.deliver(rng.IntN(5), Crashed{Print: 7, Service: "posting", Clear: true})
 			r.deliverFrames(rng, rng.IntN(8))
 		}
-		c.Assert(r.deliverFrames(rng, 1000) < 200, qt.IsTrue, qt.Commentf("seed %d goes on", seed))
+		c.Assert(r.deliverFrames(rng, 1000) < 200, qt.IsTrue, qt.Commentf("seed %d: reports still circulate", seed))
 
-		// A request that goes on crashing targets is held back all the same.
+		// A request that crashes targets again must still be held back.
 		for _, i := range []int{1, 3} {
 			r.deliver(i, Crashed{Print: 7, Service: "posting"})
 		}
@@ -457,15 +461,15 @@
 	}
 }
 
-// ring is some Cores, each linked to the next and the last one, and the frames
-// about crashes that are on their way.
+// ring is a number of Cores in a ring, each linked to the next and the previous one, and
+// the crash reports in transit.
 type ring struct {
 	now      time.Time
 	cores    []*Core
 	inFlight []ringFrame
 }
 
-// ringFrame is a frame on its way to a node over one of its two links.
+// ringFrame is a crash report in transit to a node over one of its two links.
 type ringFrame struct {
 	to   int
 	link LinkID
@@ -485,7 +489,7 @@
 	return r
 }
 
-// deliver gives a node a message and puts what it sends on the way.
+// deliver steps node i with a message and queues the crash reports that it sends.
 func (r *ring) deliver(i int, m Msg) {
 	n := len(r.cores)
 	for _, x := range r.cores[i].Step(r.now, m) {
@@ -501,11 +505,11 @@
 	}
 }
 
-// deliverFrames delivers up to most frames, those of one link in their order, and returns
-// how many there were.
-func (r *ring) deliverFrames(rng *rand.Rand, most int) int {
+// deliverFrames delivers up to limit frames in random order, but those of one link in the
+// order sent. It returns the number of frames delivered.
+func (r *ring) deliverFrames(rng *rand.Rand, limit int) int {
 	n := 0
-	for ; n < most && len(r.inFlight) > 0; n++ {
+	for ; n < limit && len(r.inFlight) > 0; n++ {
 		at := rng.IntN(len(r.inFlight))
 		for i, x := range r.inFlight[:at] {
 			if x.to == r.inFlight[at].to && x.link == r.inFlight[at].link {
--- a/briarrockd/peer/watchrole_test.go
+++ b/briarrockd/peer/watchrole_test.go
@@ -9,19 +9,20 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// largeDomainCore is a fed Core in a domain of n members, linked to the two that watch
-// there, with version 1 in use.
+// largeDomainCore returns a Core with delegated polling, in a domain of n members, and
+// the time. The Core is the last in the domain's order, is linked to the first two, which
+// poll for the region, and uses version 1.
 func largeDomainCore(c *qt.C, n int) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
 	hosts := make([]string, 0, n)
 	for i := range n {
 		hosts = append(hosts, fmt.Sprintf("h%02d", i))
 	}
-	probe := newTable()
+	table := newTable()
 	for _, host := range hosts {
-		probe.put(now, member(host))
+		table.put(now, member(host))
 	}
-	order := probe.members("erie-a")
+	order := table.members("erie-a")
 	self := order[n-1].Host
 	core := New(Config{Self: member(self), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
 	for i := range bridgesPerDomain {
@@ -37,7 +38,8 @@
 	return core, now
 }
 
-// runWithNotices steps a Core while its first peer tells of polls of the platform.
+// runWithNotices steps a Core for d while its first peer sends the poll notice f, with
+// increasing serials, each pollNoticeInterval.
 func runWithNotices(core *Core, now time.Time, d time.Duration, f PollNotice) (time.Time, []Cmd) {
 	var out []Cmd
 	for end := now.Add(d); now.Before(end); {
@@ -50,11 +52,13 @@
 	return now, out
 }
 
-// pollNotice is word of a poll 20 ms ago by a process that is new each time.
-func pollNotice(version, seen uint64) PollNotice {
-	return PollNotice{Version: version, Cursor: seen, HeadAge: 20, Host: "watcher", Incarnation: seen}
+// pollNotice returns the notice of a poll 20 ms ago. The cursor also serves as the
+// incarnation, so notices with different cursors come from different processes.
+func pollNotice(version, cursor uint64) PollNotice {
+	return PollNotice{Version: version, Cursor: cursor, HeadAge: 20, Host: "watcher", Incarnation: cursor}
 }
 
+// lastWatch returns the last Watch command among cmds, if there is one.
 func lastWatch(cmds []Cmd) (Watch, bool) {
 	var last Watch
 	found := false
@@ -66,15 +70,15 @@
 	return last, found
 }
 
-// TestDuty takes one node of a large domain from hearing of others' polls, to
-// hearing of none, and back.
+// TestFallbackPolling runs one node of a large domain first with poll notices from
+// polling nodes, then without, then with them again.
 //
-// While the watchers are there it asks the platform for nothing. When both are
-// gone no change would reach it, and no error would say so; it then polls by
-// itself soon enough for a change to be in force in time, from the position that
-// it has, so that only what is new is read. The first poll is answered at once,
-// so that the rest of the domain hears of it before they lapse as well.
-func TestDuty(t *testing.T) {
+// While notices arrive the node must not poll the platform. When all polling nodes are
+// gone no change would reach it, and without any error. It must then poll itself, soon
+// enough for a change to be in force in time, and from its cursor, so that only new
+// changes are read. Its first poll must not wait for a change, so that its notice
+// reaches the other nodes of the domain before they start to poll as well.
+func TestFallbackPolling(t *testing.T) {
 	c := qt.New(t)
 	core, now := largeDomainCore(c, 25)
 	now, cmds := runWithNotices(core, now, 10*time.Second, pollNotice(1, 40))
@@ -82,13 +86,13 @@
 	c.Assert(ok, qt.IsTrue)
 	c.Check(w.On, qt.IsFalse)
 
-	quiet := now
+	silentSince := now
 	for ok = false; !ok || !w.On; {
 		now, cmds = runTicks(core, now, TickInterval)
 		w, ok = lastWatch(cmds)
-		c.Assert(now.Sub(quiet) <= pollNoticeTimeout+pollNoticeTimeoutSpread, qt.IsTrue)
+		c.Assert(now.Sub(silentSince) <= pollNoticeTimeout+pollNoticeTimeoutSpread, qt.IsTrue)
 	}
-	c.Check(now.Sub(quiet) >= pollNoticeTimeout-pollNoticeInterval, qt.IsTrue)
+	c.Check(now.Sub(silentSince) >= pollNoticeTimeout-pollNoticeInterval, qt.IsTrue)
 	c.Check(w, qt.Equals, Watch{On: true, Cursor: 40, Fallback: true})
 	core.Step(now, Polled{Cursor: 41, At: now})
 	now, cmds = runTicks(core, now, TickInterval)
@@ -101,12 +105,13 @@
 	c.Check(w.On, qt.IsFalse)
 }
 
-// TestDutyBehind has peers tell of a version that this node has not got.
+// TestPollNoticeBeforeVersion sends poll notices that name a version which this node
+// doesn't hold yet.
 //
-// Their polls say nothing of the version that it serves: counted at once they
-// would keep it from looking by itself while it is behind. They count when the
-// version has come.
-func TestDutyBehind(t *testing.T) {
+// Those polls don't confirm the version that the node serves. If they were recorded at
+// once, they would keep the node from polling while it is behind. They must be recorded
+// when the version has arrived.
+func TestPollNoticeBeforeVersion(t *testing.T) {
 	c := qt.New(t)
 	core, now := largeDomainCore(c, 25)
 	now, cmds := runWithNotices(core, now, 4*time.Second, pollNotice(2, 50))
@@ -121,12 +126,12 @@
 	c.Check(core.watch.cursor, qt.Equals, uint64(50))
 }
 
-// TestDutyFetch has a peer tell of a version to a node that does not watch.
+// TestFetchWithoutPolling announces a version to a node that doesn't poll.
 //
-// Nothing else will bring the version, so it is asked for at once; the next one
-// that follows closely waits a little, so that a storm of changes leaves a small
-// node the time for its calls.
-func TestDutyFetch(t *testing.T) {
+// The node can get the version only from a peer, so it must fetch it at once. The fetch
+// of a version that follows closely must be delayed by minFetchInterval, so that a small
+// host has time for its calls while many changes are made.
+func TestFetchWithoutPolling(t *testing.T) {
 	c := qt.New(t)
 	core, now := largeDomainCore(c, 25)
 	now, _ = runWithNotices(core, now, 10*time.Second, pollNotice(1, 40))
@@ -139,12 +144,13 @@
 	c.Check(countFetches(cmds), qt.Equals, 1)
 }
 
-// TestDutyStart starts a node among peers that serve already.
+// TestPollAtStart starts a node with a peer that serves already, and one without.
 //
-// It takes the version from them at once, and confirms by one small poll at the
-// platform, asked for in the same step, that it is the newest, before it serves; without peers it reads the
-// whole by itself, though not before they have had a moment to answer.
-func TestDutyStart(t *testing.T) {
+// With a peer, the node must fetch the version from it at once. Before it serves, it must
+// confirm by one small poll of the platform, started in the step in which the version
+// arrives, that the version is the newest. Without peers it must read the full snapshot
+// itself, but only after startReadDelay, in which peers could have answered.
+func TestPollAtStart(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	core := New(Config{Self: member("a"), DelegatePolling: true}, rand.New(rand.NewPCG(1, 1)), now)
@@ -167,20 +173,20 @@
 	c.Check(w, qt.Equals, Watch{On: true})
 }
 
-// TestDutyEcho gives a node the same poll again and again, from another peer and
-// looking as young as the first time.
+// TestRepeatedPollNotice sends a node the same poll notice repeatedly, from another peer
+// and with the same age as the first time.
 //
-// That is how a poll comes back over slow links. It counts once: otherwise a
-// domain whose watchers are gone would go on believing for good that somebody
-// polls, and serve an old version with no error anywhere.
-func TestDutyEcho(t *testing.T) {
+// Notices repeat in this way over slow links. Each must be recorded once. Otherwise the
+// nodes of a domain whose polling nodes are gone would never poll, and would serve an old
+// version without any error.
+func TestRepeatedPollNotice(t *testing.T) {
 	c := qt.New(t)
 	core, now := largeDomainCore(c, 25)
 	f := pollNotice(1, 40)
 	f.Serial = 7
 	cmds := core.Step(now, Received{1, f})
 	c.Check(countCmds[Send](cmds) > 0, qt.IsTrue)
-	quiet := now
+	silentSince := now
 	on := false
 	for !on {
 		c.Check(countCmds[Send](core.Step(now, Received{2, f})), qt.Equals, 0)
@@ -188,6 +194,6 @@
 		now, cmds = runTicks(core, now, TickInterval)
 		w, _ = lastWatch(cmds)
 		on = w.On && w.Fallback
-		c.Assert(now.Sub(quiet) <= pollNoticeTimeout+pollNoticeTimeoutSpread+TickInterval, qt.IsTrue)
+		c.Assert(now.Sub(silentSince) <= pollNoticeTimeout+pollNoticeTimeoutSpread+TickInterval, qt.IsTrue)
 	}
 }
