--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -196,7 +196,7 @@
 }
 
 // requestFromNext sends a fetch for the pending version to the next source. With no
-// source left, it reads the version from the object store.
+// source left, it reads the version from the object store, unless polling is delegated.
 func (c *Core) requestFromNext() {
 	p := &c.version.pending
 	p.requested = true
--- a/briarrockd/peer/watch.go
+++ b/briarrockd/peer/watch.go
@@ -9,8 +9,10 @@
 
 // The head is the platform's row that names the version in force. A node reads it
 // when the last known read, by any node, is older than the node's threshold below.
-// Normally only the leader reads. The other nodes take over when that read gets too
-// old, so the role needs no handover.
+// Normally only the leader reads. The other nodes take over when its last read gets too
+// old, so the role needs no handover. The thresholds are for the leader, the roots of
+// the other domains, the second bridge node of each domain, and all other nodes; see
+// readThreshold.
 const (
 	leaderReadAge = 1 * time.Second
 	rootReadAge   = 5 * time.Second
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -13,11 +13,13 @@
 // more than smallDomainSize members, only the gateway nodes poll: those that hold the
 // links to other regions. Of several regions only those near the platform poll. So the
 // number of calls to the platform doesn't grow with the number of hosts, and a change
-// crosses between two regions once, as a delta. The other nodes receive versions from their peers, and poll notices
-// (PollNotice) with the time of the last poll. A node polls itself, as a fallback, once
-// its newest poll notice is older than pollNoticeTimeout, so the role needs no handover:
-// the loss of all polling nodes delays a change by pollNoticeTimeout, well within the
-// time in which a change must be in force.
+// crosses between two regions once, as a delta.
+//
+// The other nodes receive versions from their peers, and poll notices (PollNotice) with
+// the time of the last poll. A node polls itself, as a fallback, once its newest poll
+// notice is older than pollNoticeTimeout, so the role needs no handover: the loss of all
+// polling nodes delays a change by pollNoticeTimeout, well within the time in which a
+// change must be in force.
 const (
 	// smallDomainSize is the size of a domain up to which each of its members polls
 	// for itself, if no domain of the region is larger.
