--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -42,7 +42,7 @@
 	return client, nil
 }
 
-// host runs Targets with one target, whose health and answers the test sets.
+// host runs Targets with one target, whose health and responses the test sets.
 type host struct {
 	*Targets
 	health   atomic.Int32
@@ -94,7 +94,7 @@
 	return h
 }
 
-// call sends one call. It reports whether the target ran it, and the kind of the answer.
+// call sends one call. It reports whether the target ran it, and the kind of the response.
 func (h *host) call() (ran bool, k kind.Kind) {
 	r := httptest.NewRequest(http.MethodPost, "/x", nil)
 	r.Header.Set(HeaderService, "posting")
--- a/briarrockd/target/broken_test.go
+++ b/briarrockd/target/broken_test.go
@@ -13,11 +13,11 @@
 	"briarrock.example/briarrockd/relay"
 )
 
-// truncatedAnswer is a transport to a target whose answers break off halfway.
-type truncatedAnswer struct{ length int64 }
+// truncatedResponse is a transport to a target whose responses break off halfway.
+type truncatedResponse struct{ length int64 }
 
 // RoundTrip implements http.RoundTripper.
-func (b truncatedAnswer) RoundTrip(req *http.Request) (*http.Response, error) {
+func (b truncatedResponse) RoundTrip(req *http.Request) (*http.Response, error) {
 	half := strings.NewReader(strings.Repeat("x", int(b.length/2)))
 	return &http.Response{
 		StatusCode: http.StatusOK, Header: make(http.Header), Request: req, ContentLength: b.length,
@@ -25,11 +25,11 @@
 	}, nil
 }
 
-// TestLongAnswerBreaksOff guards against a truncated answer that ends its exchange as if it were
-// complete, when it is too long to be buffered.
+// TestLongAnswerBreaksOff guards against a truncated response that ends its exchange as if it
+// were complete, when it is too long to be buffered.
 func TestLongAnswerBreaksOff(t *testing.T) {
 	c := qt.New(t)
-	ts := newTargets(truncatedAnswer{4 * relay.MaxBufferedResponse})
+	ts := newTargets(truncatedResponse{4 * relay.MaxBufferedResponse})
 	defer ts.Close()
 	defer func() { c.Check(recover(), qt.Equals, http.ErrAbortHandler) }()
 	send(ts)
--- a/briarrockd/target/held_test.go
+++ b/briarrockd/target/held_test.go
@@ -94,8 +94,9 @@
 	})
 }
 
-// TestHeldBodyReadFirst guards against a request that runs although its caller's node was
-// answered that it did not. A held-back body must be read before anything is sent to the target.
+// TestHeldBodyReadFirst guards against a request that runs although the response to its caller's
+// node says that it did not. A held-back body must be read before anything is sent to the
+// target.
 func TestHeldBodyReadFirst(t *testing.T) {
 	c := qt.New(t)
 	tr := new(echoTransport)
--- a/briarrockd/target/message.go
+++ b/briarrockd/target/message.go
@@ -22,7 +22,7 @@
 	// same time.
 	Route    string
 	Deadline time.Time
-	// Aim is the call's latency objective as a point in time: an answer after it has lost most
+	// Aim is the call's latency objective as a point in time: a response after it has lost most
 	// of its value. Zero if the call has none.
 	Aim time.Time
 	// CrossRegion is set for a call from another region.
--- a/briarrockd/target/notice.go
+++ b/briarrockd/target/notice.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// HeaderNotice carries the rates and drain states that targets have reported in their answers,
-// one Notice for each value. The target's node sends them in its answers, and the nodes of the
+// HeaderNotice carries the rates and drain states that targets have reported in their responses,
+// one Notice for each value. The target's node sends them in its responses, and the nodes of the
 // callers send them back to it in their requests. So a process that replaces the target's node
 // receives them before it admits the first request to which they apply.
 const HeaderNotice = "Briarrock-Notice"
@@ -16,7 +16,7 @@
 // maxNotices bounds the notices in one header.
 const maxNotices = maxTargets
 
-// Notice is the state that one process of a target has reported in its answers.
+// Notice is the state that one process of a target has reported in its responses.
 type Notice struct {
 	// Process identifies the target's process.
 	Process string
@@ -36,7 +36,7 @@
 	noticeAge     = "age" // milliseconds
 )
 
-// WriteNotices adds notices to the headers of a request or answer.
+// WriteNotices adds notices to the headers of a request or response.
 func WriteNotices(h http.Header, now time.Time, list ...Notice) {
 	for _, n := range list {
 		v := url.Values{noticeProcess: {n.Process}}
@@ -53,7 +53,8 @@
 	}
 }
 
-// ReadNotices returns the notices in the headers of a request or answer, without malformed ones.
+// ReadNotices returns the notices in the headers of a request or response, without malformed
+// ones.
 func ReadNotices(h http.Header, now time.Time) []Notice {
 	var list []Notice
 	for _, text := range h[HeaderNotice] {
--- a/briarrockd/target/observe.go
+++ b/briarrockd/target/observe.go
@@ -8,7 +8,7 @@
 	"briarrock.example/mesh/event"
 )
 
-// Headers in which a target reports its state in its answers.
+// Headers in which a target reports its state in its responses.
 const (
 	// HeaderRate is the rate limit that the target advertises, in requests a second from all
 	// callers together. Without it there is no limit.
@@ -17,16 +17,16 @@
 	HeaderLeaving = "Briarrock-Leaving"
 )
 
-// observeAnswer applies the state that a target reports in the headers of its answer to a
+// observeResponse applies the state that a target reports in the headers of its response to a
 // request sent at sent.
-func (t *Targets) observeAnswer(x *target, h http.Header, sent time.Time) {
+func (t *Targets) observeResponse(x *target, h http.Header, sent time.Time) {
 	t.observeRate(x, h, sent)
 	t.observeLeaving(x, h, "answer")
 }
 
-// observeHealth applies the state that a target reports in its answer to a health check. An
-// answer without a rate does not end the rate limit: only answers to requests are known to carry
-// one.
+// observeHealth applies the state that a target reports in its response to a health check. A
+// response without a rate does not end the rate limit: only responses to requests are known to
+// carry one.
 func (t *Targets) observeHealth(x *target, h http.Header, sent time.Time) {
 	if h.Get(HeaderRate) != "" {
 		t.observeRate(x, h, sent)
@@ -74,7 +74,7 @@
 			return
 		}
 	}
-	t.setRate(x, "answer", func(n *advertisedRate) { n.updateFromAnswer(sent, time.Now(), r) })
+	t.setRate(x, "answer", func(n *advertisedRate) { n.updateFromResponse(sent, time.Now(), r) })
 }
 
 // setRate applies a change to the rate that a target advertises, and to its gate if the rate
@@ -98,8 +98,8 @@
 		event.Subject: x.addr, "service": x.service, "id": t.lastAnnouncement(x).ID,
 		"from": old.rate.String(), "rate": updated.rate.String(), "source": source,
 	}
-	if !old.answeredAt.IsZero() {
-		f["age"] = time.Since(old.answeredAt).Milliseconds()
+	if !old.updatedAt.IsZero() {
+		f["age"] = time.Since(old.updatedAt).Milliseconds()
 	}
 	t.deps.Log.Emit(event.TargetRate, f)
 }
@@ -128,7 +128,7 @@
 func (x *target) notice() (Notice, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	n := Notice{Process: x.process, Rate: x.advertised.rate, Leaving: x.leaving.Load(), At: x.advertised.answeredAt}
+	n := Notice{Process: x.process, Rate: x.advertised.rate, Leaving: x.leaving.Load(), At: x.advertised.updatedAt}
 	return n, x.advertised.known || n.Leaving
 }
 
@@ -153,7 +153,7 @@
 	}
 	now := time.Now()
 	f["rate"], f["tokens"] = x.advertised.rate.String(), strconv.FormatFloat(x.gate.pacer.tokens(now), 'f', 2, 64)
-	if !x.advertised.answeredAt.IsZero() {
-		f["rateage"] = now.Sub(x.advertised.answeredAt).Milliseconds()
+	if !x.advertised.updatedAt.IsZero() {
+		f["rateage"] = now.Sub(x.advertised.updatedAt).Milliseconds()
 	}
 }
--- a/briarrockd/target/observe_test.go
+++ b/briarrockd/target/observe_test.go
@@ -13,20 +13,20 @@
 	"briarrock.example/mesh/kind"
 )
 
-// fixedAnswer is a transport to a target whose answers all have the same status and headers.
-type fixedAnswer struct {
+// fixedResponse is a transport to a target whose responses all have the same status and headers.
+type fixedResponse struct {
 	status int
 	head   atomic.Pointer[http.Header]
 }
 
-func newFixedAnswer(status int, head http.Header) *fixedAnswer {
-	x := &fixedAnswer{status: status}
+func newFixedResponse(status int, head http.Header) *fixedResponse {
+	x := &fixedResponse{status: status}
 	x.head.Store(&head)
 	return x
 }
 
 // RoundTrip implements http.RoundTripper.
-func (x *fixedAnswer) RoundTrip(req *http.Request) (*http.Response, error) {
+func (x *fixedResponse) RoundTrip(req *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: x.status, Header: x.head.Load().Clone(), Body: http.NoBody, Request: req}, nil
 }
 
@@ -45,8 +45,8 @@
 	return kind.Kind(w.Header().Get(kind.HeaderKind))
 }
 
-// TestRateInAnyAnswer guards against a rate that is read from successful answers only: refusals
-// and failures carry it too.
+// TestRateInAnyAnswer guards against a rate that is read from successful responses only:
+// refusals and failures carry it too.
 func TestRateInAnyAnswer(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -60,7 +60,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				ts := newTargets(newFixedAnswer(x.status, x.head))
+				ts := newTargets(newFixedResponse(x.status, x.head))
 				defer ts.Close()
 				w := send(ts)
 				notices := ReadNotices(w.Header(), time.Now())
@@ -76,12 +76,12 @@
 }
 
 // TestRateInHealthCheck guards against calls above the rate that a new target has advertised in
-// a health check, before its first answer to a request; and against a health check without a
+// a health check, before its first response to a request; and against a health check without a
 // rate that ends the limit.
 func TestRateInHealthCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		tr := newFixedAnswer(http.StatusOK, http.Header{HeaderRate: {"1"}})
+		tr := newFixedResponse(http.StatusOK, http.Header{HeaderRate: {"1"}})
 		ts := newTargets(tr)
 		defer ts.Close()
 		x := ts.list()[0]
@@ -95,11 +95,11 @@
 
 // TestReportedRate guards against a node process that replaces the target's node and lets more
 // calls pass than the rate known to other nodes. It also guards against old reports that
-// override the target's own answers or apply to another process.
+// override the target's own responses or apply to another process.
 func TestReportedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		ts := newTargets(newFixedAnswer(http.StatusOK, http.Header{}))
+		ts := newTargets(newFixedResponse(http.StatusOK, http.Header{}))
 		defer ts.Close()
 		x := ts.list()[0]
 		c.Check(kindOf(send(ts, Notice{Process: "another/0", Rate: NewRate(1)})), qt.Equals, kind.None)
@@ -108,12 +108,12 @@
 		report := Notice{Process: x.process, Rate: NewRate(1), At: time.Now()}
 		c.Check(kindOf(send(ts, report)), qt.Equals, kind.Rate)
 		time.Sleep(time.Second)
-		c.Check(kindOf(send(ts, report)), qt.Equals, kind.None) // the target's own answer has no rate
+		c.Check(kindOf(send(ts, report)), qt.Equals, kind.None) // the target's own response has no rate
 		c.Check(kindOf(send(ts, report)), qt.Equals, kind.None)
 	})
 }
 
-// TestLeavingInAnswer guards against calls to a target that has reported in an answer or a
+// TestLeavingInAnswer guards against calls to a target that has reported in a response or a
 // health check that it is about to stop, against announcements that revert that, and against a
 // header value that is not a boolean.
 func TestLeavingInAnswer(t *testing.T) {
@@ -130,7 +130,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			tr := newFixedAnswer(http.StatusOK, http.Header{})
+			tr := newFixedResponse(http.StatusOK, http.Header{})
 			ts := newTargets(tr)
 			defer ts.Close()
 			ts.HandleAnnouncement(up)
@@ -158,7 +158,7 @@
 func TestRateKeptAfterForeignAnnouncement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		tr := newFixedAnswer(http.StatusOK, http.Header{HeaderRate: {"1"}})
+		tr := newFixedResponse(http.StatusOK, http.Header{HeaderRate: {"1"}})
 		ts := newTargets(tr)
 		defer ts.Close()
 		up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", StartMillis: 7, Seq: 1}
@@ -203,7 +203,7 @@
 func TestDrainingBesideAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		ts := newTargets(newFixedAnswer(http.StatusOK, http.Header{}))
+		ts := newTargets(newFixedResponse(http.StatusOK, http.Header{}))
 		defer ts.Close()
 		other := Announcement{Service: "posting", Addr: "10.0.0.7:81", Slots: 1, State: StateUp}
 		ts.HandleAnnouncement(other)
@@ -234,7 +234,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				ts := newTargets(newFixedAnswer(http.StatusServiceUnavailable, head))
+				ts := newTargets(newFixedResponse(http.StatusServiceUnavailable, head))
 				defer ts.Close()
 				first := ts.list()[0]
 				send(ts)
--- a/briarrockd/target/pacer.go
+++ b/briarrockd/target/pacer.go
@@ -9,7 +9,7 @@
 const (
 	// burstWindow is the time whose requests may be started at once after a pause.
 	burstWindow = 500 * time.Millisecond
-	// minRate and maxRate bound the enforced rate, in requests a second. Only an answer can
+	// minRate and maxRate bound the enforced rate, in requests a second. Only a response can
 	// raise or end a rate limit, so some requests have to pass at any rate.
 	minRate, maxRate = 0.5, 1e6
 	// maxRetrySpread is the longest time between the next queued call's turn and the retry of a
--- a/briarrockd/target/queue.go
+++ b/briarrockd/target/queue.go
@@ -41,8 +41,8 @@
 	case m.Aim.IsZero():
 		return !g.now.Add(wait).After(m.Deadline)
 	case !m.Aim.After(g.now):
-		// The answer can only be late, and queueing the call would make another one late too. It
-		// gets a slot only if one is free.
+		// The response can only be late, and queueing the call would make another one late too.
+		// It gets a slot only if one is free.
 		return false
 	}
 	work := g.limit.durations.ofRoute(m.Route)
--- a/briarrockd/target/rate.go
+++ b/briarrockd/target/rate.go
@@ -48,28 +48,28 @@
 
 // advertisedRate is the rate that a target advertises, as far as this node knows it.
 //
-// Answers can arrive out of order. An answer is known to be newer only if its request was sent
-// after the rate in force was received; otherwise the stricter rate holds.
+// Responses can arrive out of order. A response is known to be newer only if its request was
+// sent after the rate in force was received; otherwise the stricter rate holds.
 type advertisedRate struct {
-	rate       Rate
-	answeredAt time.Time // when the last answer was applied; zero if none was received here
-	known      bool      // whether a rate has ever been advertised
+	rate      Rate
+	updatedAt time.Time // when the last response was applied; zero if none was received here
+	known     bool      // whether a rate has ever been advertised
 }
 
-// updateFromAnswer applies the rate in an answer, or its absence. The answer's request was sent
-// at sent.
-func (n *advertisedRate) updateFromAnswer(sent, now time.Time, r Rate) {
-	if !sent.After(n.answeredAt) && n.rate.stricter(r) {
+// updateFromResponse applies the rate in a response, or its absence. The response's request was
+// sent at sent.
+func (n *advertisedRate) updateFromResponse(sent, now time.Time, r Rate) {
+	if !sent.After(n.updatedAt) && n.rate.stricter(r) {
 		return
 	}
-	n.rate, n.answeredAt = r, now
+	n.rate, n.updatedAt = r, now
 	n.known = n.known || r.bounded
 }
 
 // updateFromReport applies a rate that another node has received. It holds until the first
-// answer arrives here: this process receives all of the target's answers from then on.
+// response arrives here: this process receives all of the target's responses from then on.
 func (n *advertisedRate) updateFromReport(r Rate) {
-	if n.answeredAt.IsZero() && r.stricter(n.rate) {
+	if n.updatedAt.IsZero() && r.stricter(n.rate) {
 		n.rate, n.known = r, true
 	}
 }
--- a/briarrockd/target/rate_test.go
+++ b/briarrockd/target/rate_test.go
@@ -28,7 +28,7 @@
 	c.Check(bounded, qt.IsFalse)
 }
 
-// TestAdvertisedRateOrder guards against an answer to an older request that ends or raises a
+// TestAdvertisedRateOrder guards against a response to an older request that ends or raises a
 // rate which was received after that request was sent.
 func TestAdvertisedRateOrder(t *testing.T) {
 	c := qt.New(t)
@@ -50,7 +50,7 @@
 		{100, 150, NewRate(30), NewRate(30)}, // possibly newer than the end
 		{151, 160, Rate{}, Rate{}},
 	} {
-		n.updateFromAnswer(at(x.sent), at(x.received), x.named)
+		n.updateFromResponse(at(x.sent), at(x.received), x.named)
 		c.Check(n.rate, qt.Equals, x.want, qt.Commentf("received at %d ms", x.received))
 	}
 }
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -191,7 +191,7 @@
 }
 
 // writeLoad adds the target's load, the mean duration of its calls and the state that it has
-// reported to the headers of an answer. It returns the load.
+// reported to the headers of a response. It returns the load.
 func (x *target) writeLoad(h http.Header) string {
 	x.mu.Lock()
 	load, mean := x.gate.Load(time.Now()), x.gate.MeanDuration()
@@ -207,7 +207,7 @@
 	return text
 }
 
-// forward sends a call that the gate has started to its target, and the answer back.
+// forward sends a call that the gate has started to its target, and the response back.
 func (t *Targets) forward(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) {
 	t.started.Inc()
 	defer t.track(c.trace)()
@@ -226,7 +226,7 @@
 		Deadline: c.deadline, Streamed: relay.IsStreamed(r), Once: c.atMostOnce,
 	})
 	if res != nil {
-		t.observeAnswer(x, res.Header, sent)
+		t.observeResponse(x, res.Header, sent)
 	}
 	if res != nil && (res.ContentLength >= 0 || !relay.IsStreamed(r)) {
 		if err := relay.BufferResponse(res, relay.MaxBufferedResponse); err != nil {
@@ -245,7 +245,7 @@
 		return
 	}
 	if completed.Shed = isShed(res); completed.Shed {
-		x.step(completed) // before writeLoad, so that this answer includes the refusal
+		x.step(completed) // before writeLoad, so that this response includes the refusal
 	}
 	completed.Failed = res.StatusCode >= http.StatusInternalServerError
 	t.logCall(c, x, completed.Duration, strconv.Itoa(res.StatusCode), nil)
@@ -260,10 +260,10 @@
 	}
 }
 
-// handleNotRun handles a target's answer that it did not run a request: it has no capacity, or
+// handleNotRun handles a target's response that it did not run a request: it has no capacity, or
 // it is not the target that the request was for.
 func (t *Targets) handleNotRun(w http.ResponseWriter, x *target, c call, res *http.Response, completed *Completed) {
-	// Once the answer has been read to its end, the connection can be reused. A target that
+	// Once the response has been read to its end, the connection can be reused. A target that
 	// sheds load would otherwise cost its node a new connection for each request, which takes up
 	// the processor of a small host.
 	_, _ = io.CopyN(io.Discard, res.Body, maxRefusalBytes)
@@ -323,7 +323,7 @@
 	return n, err //nolint:wrapcheck // io.EOF must not be wrapped
 }
 
-// isShed reports whether a target's answer is a refusal because of load.
+// isShed reports whether a target's response is a refusal because of load.
 func isShed(res *http.Response) bool {
 	return res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
 }
@@ -344,8 +344,8 @@
 	return h
 }
 
-// handleFailure answers a call that the target did not answer, and checks whether the target has
-// crashed.
+// handleFailure writes the failure of a call that got no response from its target, and checks
+// whether the target has crashed.
 func (t *Targets) handleFailure(w http.ResponseWriter, x *target, c call, out relay.Outcome) {
 	t.deps.Log.Emit(event.CallFailed, event.Fields{
 		event.Subject: x.addr, "service": c.service, "kind": string(out.Kind), "sent": out.Sent,
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -86,7 +86,7 @@
 	// WrapTransport, if set, wraps the transport to targets: it translates between the headers
 	// of this package and those that the targets use.
 	WrapTransport func(http.RoundTripper) http.RoundTripper
-	// ResponseMatches, if set, reports whether an answer is the one to a request.
+	// ResponseMatches, if set, reports whether a response is the one to a request.
 	ResponseMatches func(req *http.Request, res *http.Response) bool
 	// Dial, if set, opens the connections to targets.
 	Dial relay.DialFunc
@@ -152,7 +152,7 @@
 	lastID        CallID
 	timer         *time.Timer
 	advertised    advertisedRate
-	// leaving is set once the target has reported in an answer that it is about to stop.
+	// leaving is set once the target has reported in a response that it is about to stop.
 	leaving atomic.Bool
 	mu      sync.Mutex
 }
