--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -68,12 +68,12 @@
 
 // noticeTarget is the process of a target, and the requests that reached it.
 type noticeTarget struct {
-	startedAt int64
-	rate      string
-	leaving   bool
-	running   int
-	rates     []noticeRate
-	arrivals  []noticeArrival
+	startMillis int64
+	rate        string
+	leaving     bool
+	running     int
+	rates       []noticeRate
+	arrivals    []noticeArrival
 	// leavingSeenAt and rateSeenAt are the times at which each entry node first passed on
 	// an answer that reported leaving or a rate.
 	leavingSeenAt, rateSeenAt map[int]time.Time
@@ -128,8 +128,8 @@
 	}
 }
 
-func newNoticeTarget(startedAt int64) *noticeTarget {
-	return &noticeTarget{startedAt: startedAt, leavingSeenAt: make(map[int]time.Time), rateSeenAt: make(map[int]time.Time)}
+func newNoticeTarget(startMillis int64) *noticeTarget {
+	return &noticeTarget{startMillis: startMillis, leavingSeenAt: make(map[int]time.Time), rateSeenAt: make(map[int]time.Time)}
 }
 
 // startTargets starts the node's process. It learns of its target by an announcement.
@@ -150,9 +150,9 @@
 // they leave.
 func (h *noticeHost) announce(seq int64) {
 	h.mu.Lock()
-	ts, startedAt := h.targets, h.app.startedAt
+	ts, startMillis := h.targets, h.app.startMillis
 	h.mu.Unlock()
-	ts.HandleAnnouncement(target.Announcement{ID: fmt.Sprint("i-", h.n), Service: noticeService, Addr: "127.0.0.1:1", Slots: noticeSlots, Connections: 500, State: target.StateUp, StartMillis: startedAt, Seq: seq})
+	ts.HandleAnnouncement(target.Announcement{ID: fmt.Sprint("i-", h.n), Service: noticeService, Addr: "127.0.0.1:1", Slots: noticeSlots, Connections: 500, State: target.StateUp, StartMillis: startMillis, Seq: seq})
 }
 
 // restart kills the node on a target's host and starts it again.
@@ -243,7 +243,7 @@
 		return nil, req.Context().Err()
 	}
 	res := answerOf(req, http.StatusOK, kind.RanYes)
-	text := fmt.Sprintf("%d %d %s %v", x.h.n, app.startedAt, app.rate, app.leaving)
+	text := fmt.Sprintf("%d %d %s %v", x.h.n, app.startMillis, app.rate, app.leaving)
 	res.Body, res.ContentLength = io.NopCloser(strings.NewReader(text)), int64(len(text))
 	if app.rate != "" {
 		res.Header.Set(target.HeaderRate, app.rate)
@@ -303,7 +303,7 @@
 	server := h.m.hosts[n]
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	if strconv.FormatInt(server.app.startedAt, 10) != words[1] {
+	if strconv.FormatInt(server.app.startMillis, 10) != words[1] {
 		return
 	}
 	if _, ok := server.app.rateSeenAt[h.n]; !ok && words[2] != "" {
--- a/briarrockd/caller/told_test.go
+++ b/briarrockd/caller/told_test.go
@@ -76,7 +76,7 @@
 		h.restart()
 	case "replaced":
 		h.mu.Lock()
-		h.app = newNoticeTarget(h.app.startedAt + 10000)
+		h.app = newNoticeTarget(h.app.startMillis + 10000)
 		h.mu.Unlock()
 		h.announce(1)
 	case "frozen":
