--- a/briarrockd/caller/state.go
+++ b/briarrockd/caller/state.go
@@ -23,8 +23,8 @@
 	// Load is the load that the target's node reported, 1 if all slots are in use and
 	// none waits; negative if it reported none.
 	Load float64
-	// TypicalLatency is how long the target typically works on a call, as its node
-	// reported; 0 if it reported none.
+	// TypicalLatency is the moving average of how long the target's calls take, as its
+	// node reported; 0 if it reported none.
 	TypicalLatency time.Duration
 	// Failed is set when no answer of the target arrived, whether its node did not answer
 	// or reported a failed connection or a missed deadline.
