--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -38,7 +38,7 @@
 	c.Assert(err, qt.IsNil)
 	k, err := keys.Load(keys.Files{Cert: files.Cert, Key: files.Key, CA: files.CA})
 	c.Assert(err, qt.IsNil)
-	return &http.Client{Transport: &http.Transport{TLSClientConfig: k.Client()}, Timeout: patience}, k
+	return &http.Client{Transport: &http.Transport{TLSClientConfig: k.ClientConfig()}, Timeout: patience}, k
 }
 
 // TestSecure runs a mesh with certificates and knocks at its doors without the
@@ -71,27 +71,27 @@
 	stranger, _ := clientFor(c, other, "northgate-9", keys.Node)
 
 	// A node's certificate is no operator's.
-	_, err = api.New(asNode, "https://"+node.Operator, "").Status(ctx)
+	_, err = api.New(asNode, "https://"+node.OperatorAddr, "").Status(ctx)
 	c.Check(err, qt.ErrorMatches, ".*401.*")
 	// An operator's is no node's, where calls come in.
-	r, err := asOperator.Get("https://" + node.Call + "/orders")
+	r, err := asOperator.Get("https://" + node.CallAddr + "/orders")
 	c.Assert(err, qt.IsNil)
 	_ = r.Body.Close()
 	c.Check(r.Header.Get(kind.HeaderKind), qt.Equals, string(kind.Caller))
 	// Another authority's, or none, ends in the handshake.
-	_, err = stranger.Get("https://" + node.Call + "/orders")
+	_, err = stranger.Get("https://" + node.CallAddr + "/orders")
 	c.Check(err, qt.IsNotNil)
-	plain, err := http.Get("http://" + node.Call + "/orders")
+	plain, err := http.Get("http://" + node.CallAddr + "/orders")
 	if err == nil {
 		_ = plain.Body.Close()
 		c.Check(plain.StatusCode, qt.Equals, http.StatusBadRequest)
 	}
 
 	// A peer must be what its certificate says.
-	c.Check(linkAs(c, node.Peer, operatorKeys, "eve"), qt.IsFalse)
-	c.Check(linkAs(c, node.Peer, nodeKeys, "millbank-0"), qt.IsFalse)
-	c.Check(linkAs(c, node.Peer, nodeKeys, "northgate-9"), qt.IsTrue)
-	c.Check(linkAs(c, node.Peer, nil, "northgate-9"), qt.IsFalse)
+	c.Check(linkAs(c, node.PeerAddr, operatorKeys, "eve"), qt.IsFalse)
+	c.Check(linkAs(c, node.PeerAddr, nodeKeys, "millbank-0"), qt.IsFalse)
+	c.Check(linkAs(c, node.PeerAddr, nodeKeys, "northgate-9"), qt.IsTrue)
+	c.Check(linkAs(c, node.PeerAddr, nil, "northgate-9"), qt.IsFalse)
 }
 
 // linkAs tries to open a link to a node under a name, and tells whether the
@@ -100,8 +100,8 @@
 	var p peer.Credentials
 	if k != nil {
 		p = peer.Credentials{
-			Client: k.Client, Server: k.Server,
-			VerifyPeer: func(cs tls.ConnectionState) (string, error) { return keys.Name(cs, keys.Node) },
+			Client: k.ClientConfig, Server: k.ServerConfig,
+			VerifyPeer: func(cs tls.ConnectionState) (string, error) { return keys.PeerName(cs, keys.Node) },
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -132,7 +132,7 @@
 	n := m.Nodes[0]
 	serial := func() string {
 		_, k := clientFor(c, a, "someone", keys.Node)
-		conn, err := tls.Dial("tcp", n.Cfg.Call, k.Client())
+		conn, err := tls.Dial("tcp", n.Cfg.CallAddr, k.ClientConfig())
 		c.Assert(err, qt.IsNil)
 		defer func() { _ = conn.Close() }()
 		return conn.ConnectionState().PeerCertificates[0].SerialNumber.String()
--- a/briarrockd/caller/full_test.go
+++ b/briarrockd/caller/full_test.go
@@ -26,7 +26,7 @@
 	time.Sleep(200 * time.Microsecond)
 	res := answerOf(req, http.StatusServiceUnavailable, kind.RanNo)
 	res.Header.Set(kind.HeaderKind, string(kind.Full))
-	res.Header.Set(target.HeaderUsual, "5")
+	res.Header.Set(target.HeaderMeanDuration, "5")
 	return res, nil
 }
 
@@ -36,10 +36,10 @@
 	c := qt.New(t)
 	const callers, calls = 64, 500
 	p := New(Deps{
-		Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Transport: fullTargets{}, Scheme: "http",
-		Suspicion: func(uint64) int { return 0 }, Caller: func(http.Header) (string, bool) { return "", true }, Stall: time.Minute,
+		Balancer: NewBalancer("northgate", "north-line", 1), Budget: NewBudget(), Transport: fullTargets{}, Scheme: "http",
+		CrashCount: func(uint64) int { return 0 }, Authenticate: func(http.Header) (string, bool) { return "", true }, StallTimeout: time.Minute,
 	})
-	p.Use(NewTable(1, &snapshot.Snapshot{
+	p.SetTable(NewTable(1, &snapshot.Snapshot{
 		Services: []snapshot.Service{{Name: "orderdesk", Slots: 2}},
 		Entries: []snapshot.Entry{{
 			Name: "r", Host: "desk.example", Route: snapshot.Route{Path: "/", Deadline: time.Minute, Retries: 2},
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -98,10 +98,10 @@
 	}
 	tr := &script{steps: steps}
 	p := New(Deps{
-		Chooser: NewChooser("northgate", "north-line", 1), Budget: NewBudget(), Transport: tr, Scheme: "http",
-		Suspicion: func(uint64) int { return 0 },
-		Caller:    func(http.Header) (string, bool) { return "", true },
-		Stall:     time.Minute, Hedge: true,
+		Balancer: NewBalancer("northgate", "north-line", 1), Budget: NewBudget(), Transport: tr, Scheme: "http",
+		CrashCount:   func(uint64) int { return 0 },
+		Authenticate: func(http.Header) (string, bool) { return "", true },
+		StallTimeout: time.Minute, Hedge: true,
 	})
 	for range 200 {
 		p.deps.Budget.call("orderdesk") // it has something saved up
@@ -110,7 +110,7 @@
 	for i := range ms {
 		ms[i].CallAddr = ms[i].Host + ":1"
 	}
-	p.Use(NewTable(1, s, ms))
+	p.SetTable(NewTable(1, s, ms))
 	method := http.MethodGet
 	if route.Mode == snapshot.Once {
 		method = http.MethodPost
@@ -214,7 +214,7 @@
 		StatusCode: 200, Header: make(http.Header), ContentLength: 10,
 		Body: io.NopCloser(io.MultiReader(strings.NewReader("half"), broken{})),
 	}
-	c.Check(relay.Whole(res, 1<<10), qt.ErrorMatches, "broken")
+	c.Check(relay.BufferResponse(res, 1<<10), qt.ErrorMatches, "broken")
 }
 
 type broken struct{}
--- a/briarrockd/caller/table.go
+++ b/briarrockd/caller/table.go
@@ -52,10 +52,10 @@
 	slots  int
 	// process tells the processes of the host's node apart.
 	process uint64
-	// far is set by the chooser on an upstream in another region, overloaded on one of a
+	// far is set by the Balancer on an upstream in another region, overloaded on one of a
 	// service of which some upstream had no room of late.
 	far, overloaded bool
-	// notices, also set by the chooser, are what its targets have told of themselves.
+	// notices, also set by the Balancer, are what its targets have told of themselves.
 	notices []target.Notice
 }
 
@@ -81,8 +81,8 @@
 	return newRouting(version, s).with(members)
 }
 
-// With returns a table of the same version with other members.
-func (t *Table) With(members []peer.Member) *Table { return t.with(members) }
+// WithMembers returns a table of the same version with other members.
+func (t *Table) WithMembers(members []peer.Member) *Table { return t.with(members) }
 
 func newRouting(version uint64, s *snapshot.Snapshot) *routing {
 	r := &routing{
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -106,9 +106,9 @@
 			member.Targets = []peer.Target{{Service: toldService, Slots: toldSlots}}
 		}
 		h.proxy = New(Deps{
-			Chooser: NewChooser(member.Domain, member.Region, uint64(i)), Budget: NewBudget(), Transport: toldNet{h}, Scheme: "http",
-			Suspicion: func(uint64) int { return 0 }, Caller: func(http.Header) (string, bool) { return "front", true },
-			Log: quietLog(), Stall: time.Minute, Hedge: true,
+			Balancer: NewBalancer(member.Domain, member.Region, uint64(i)), Budget: NewBudget(), Transport: toldNet{h}, Scheme: "http",
+			CrashCount: func(uint64) int { return 0 }, Authenticate: func(http.Header) (string, bool) { return "front", true },
+			Log: quietLog(), StallTimeout: time.Minute, Hedge: true,
 		})
 		m.hosts, m.members = append(m.hosts, h), append(m.members, member)
 	}
@@ -120,7 +120,7 @@
 
 func (m *toldMesh) use() {
 	for _, h := range m.hosts {
-		h.proxy.Use(NewTable(1, m.snap, m.members))
+		h.proxy.SetTable(NewTable(1, m.snap, m.members))
 	}
 }
 
@@ -133,9 +133,9 @@
 	h.mu.Lock()
 	h.down, h.kill = context.WithCancel(context.Background())
 	h.targets = target.New(target.Deps{
-		Changed: func([]peer.Target) {}, Crashed: func(peer.Crashed) {}, Suspicion: func(uint64) int { return 0 },
-		Log: quietLog(), Stall: time.Minute, Silent: time.Hour, NoTurns: true,
-		Dialect: func(http.RoundTripper) http.RoundTripper { return toldWorker{h} },
+		OnChange: func([]peer.Target) {}, OnCrash: func(peer.Crashed) {}, CrashCount: func(uint64) int { return 0 },
+		Log: quietLog(), Stall: time.Minute, AnnouncementTimeout: time.Hour, NoFairQueueing: true,
+		WrapTransport: func(http.RoundTripper) http.RoundTripper { return toldWorker{h} },
 	})
 	h.targets.Configure(h.m.snap)
 	h.mu.Unlock()
@@ -147,7 +147,7 @@
 	h.mu.Lock()
 	ts, born := h.targets, h.app.born
 	h.mu.Unlock()
-	ts.Heard(target.Announcement{ID: fmt.Sprint("i-", h.n), Service: toldService, Addr: "127.0.0.1:1", Slots: toldSlots, Connections: 500, State: target.StateUp, Born: born, Seq: seq})
+	ts.HandleAnnouncement(target.Announcement{ID: fmt.Sprint("i-", h.n), Service: toldService, Addr: "127.0.0.1:1", Slots: toldSlots, Connections: 500, State: target.StateUp, StartMillis: born, Seq: seq})
 }
 
 // restart kills the node beside a target and starts it again.
--- a/briarrockd/http1/pool.go
+++ b/briarrockd/http1/pool.go
@@ -15,19 +15,19 @@
 type PoolConfig struct {
 	// Dial opens a connection.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Idle is how long a connection is kept that no request uses, less where
+	// IdleTimeout is how long a connection is kept that no request uses, less where
 	// the other side says that it closes sooner.
-	Idle time.Duration
-	// Most bounds the connections to one address, the busy ones included; 0
+	IdleTimeout time.Duration
+	// MaxConnsPerAddr bounds the connections to one address, the busy ones included; 0
 	// for no bound. A request beyond it fails with ErrTooMany, unsent.
-	Most int
-	// Belongs, if set, tells whether an answer is the one to a request. Any
+	MaxConnsPerAddr int
+	// Matches, if set, tells whether an answer is the one to a request. Any
 	// other answer is dropped, and the next one is read.
-	Belongs func(req *http.Request, res *http.Response) bool
+	Matches func(req *http.Request, res *http.Response) bool
 }
 
-// ErrTooMany says that all connections to an address are taken.
-var ErrTooMany = errors.New("http1: too many connections")
+// ErrTooManyConns says that all connections to an address are taken.
+var ErrTooManyConns = errors.New("http1: too many connections")
 
 // Pool keeps connections to any number of addresses. It implements
 // http.RoundTripper. The zero value is not useful; NewPool makes one.
@@ -46,8 +46,8 @@
 
 // NewPool returns a pool without connections.
 func NewPool(cfg PoolConfig) *Pool {
-	if cfg.Idle == 0 {
-		cfg.Idle = idleWithin
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = idleWithin
 	}
 	return &Pool{cfg: cfg, byAddr: make(map[string]*site)}
 }
@@ -109,8 +109,8 @@
 		s.idle = s.idle[:n-1]
 		return l, nil
 	}
-	if p.cfg.Most > 0 && s.open >= p.cfg.Most {
-		return nil, ErrTooMany
+	if p.cfg.MaxConnsPerAddr > 0 && s.open >= p.cfg.MaxConnsPerAddr {
+		return nil, ErrTooManyConns
 	}
 	s.open++
 	return nil, nil
@@ -157,8 +157,8 @@
 	p.gone(l.addr)
 }
 
-// Open returns how many connections are open.
-func (p *Pool) Open() int {
+// OpenConns returns how many connections are open.
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/briarrockd/relay/fail.go
+++ b/briarrockd/relay/fail.go
@@ -17,10 +17,10 @@
 	Text  string `json:"text"`
 }
 
-// Fail answers a call with a kind. ran says whether the request ran, where
+// WriteFailure answers a call with a kind. ran says whether the request ran, where
 // this is known better than by the kind alone; after is the number of seconds
 // to wait before asking again, 0 for the kind's own.
-func Fail(w http.ResponseWriter, k kind.Kind, ran kind.Ran, after int) {
+func WriteFailure(w http.ResponseWriter, k kind.Kind, ran kind.Ran, after int) {
 	a := k.Answer()
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -41,20 +41,20 @@
 	_, _ = w.Write(body)
 }
 
-// FailAfter is Fail with the time until it is worth asking again, exact to
+// WriteFailureWithRetryAfter is Fail with the time until it is worth asking again, exact to
 // the millisecond; 0 if nobody knows it.
-func FailAfter(w http.ResponseWriter, k kind.Kind, ran kind.Ran, wait time.Duration) {
+func WriteFailureWithRetryAfter(w http.ResponseWriter, k kind.Kind, ran kind.Ran, wait time.Duration) {
 	after := 0
 	if wait > 0 {
 		w.Header().Set(kind.HeaderAfter, strconv.FormatInt(wait.Milliseconds(), 10))
 		after = int((wait + time.Second - 1) / time.Second)
 	}
-	Fail(w, k, ran, after)
+	WriteFailure(w, k, ran, after)
 }
 
-// After reads the time until it is worth asking again from an answer's head;
+// RetryAfter reads the time until it is worth asking again from an answer's head;
 // 0 if it says none.
-func After(h http.Header) time.Duration {
+func RetryAfter(h http.Header) time.Duration {
 	if ms, err := strconv.ParseInt(h.Get(kind.HeaderAfter), 10, 64); err == nil && ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -29,33 +29,33 @@
 	Region string
 
 	// Addresses to listen at; the first three are also told to others.
-	Caller   string // callers
-	Call     string // calls from peers
-	Peer     string // peers
-	Operator string // operators, metrics and health
-	Announce string // targets of this host
-	// Announced is the peer address to tell others instead of Peer, where
+	CallerAddr   string // callers
+	CallAddr     string // calls from peers
+	PeerAddr     string // peers
+	OperatorAddr string // operators, metrics and health
+	AnnounceAddr string // targets of this host
+	// AdvertisedPeerAddr is the peer address to tell others instead of Peer, where
 	// they reach it by another one.
-	Announced string
-	// AnnouncedCall is the same for Call.
-	AnnouncedCall string
+	AdvertisedPeerAddr string
+	// AdvertisedCallAddr is the same for Call.
+	AdvertisedCallAddr string
 
 	Contacts []string
-	// Hosts is about how many hosts the mesh has.
-	Hosts    int
-	Platform Platform
-	Security Security
+	// ExpectedHosts is about how many hosts the mesh has.
+	ExpectedHosts int
+	Platform      Platform
+	Security      Security
 	// Operators and Callers map the SHA-256 of a token to a name.
 	Operators Tokens
 	Callers   Tokens
 
-	// Stall bounds the time without a byte moving in a call.
-	Stall time.Duration
-	// Drain bounds the time that a stopping node waits for calls in flight.
-	Drain time.Duration
+	// StallTimeout bounds the time without a byte moving in a call.
+	StallTimeout time.Duration
+	// DrainTimeout bounds the time that a stopping node waits for calls in flight.
+	DrainTimeout time.Duration
 
-	JSON  bool
-	Level logrus.Level
+	LogJSON  bool
+	LogLevel logrus.Level
 }
 
 // Platform is where the platform's service is.
@@ -108,7 +108,7 @@
 
 // Parse reads settings from YAML. Its error is strict.Mistakes.
 func Parse(b []byte) (Settings, error) {
-	r := reader{s: Settings{Hosts: defaultHosts, Stall: defaultStall, Drain: defaultDrain, Level: logrus.InfoLevel}}
+	r := reader{s: Settings{ExpectedHosts: defaultHosts, StallTimeout: defaultStall, DrainTimeout: defaultDrain, LogLevel: logrus.InfoLevel}}
 	if len(b) > maxFile {
 		r.AddAt(0, 0, "the settings are larger than %d bytes", maxFile)
 		return r.s, r.Err()
@@ -133,24 +133,24 @@
 		"host":          {Read: func(n *yaml.Node) { s.Host = r.Name(n) }, Need: true},
 		"domain":        {Read: func(n *yaml.Node) { s.Domain = r.Name(n) }, Need: true},
 		"region":        {Read: func(n *yaml.Node) { s.Region = r.Name(n) }, Need: true},
-		"caller":        {Read: func(n *yaml.Node) { s.Caller = r.address(n) }, Need: true},
-		"call":          {Read: func(n *yaml.Node) { s.Call = r.address(n) }, Need: true},
-		"peer":          {Read: func(n *yaml.Node) { s.Peer = r.address(n) }, Need: true},
-		"announced":     {Read: func(n *yaml.Node) { s.Announced = r.address(n) }},
-		"announcedcall": {Read: func(n *yaml.Node) { s.AnnouncedCall = r.address(n) }},
-		"operator":      {Read: func(n *yaml.Node) { s.Operator = r.address(n) }, Need: true},
-		"announce":      {Read: func(n *yaml.Node) { s.Announce = r.address(n) }, Need: true},
+		"caller":        {Read: func(n *yaml.Node) { s.CallerAddr = r.address(n) }, Need: true},
+		"call":          {Read: func(n *yaml.Node) { s.CallAddr = r.address(n) }, Need: true},
+		"peer":          {Read: func(n *yaml.Node) { s.PeerAddr = r.address(n) }, Need: true},
+		"announced":     {Read: func(n *yaml.Node) { s.AdvertisedPeerAddr = r.address(n) }},
+		"announcedcall": {Read: func(n *yaml.Node) { s.AdvertisedCallAddr = r.address(n) }},
+		"operator":      {Read: func(n *yaml.Node) { s.OperatorAddr = r.address(n) }, Need: true},
+		"announce":      {Read: func(n *yaml.Node) { s.AnnounceAddr = r.address(n) }, Need: true},
 		"contacts":      {Read: func(n *yaml.Node) { s.Contacts = r.addresses(n) }},
-		"hosts":         {Read: func(n *yaml.Node) { s.Hosts = r.Number(n, 1, maxHosts) }},
+		"hosts":         {Read: func(n *yaml.Node) { s.ExpectedHosts = r.Number(n, 1, maxHosts) }},
 		"platform":      {Read: r.platform, Need: true},
 		"security":      {Read: func(n *yaml.Node) { secured = true; r.security(n) }, Need: true},
 		"operators":     {Read: func(n *yaml.Node) { s.Operators = r.tokens(n) }},
 		"callers":       {Read: func(n *yaml.Node) { s.Callers = r.tokens(n) }},
-		"stall":         {Read: func(n *yaml.Node) { s.Stall = r.Duration(n, minStall, maxStall) }},
-		"drain":         {Read: func(n *yaml.Node) { s.Drain = r.Duration(n, 0, maxDrain) }},
+		"stall":         {Read: func(n *yaml.Node) { s.StallTimeout = r.Duration(n, minStall, maxStall) }},
+		"drain":         {Read: func(n *yaml.Node) { s.DrainTimeout = r.Duration(n, 0, maxDrain) }},
 		"log":           {Read: r.log},
 	})
-	if secured && s.Security.Plain && len(s.Operators) == 0 && !loopback(s.Operator) {
+	if secured && s.Security.Plain && len(s.Operators) == 0 && !loopback(s.OperatorAddr) {
 		r.Add(root, "with \"security: plain\" the operator address must be on loopback, or operators must have tokens")
 	}
 }
@@ -241,10 +241,10 @@
 func (r *reader) log(n *yaml.Node) {
 	r.Fields(n, "log", map[string]strict.Field{
 		"format": {Read: func(n *yaml.Node) {
-			r.s.JSON = strict.Choice(&r.Reader, n, map[string]bool{"text": false, "json": true})
+			r.s.LogJSON = strict.Choice(&r.Reader, n, map[string]bool{"text": false, "json": true})
 		}},
 		"level": {Read: func(n *yaml.Node) {
-			r.s.Level = strict.Choice(&r.Reader, n, map[string]logrus.Level{
+			r.s.LogLevel = strict.Choice(&r.Reader, n, map[string]logrus.Level{
 				"debug": logrus.DebugLevel, "info": logrus.InfoLevel,
 				"warn": logrus.WarnLevel, "error": logrus.ErrorLevel,
 			})
--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -79,10 +79,10 @@
 	})})
 	go func() { _ = s.Serve(p) }()
 	h.Targets = New(Deps{
-		Changed:   func(ts []peer.Target) { h.told.Store(&ts) },
-		Crashed:   func(peer.Crashed) {},
-		Suspicion: func(uint64) int { return 0 },
-		Stall:     time.Minute, Dial: p.dial, Silent: 6 * time.Second,
+		OnChange:   func(ts []peer.Target) { h.told.Store(&ts) },
+		OnCrash:    func(peer.Crashed) {},
+		CrashCount: func(uint64) int { return 0 },
+		Stall:      time.Minute, Dial: p.dial, AnnouncementTimeout: 6 * time.Second,
 	})
 	h.stop = func() {
 		close(p.done)
@@ -107,7 +107,7 @@
 }
 
 func said(id string, born, seq int64, state string) Announcement {
-	return Announcement{ID: id, Service: "posting", Addr: address, Slots: 4, State: state, Born: born, Seq: seq}
+	return Announcement{ID: id, Service: "posting", Addr: address, Slots: 4, State: state, StartMillis: born, Seq: seq}
 }
 
 // TestAnnouncements plays announcements to a host and checks after them
@@ -157,11 +157,11 @@
 				for _, e := range x.events {
 					switch e {
 					case left:
-						h.Left("i-1")
+						h.Deregister("i-1")
 					case second:
 						time.Sleep(time.Second)
 					default:
-						c.Assert(h.Heard(said("i-1", e.born, e.seq, e.state)), qt.IsTrue)
+						c.Assert(h.HandleAnnouncement(said("i-1", e.born, e.seq, e.state)), qt.IsTrue)
 					}
 					synctest.Wait()
 				}
@@ -188,12 +188,12 @@
 		c := qt.New(t)
 		h := newHost()
 		defer h.stop()
-		h.Heard(said("i-1", 1, 1, StateUp))
+		h.HandleAnnouncement(said("i-1", 1, 1, StateUp))
 		time.Sleep(7 * time.Second)
 		synctest.Wait()
 		c.Check(*h.told.Load(), qt.HasLen, 0)
 		h.health.Store(http.StatusServiceUnavailable)
-		h.Heard(said("i-1", 1, 2, StateUp))
+		h.HandleAnnouncement(said("i-1", 1, 2, StateUp))
 		synctest.Wait()
 		ran, _ := h.call()
 		c.Check(ran, qt.IsFalse)
@@ -216,7 +216,7 @@
 		h := newBareHost()
 		defer h.stop()
 		for seq := range int64(5) {
-			h.Heard(said("i-1", 1, seq, StateUp))
+			h.HandleAnnouncement(said("i-1", 1, seq, StateUp))
 			time.Sleep(time.Second)
 		}
 		synctest.Wait()
--- a/briarrockd/target/bodies_test.go
+++ b/briarrockd/target/bodies_test.go
@@ -63,8 +63,8 @@
 func (u *uploads) arrive(id CallID, size int64, aim time.Duration) {
 	b := upload{at: u.now, left: float64(size), aim: u.now.Add(aim), size: size}
 	u.queued[id] = b
-	u.handle(u.gate.Step(u.now, Arrive{
-		ID: id, Priority: snapshot.Normal, Deadline: u.now.Add(2 * aim), Aim: b.aim, Body: size,
+	u.handle(u.gate.Step(u.now, Arrival{
+		ID: id, Priority: snapshot.Normal, Deadline: u.now.Add(2 * aim), Aim: b.aim, BodyBytes: size,
 	}))
 }
 
@@ -85,7 +85,7 @@
 		delete(u.coming, id)
 		b.ends = u.now.Add(u.work)
 		u.working[id] = b
-		u.handle(u.gate.Step(u.now, Taken{id}))
+		u.handle(u.gate.Step(u.now, BodyReceived{id}))
 	}
 	for id, b := range u.working {
 		if b.ends.After(u.now) {
@@ -99,7 +99,7 @@
 		default:
 			u.inAim++
 		}
-		u.handle(u.gate.Step(u.now, Ended{ID: id, Took: u.now.Sub(b.at)}))
+		u.handle(u.gate.Step(u.now, Completed{ID: id, Duration: u.now.Sub(b.at)}))
 	}
 	u.handle(u.gate.Step(u.now, Tick{}))
 }
@@ -127,7 +127,7 @@
 			now: time.Unix(0, 0), link: link, work: 370 * time.Millisecond,
 			queued: map[CallID]upload{}, coming: map[CallID]upload{}, working: map[CallID]upload{},
 		}
-		u.gate = NewGate(Limits{Slots: 40, Queue: 80, Link: link})
+		u.gate = NewGate(Limits{Slots: 40, Queue: 80, LinkBandwidth: link})
 		perMS := use * link / mean / 1000
 		id, sent := CallID(0), 0
 		for range seconds * 1000 {
--- a/briarrockd/target/message.go
+++ b/briarrockd/target/message.go
@@ -13,8 +13,8 @@
 // Msg is something that happened at a gate.
 type Msg interface{ msg() }
 
-// Arrive is a call that wants to be run.
-type Arrive struct {
+// Arrival is a call that wants to be run.
+type Arrival struct {
 	ID       CallID
 	Caller   string
 	Priority snapshot.Priority
@@ -24,25 +24,25 @@
 	Deadline time.Time
 	// Aim is when the answer loses most of its worth; zero if nobody says.
 	Aim time.Time
-	// Far is set for a call from another region.
-	Far bool
-	// Body is the length of the request's body in bytes, -1 if not known.
-	Body int64
+	// CrossRegion is set for a call from another region.
+	CrossRegion bool
+	// BodyBytes is the length of the request's body in bytes, -1 if not known.
+	BodyBytes int64
 }
 
-// Gone is a call whose caller went away while it was queued.
-type Gone struct{ ID CallID }
+// Canceled is a call whose caller went away while it was queued.
+type Canceled struct{ ID CallID }
 
-// Taken says that the body of a call that was started has come in.
-type Taken struct{ ID CallID }
+// BodyReceived says that the body of a call that was started has come in.
+type BodyReceived struct{ ID CallID }
 
-// Ended is a call that was started and is now at its end.
-type Ended struct {
+// Completed is a call that was started and is now at its end.
+type Completed struct {
 	ID CallID
 	// Route is that of the call.
 	Route string
-	// Took is the time that the target took.
-	Took time.Duration
+	// Duration is the time that the target took.
+	Duration time.Duration
 	// Shed is set when the target refused it for load.
 	Shed bool
 	// Failed is set when the target broke off, was late or failed: the time that
@@ -54,8 +54,8 @@
 type Limits struct {
 	Slots int
 	Queue int
-	// Link is the bandwidth of the host's link in bytes a second; 0 if not known.
-	Link float64
+	// LinkBandwidth is the bandwidth of the host's link in bytes a second; 0 if not known.
+	LinkBandwidth float64
 }
 
 // Throttle bounds the calls that start in a second to what the target takes.
@@ -67,14 +67,14 @@
 // Tick says that time has passed.
 type Tick struct{}
 
-func (Arrive) msg()   {}
-func (Gone) msg()     {}
-func (Taken) msg()    {}
-func (Ended) msg()    {}
-func (Limits) msg()   {}
-func (Throttle) msg() {}
-func (Drain) msg()    {}
-func (Tick) msg()     {}
+func (Arrival) msg()      {}
+func (Canceled) msg()     {}
+func (BodyReceived) msg() {}
+func (Completed) msg()    {}
+func (Limits) msg()       {}
+func (Throttle) msg()     {}
+func (Drain) msg()        {}
+func (Tick) msg()         {}
 
 // Cmd is what a gate decides.
 type Cmd interface{ cmd() }
@@ -85,10 +85,10 @@
 // Refuse turns a call away. After is the number of seconds until it is worth
 // asking again, and Wait the same more finely; 0 if nobody knows.
 type Refuse struct {
-	ID    CallID
-	Kind  kind.Kind
-	After int
-	Wait  time.Duration
+	ID                CallID
+	Kind              kind.Kind
+	RetryAfterSeconds int
+	RetryAfter        time.Duration
 }
 
 func (Start) cmd()  {}
--- a/briarrockd/target/nested.go
+++ b/briarrockd/target/nested.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Runs tells whether a target of this host runs a call of the given name now.
-func (t *Targets) Runs(trace string) bool {
+// IsRunning tells whether a target of this host runs a call of the given name now.
+func (t *Targets) IsRunning(trace string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.traces[trace] > 0
@@ -27,9 +27,9 @@
 // makes.
 const traceSeparator = "."
 
-// Parent returns the name of the call whose run made the one of the given name; false
+// ParentTrace returns the name of the call whose run made the one of the given name; false
 // if the name says that no run did.
-func Parent(trace string) (string, bool) {
+func ParentTrace(trace string) (string, bool) {
 	i := strings.LastIndex(trace, traceSeparator)
 	if i <= 0 {
 		return "", false
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -20,19 +20,19 @@
 
 // Headers from the node at the entry to the target's node.
 const (
-	HeaderService  = "Briarrock-Service"
-	HeaderDeadline = "Briarrock-Deadline" // milliseconds that are left
-	HeaderAim      = "Briarrock-Aim"      // milliseconds until the answer loses most of its worth
-	HeaderCaller   = "Briarrock-Caller"
-	HeaderPriority = "Briarrock-Priority"
-	HeaderPrint    = "Briarrock-Print" // fingerprint of the request
-	HeaderRoute    = "Briarrock-Route" // name of the route
-	HeaderOnce     = "Briarrock-Once"  // set if it may run only once
-	HeaderFar      = "Briarrock-Far"   // set if the call comes from another region
+	HeaderService     = "Briarrock-Service"
+	HeaderDeadline    = "Briarrock-Deadline" // milliseconds that are left
+	HeaderAim         = "Briarrock-Aim"      // milliseconds until the answer loses most of its worth
+	HeaderCaller      = "Briarrock-Caller"
+	HeaderPriority    = "Briarrock-Priority"
+	HeaderFingerprint = "Briarrock-Print" // fingerprint of the request
+	HeaderRoute       = "Briarrock-Route" // name of the route
+	HeaderAtMostOnce  = "Briarrock-Once"  // set if it may run only once
+	HeaderCrossRegion = "Briarrock-Far"   // set if the call comes from another region
 	// HeaderLoad tells the entry how taken the target is, and HeaderUsual how
 	// many milliseconds its work takes as a rule.
-	HeaderLoad  = "Briarrock-Load"
-	HeaderUsual = "Briarrock-Usual"
+	HeaderLoad         = "Briarrock-Load"
+	HeaderMeanDuration = "Briarrock-Usual"
 	// HeaderInstance tells a target whom the request is for, by its ID.
 	HeaderInstance = "Briarrock-Instance"
 	// HeaderTrace names a call through all of its way.
@@ -63,7 +63,7 @@
 	if err != nil || ms < 0 || ms > maxDeadline.Milliseconds() {
 		return call{}, false
 	}
-	mark, _ := strconv.ParseUint(r.Header.Get(HeaderPrint), 16, 64)
+	mark, _ := strconv.ParseUint(r.Header.Get(HeaderFingerprint), 16, 64)
 	priority, _ := strconv.ParseUint(r.Header.Get(HeaderPriority), 10, 8)
 	var aim time.Time
 	if ms, err := strconv.ParseInt(r.Header.Get(HeaderAim), 10, 64); err == nil && ms <= maxDeadline.Milliseconds() {
@@ -78,8 +78,8 @@
 		route:    r.Header.Get(HeaderRoute),
 		mark:     mark,
 		trace:    r.Header.Get(HeaderTrace),
-		once:     r.Header.Get(HeaderOnce) != "",
-		far:      r.Header.Get(HeaderFar) != "",
+		once:     r.Header.Get(HeaderAtMostOnce) != "",
+		far:      r.Header.Get(HeaderCrossRegion) != "",
 	}, true
 }
 
@@ -88,7 +88,7 @@
 	now := time.Now()
 	c, ok := readCall(r, now)
 	if !ok {
-		relay.Fail(w, kind.Request, kind.RanNo, 0)
+		relay.WriteFailure(w, kind.Request, kind.RanNo, 0)
 		return
 	}
 	t.learn(ReadNotices(r.Header, now))
@@ -97,13 +97,13 @@
 		t.refuse(w, c, nil, Refuse{Kind: kind.Drain})
 		return
 	}
-	if c.mark != 0 && t.deps.Suspicion(c.mark) >= peer.HoldThreshold {
+	if c.mark != 0 && t.deps.CrashCount(c.mark) >= peer.HoldThreshold {
 		t.refuse(w, c, x, Refuse{Kind: kind.Held})
 		return
 	}
-	relay.Duplex(w, r)
-	arrive := Arrive{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, Far: c.far, Body: r.ContentLength}
-	if t.deps.NoTurns {
+	relay.EnableFullDuplex(w, r)
+	arrive := Arrival{Caller: c.caller, Priority: c.priority, Route: c.route, Deadline: c.deadline, Aim: c.aim, CrossRegion: c.far, BodyBytes: r.ContentLength}
+	if t.deps.NoFairQueueing {
 		arrive.Caller = ""
 	}
 	id, refuse := x.enter(r.Context(), arrive)
@@ -132,7 +132,7 @@
 	// A caller's node that has been cut off meanwhile must not keep the slot.
 	b, err := relay.ReadBody(r, min(heldBodyWithin, time.Until(c.deadline)))
 	if err != nil {
-		x.step(Ended{ID: id, Route: c.route})
+		x.step(Completed{ID: id, Route: c.route})
 		t.refuse(w, c, x, Refuse{Kind: kind.Cancel})
 		return false
 	}
@@ -176,29 +176,29 @@
 	if r.Kind == kind.Rate {
 		t.overRate.Inc()
 	}
-	f := event.Fields{"trace": c.trace, "service": c.service, "priority": c.priority, "kind": string(r.Kind), "after": r.Wait.Milliseconds()}
+	f := event.Fields{"trace": c.trace, "service": c.service, "priority": c.priority, "kind": string(r.Kind), "after": r.RetryAfter.Milliseconds()}
 	if x != nil {
 		f["target"], f["load"] = x.addr, x.writeState(w.Header())
 		x.describeRate(f)
 	}
 	t.deps.Log.Call(event.RunRefused, f, false)
-	if r.Wait > 0 {
-		relay.FailAfter(w, r.Kind, kind.RanNo, r.Wait)
+	if r.RetryAfter > 0 {
+		relay.WriteFailureWithRetryAfter(w, r.Kind, kind.RanNo, r.RetryAfter)
 		return
 	}
-	relay.Fail(w, r.Kind, kind.RanNo, r.After)
+	relay.WriteFailure(w, r.Kind, kind.RanNo, r.RetryAfterSeconds)
 }
 
 // writeState puts into a head how taken the target is and what it has told of itself. It
 // returns the load.
 func (x *target) writeState(h http.Header) string {
 	x.mu.Lock()
-	load, usual := x.gate.Load(time.Now()), x.gate.Usual()
+	load, usual := x.gate.Load(time.Now()), x.gate.MeanDuration()
 	x.mu.Unlock()
 	text := strconv.FormatFloat(load, 'f', 2, 64)
 	h.Set(HeaderLoad, text)
 	if usual > 0 {
-		h.Set(HeaderUsual, strconv.FormatInt(usual.Milliseconds(), 10))
+		h.Set(HeaderMeanDuration, strconv.FormatInt(usual.Milliseconds(), 10))
 	}
 	if n, ok := x.notice(); ok {
 		WriteNotices(h, time.Now(), n)
@@ -210,7 +210,7 @@
 func (t *Targets) run(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) {
 	t.started.Inc()
 	defer t.track(c.trace)()
-	ended := Ended{ID: id, Route: c.route}
+	ended := Completed{ID: id, Route: c.route}
 	defer func() { x.step(ended) }()
 	began := time.Now()
 	ctx := r.Context()
@@ -220,22 +220,22 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	res, out := relay.Send(ctx, relay.Call{
-		In: r, URL: relay.Toward(x.url, r), Host: r.Host, Add: t.towardsTarget(r, x, c),
-		Body: body(r, func() { x.step(Taken{id}) }), Length: r.ContentLength, Transport: x.transport, Stall: t.deps.Stall,
+		In: r, URL: relay.RebaseURL(x.url, r), Host: r.Host, ExtraHeader: t.towardsTarget(r, x, c),
+		Body: body(r, func() { x.step(BodyReceived{id}) }), ContentLength: r.ContentLength, Transport: x.transport, StallTimeout: t.deps.Stall,
 		Deadline: c.deadline, Streamed: relay.IsStreamed(r), Once: c.once,
 	})
 	if res != nil {
 		t.observe(x, res.Header, began)
 	}
 	if res != nil && (res.ContentLength >= 0 || !relay.IsStreamed(r)) {
-		if err := relay.Whole(res, relay.KeepAnswer); err != nil {
+		if err := relay.BufferResponse(res, relay.MaxBufferedResponse); err != nil {
 			res, out = nil, relay.Outcome{Kind: kind.Broken, Sent: true, Err: err}
 		}
 	}
-	ended.Took = time.Since(began)
+	ended.Duration = time.Since(began)
 	if res == nil {
 		ended.Failed = out.Kind == kind.Broken || out.Kind == kind.Late
-		t.tell(c, x, ended.Took, string(out.Kind), out.Err)
+		t.tell(c, x, ended.Duration, string(out.Kind), out.Err)
 		t.failed(w, x, c, out)
 		return
 	}
@@ -247,21 +247,21 @@
 		x.step(ended) // counts now, so that this very answer tells of it
 	}
 	ended.Failed = res.StatusCode >= http.StatusInternalServerError
-	t.tell(c, x, ended.Took, strconv.Itoa(res.StatusCode), nil)
+	t.tell(c, x, ended.Duration, strconv.Itoa(res.StatusCode), nil)
 	_ = x.writeState(w.Header())
 	w.Header().Set(kind.HeaderRan, kind.RanYes.String())
-	out = relay.Answer(w, res, t.deps.Stall)
+	out = relay.CopyResponse(w, res, t.deps.Stall)
 	if out.Kind != kind.None {
 		panic(http.ErrAbortHandler)
 	}
-	if c.mark != 0 && t.deps.Suspicion(c.mark) > 0 {
-		t.deps.Crashed(peer.Crashed{Print: c.mark, Service: c.service, Clear: true})
+	if c.mark != 0 && t.deps.CrashCount(c.mark) > 0 {
+		t.deps.OnCrash(peer.Crashed{Print: c.mark, Service: c.service, Clear: true})
 	}
 }
 
 // unrun takes a target's answer that it did not run a request: it has no room,
 // or it is another target than the one that the request was for.
-func (t *Targets) unrun(w http.ResponseWriter, x *target, c call, res *http.Response, ended *Ended) {
+func (t *Targets) unrun(w http.ResponseWriter, x *target, c call, res *http.Response, ended *Completed) {
 	// Read to its end, the refusal leaves the connection for the next request. A
 	// target that sheds would otherwise cost its node a new one each time, and a
 	// small host's processor is then taken up by them.
@@ -274,7 +274,7 @@
 	}
 	ended.Shed = true
 	x.step(*ended)
-	t.refuse(w, c, x, Refuse{Kind: kind.Shed, Wait: shedAgain})
+	t.refuse(w, c, x, Refuse{Kind: kind.Shed, RetryAfter: shedAgain})
 }
 
 // maxRefusal bounds what is read of the body of a refusal, in bytes.
@@ -360,7 +360,7 @@
 		t.lookForCrash(x, c)
 	}
 	_ = x.writeState(w.Header())
-	relay.Fail(w, out.Kind, ran, 0)
+	relay.WriteFailure(w, out.Kind, ran, 0)
 }
 
 // lookForCrash is called for a request whose connection broke off. If the
@@ -378,5 +378,5 @@
 		return
 	}
 	t.deps.Log.Emit(event.TargetCrashed, event.Fields{event.Subject: x.addr, "service": c.service, "print": c.mark})
-	t.deps.Crashed(peer.Crashed{Print: c.mark, Service: c.service})
+	t.deps.OnCrash(peer.Crashed{Print: c.mark, Service: c.service})
 }
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -65,43 +65,43 @@
 	// ID names the target, if it has a name. Requests then say whom they are
 	// for, so that another target at the same address doesn't run them.
 	ID string `json:"id,omitempty"`
-	// Born is when the target's process started, in Unix milliseconds, and Seq
+	// StartMillis is when the target's process started, in Unix milliseconds, and Seq
 	// counts its announcements. Together they tell late ones; 0 if it doesn't
 	// say.
-	Born int64 `json:"born,omitempty"`
-	Seq  int64 `json:"seq,omitempty"`
+	StartMillis int64 `json:"born,omitempty"`
+	Seq         int64 `json:"seq,omitempty"`
 }
 
 // Deps are what Targets needs from outside.
 type Deps struct {
-	// Changed is told when the list of targets is another one.
-	Changed func([]peer.Target)
-	// Crashed is told of requests that were in flight when a target crashed,
+	// OnChange is told when the list of targets is another one.
+	OnChange func([]peer.Target)
+	// OnCrash is told of requests that were in flight when a target crashed,
 	// and of suspected ones that came to their end.
-	Crashed func(peer.Crashed)
-	// Suspicion tells how often a request has been in flight at a crash.
-	Suspicion func(mark uint64) int
-	Log       *event.Log
-	Metrics   *metrics.Set
+	OnCrash func(peer.Crashed)
+	// CrashCount tells how often a request has been in flight at a crash.
+	CrashCount func(mark uint64) int
+	Log        *event.Log
+	Metrics    *metrics.Set
 	// Stall bounds the time without a byte moving.
 	Stall time.Duration
-	// Dialect, if set, wraps the connections to targets: it translates between
+	// WrapTransport, if set, wraps the connections to targets: it translates between
 	// the headers of this package and those that the targets know.
-	Dialect func(http.RoundTripper) http.RoundTripper
-	// Belongs, if set, tells whether an answer is the one to a request.
-	Belongs func(req *http.Request, res *http.Response) bool
+	WrapTransport func(http.RoundTripper) http.RoundTripper
+	// ResponseMatches, if set, tells whether an answer is the one to a request.
+	ResponseMatches func(req *http.Request, res *http.Response) bool
 	// Dial, if set, opens the connections to targets.
 	Dial relay.DialFunc
-	// NoTurns lets calls be queued without regard to who makes them: where the
+	// NoFairQueueing lets calls be queued without regard to who makes them: where the
 	// name of a caller says only from which host a call comes, taking turns
 	// would mean nothing.
-	NoTurns bool
-	// Silent is how long a target may be silent before it is taken for gone; 0
+	NoFairQueueing bool
+	// AnnouncementTimeout is how long a target may be silent before it is taken for gone; 0
 	// for the usual time.
-	Silent time.Duration
-	// Link is the bandwidth of this host's link in bytes a second; 0 if it is
+	AnnouncementTimeout time.Duration
+	// LinkBandwidth is the bandwidth of this host's link in bytes a second; 0 if it is
 	// not known, and then nothing is bounded by it.
-	Link float64
+	LinkBandwidth float64
 }
 
 // Targets are the targets on this host. New makes one.
@@ -165,8 +165,8 @@
 	if d.Metrics == nil {
 		d.Metrics = metrics.NewSet()
 	}
-	if d.Silent == 0 {
-		d.Silent = goneAfter
+	if d.AnnouncementTimeout == 0 {
+		d.AnnouncementTimeout = goneAfter
 	}
 	if d.Dial == nil {
 		d.Dial = http1.Dialer(dialTimeout)
@@ -244,7 +244,7 @@
 
 // limits are the lesser of what the target announces and the operator allows.
 func (t *Targets) limits(a Announcement) Limits {
-	l := Limits{Slots: a.Slots, Queue: 2 * a.Slots, Link: t.deps.Link}
+	l := Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBandwidth: t.deps.LinkBandwidth}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.snap == nil {
@@ -288,7 +288,7 @@
 		http.Error(w, problem, http.StatusBadRequest)
 		return
 	}
-	if !t.Heard(a) {
+	if !t.HandleAnnouncement(a) {
 		http.Error(w, "too many targets on this host", http.StatusTooManyRequests)
 		return
 	}
@@ -338,7 +338,7 @@
 	}
 	t.mu.Unlock()
 	sort.Slice(out, func(i, j int) bool { return out[i].Service < out[j].Service })
-	t.deps.Changed(out)
+	t.deps.OnChange(out)
 }
 
 // drains tells whether the target has said that it is about to stop. The lock of Targets
@@ -358,7 +358,7 @@
 		now := time.Now()
 		for _, x := range t.list() {
 			t.mu.Lock()
-			silent := now.Sub(x.heardAt) > t.deps.Silent
+			silent := now.Sub(x.heardAt) > t.deps.AnnouncementTimeout
 			t.mu.Unlock()
 			if silent {
 				t.drop(x, "silent")
