--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -26,9 +26,9 @@
 	lastOrder int
 	store     fakeStore
 	// onStep is called with the name of each step; tests inject faults at steps.
-	onStep func(word string, f *simHost)
+	onStep func(step string, h *simHost)
 	// onWatch is called with each Core's Watch commands.
-	onWatch func(x *simHost, w Watch)
+	onWatch func(h *simHost, w Watch)
 	// violations collects descriptions of violated invariants.
 	violations []string
 	// lostVersions counts the times that a host served an older version than before
