--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -479,13 +479,13 @@
 		case platform.Try:
 			err := f.transact(x, a.Transaction)
 			then(f.storeDelay(x), func() platform.Action { return c.Tried(err) })
-		case platform.ReadWrite:
+		case platform.ReadWriteRow:
 			wait := f.storeDelay(x)
 			if a.Wait {
 				wait += 200 * time.Millisecond
 			}
 			row, err := f.get(x, platform.WriteKey(a.ID))
-			then(wait, func() platform.Action { return c.WriteRead(row, err) })
+			then(wait, func() platform.Action { return c.WriteRowRead(row, err) })
 		case platform.ReadAudit:
 			row, err := f.get(x, platform.AuditKey(a.Version))
 			then(f.storeDelay(x), func() platform.Action { return c.AuditRead(row, err) })
--- a/mesh/platform/commit.go
+++ b/mesh/platform/commit.go
@@ -118,8 +118,8 @@
 // Action is what the caller of a Commit does next.
 type Action interface{ action() }
 
-// ReadWrite asks to read the row of the edit's id and call WriteRead.
-type ReadWrite struct {
+// ReadWriteRow asks to read the row of the edit's id and call WriteRowRead.
+type ReadWriteRow struct {
 	ID string
 	// Wait is set when the last read told nothing: pause before this one.
 	Wait bool
@@ -140,14 +140,14 @@
 	Audit   Audit // the edit accepted, or the one that came first
 }
 
-func (ReadWrite) action() {}
-func (ReadHead) action()  {}
-func (Try) action()       {}
-func (ReadAudit) action() {}
-func (Finish) action()    {}
+func (ReadWriteRow) action() {}
+func (ReadHead) action()     {}
+func (Try) action()          {}
+func (ReadAudit) action()    {}
+func (Finish) action()       {}
 
 // Begin starts the commit.
-func (c *Commit) Begin() Action { return ReadWrite{ID: c.audit.Write} }
+func (c *Commit) Begin() Action { return ReadWriteRow{ID: c.audit.Write} }
 
 // written is the value of the row of an edit's id.
 type written struct {
@@ -155,9 +155,9 @@
 	Hash    string `json:"hash"`
 }
 
-// WriteRead takes the row of the edit's id. err is nil, ErrMissing, or a
+// WriteRowRead takes the row of the edit's id. err is nil, ErrMissing, or a
 // failed read.
-func (c *Commit) WriteRead(row Row, err error) Action {
+func (c *Commit) WriteRowRead(row Row, err error) Action {
 	if errors.Is(err, ErrMissing) {
 		return ReadHead{}
 	}
@@ -183,7 +183,7 @@
 	if c.tries >= maxReads {
 		return Finish{Outcome: Undecided, Audit: c.audit}
 	}
-	return ReadWrite{ID: c.audit.Write, Wait: true}
+	return ReadWriteRow{ID: c.audit.Write, Wait: true}
 }
 
 // HeadRead takes the head row. err is nil, ErrMissing, or a failed read.
@@ -241,7 +241,7 @@
 		// A condition that failed is looked up too: the request may have been
 		// delivered twice below us, and the first delivery have won.
 		c.sent = true
-		return ReadWrite{ID: c.audit.Write}
+		return ReadWriteRow{ID: c.audit.Write}
 	}
 }
 
--- a/mesh/platform/commit_test.go
+++ b/mesh/platform/commit_test.go
@@ -42,7 +42,7 @@
 	switch d.Cmd {
 	case "write-row":
 		row.Value = []byte(fmt.Sprintf(`{"version":%s,"hash":%q}`, arg(d, "version"), hash))
-		return c.WriteRead(row, err)
+		return c.WriteRowRead(row, err)
 	case "head":
 		row.Value = []byte(fmt.Sprintf(`{"version":%s,"hash":%q,"write":"theirs"}`, arg(d, "version"), hash))
 		if err != nil {
@@ -86,7 +86,7 @@
 
 func describe(a platform.Action) string {
 	switch a := a.(type) {
-	case platform.ReadWrite:
+	case platform.ReadWriteRow:
 		return strings.TrimSpace("read row of write " + a.ID + map[bool]string{true: " after a pause"}[a.Wait])
 	case platform.ReadHead:
 		return "read head"
--- a/mesh/platform/edit.go
+++ b/mesh/platform/edit.go
@@ -32,17 +32,17 @@
 	if err != nil {
 		return Finish{Outcome: Refused}
 	}
-	next := c.WriteRead(row, rowErr)
+	next := c.WriteRowRead(row, rowErr)
 	if _, first := next.(ReadHead); first && head.Tag != "" {
 		next = c.HeadRead(head, nil)
 	}
 	for {
 		switch a := next.(type) {
-		case ReadWrite:
+		case ReadWriteRow:
 			if a.Wait {
 				Pause(ctx, rereadAfter)
 			}
-			next = c.WriteRead(st.Get(ctx, WriteKey(a.ID)))
+			next = c.WriteRowRead(st.Get(ctx, WriteKey(a.ID)))
 		case ReadHead:
 			next = c.HeadRead(st.Get(ctx, HeadKey))
 		case Try:
