--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -476,9 +476,9 @@
 		case platform.ReadHead:
 			row, err := f.get(x, platform.HeadKey)
 			then(f.storeDelay(x), func() platform.Action { return c.HeadRead(row, err) })
-		case platform.Try:
+		case platform.Transact:
 			err := f.transact(x, a.Transaction)
-			then(f.storeDelay(x), func() platform.Action { return c.Tried(err) })
+			then(f.storeDelay(x), func() platform.Action { return c.Transacted(err) })
 		case platform.ReadWriteRow:
 			wait := f.storeDelay(x)
 			if a.Wait {
--- a/mesh/platform/commit.go
+++ b/mesh/platform/commit.go
@@ -128,8 +128,8 @@
 // ReadHead asks to read the head row and call HeadRead.
 type ReadHead struct{}
 
-// Try asks to run the transaction and call Tried.
-type Try struct{ Transaction Transaction }
+// Transact asks to run the transaction and call Transacted.
+type Transact struct{ Transaction Transaction }
 
 // ReadAudit asks to read a version's audit row and call AuditRead.
 type ReadAudit struct{ Version uint64 }
@@ -142,7 +142,7 @@
 
 func (ReadWriteRow) action() {}
 func (ReadHead) action()     {}
-func (Try) action()          {}
+func (Transact) action()     {}
 func (ReadAudit) action()    {}
 func (Finish) action()       {}
 
@@ -224,14 +224,14 @@
 		return Finish{Outcome: Refused}
 	}
 	audit, write := AuditKey(c.audit.Version), WriteKey(c.audit.Write)
-	return Try{Transaction{
+	return Transact{Transaction{
 		Conditions: []Condition{cond, {Key: audit}, {Key: write}},
 		Writes:     []Write{{HeadKey, head}, {audit, row}, {write, mark}},
 	}}
 }
 
-// Tried takes the outcome of the transaction.
-func (c *Commit) Tried(err error) Action {
+// Transacted takes the outcome of the transaction.
+func (c *Commit) Transacted(err error) Action {
 	switch {
 	case err == nil:
 		return Finish{Outcome: Accepted, Audit: c.audit}
--- a/mesh/platform/commit_test.go
+++ b/mesh/platform/commit_test.go
@@ -50,7 +50,7 @@
 		}
 		return c.HeadRead(row, err)
 	case "tried":
-		return c.Tried(err)
+		return c.Transacted(err)
 	case "audit":
 		row.Value, _ = json.Marshal(platform.Audit{Version: 4, Who: "theirs", Write: "theirs"})
 		return c.AuditRead(row, err)
@@ -90,7 +90,7 @@
 		return strings.TrimSpace("read row of write " + a.ID + map[bool]string{true: " after a pause"}[a.Wait])
 	case platform.ReadHead:
 		return "read head"
-	case platform.Try:
+	case platform.Transact:
 		out := "transact"
 		for _, c := range a.Transaction.Conditions {
 			out += fmt.Sprintf("\n  if %s is %q", c.Key, c.Tag)
--- a/mesh/platform/edit.go
+++ b/mesh/platform/edit.go
@@ -45,8 +45,8 @@
 			next = c.WriteRowRead(st.Get(ctx, WriteKey(a.ID)))
 		case ReadHead:
 			next = c.HeadRead(st.Get(ctx, HeadKey))
-		case Try:
-			next = c.Tried(st.Transact(ctx, a.Transaction))
+		case Transact:
+			next = c.Transacted(st.Transact(ctx, a.Transaction))
 		case ReadAudit:
 			next = c.AuditRead(st.Get(ctx, AuditKey(a.Version)))
 		case Finish:
