--- a/mesh/platform/http.go
+++ b/mesh/platform/http.go
@@ -143,12 +143,12 @@
 	}
 	res, err := h.client.Do(req)
 	if err != nil {
-		return nil, nil, Failure(err, r.writes && connected)
+		return nil, nil, RequestError(err, r.writes && connected)
 	}
 	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(res.Body, r.limit+1))
 	if err != nil {
-		return nil, nil, Failure(err, r.writes)
+		return nil, nil, RequestError(err, r.writes)
 	}
 	if int64(len(body)) > r.limit {
 		return nil, nil, errors.Errorf("platform: answer to %s %s is too large", r.method, r.path)
@@ -156,10 +156,10 @@
 	return res, body, nil
 }
 
-// Failure is the error of a question that got no answer: it tells a write that
+// RequestError is the error of a question that got no answer: it tells a write that
 // may have taken effect from one that can't have:
 // before a connection was had, no byte of it was sent.
-func Failure(err error, maybeDone bool) error {
+func RequestError(err error, maybeDone bool) error {
 	if maybeDone {
 		return errors.Wrap(ErrUnknown, err.Error())
 	}
