--- a/briarrockd/relay/fail.go
+++ b/briarrockd/relay/fail.go
@@ -33,12 +33,12 @@
 	h.Set(kind.HeaderKind, string(k))
 	h.Set(kind.HeaderRan, ran.String())
 	if retryAfter == 0 {
-		retryAfter = a.After
+		retryAfter = a.RetryAfter
 	}
 	if retryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(retryAfter))
 	}
-	body, err := json.Marshal(Failure{string(k), ran.String(), a.Again && ran == kind.RanNo, a.Text})
+	body, err := json.Marshal(Failure{string(k), ran.String(), a.Retryable && ran == kind.RanNo, a.Text})
 	if err != nil {
 		body = nil // cannot happen: all fields are strings and bools
 	}
--- a/mesh/kind/kind.go
+++ b/mesh/kind/kind.go
@@ -3,7 +3,7 @@
 //
 // Every failure that leaves a process carries exactly one Kind. The Kind
 // decides three things that a caller acts on: the HTTP status, whether the
-// request ran at a target (Ran), and whether it is safe to send again (Again).
+// request ran at a target (Ran), and whether it is safe to send again (Retryable).
 // No other code decides them, so that two parts of the system can never give
 // two answers to the same failure.
 //
@@ -105,11 +105,11 @@
 	Status int
 	// Ran tells whether the request was run.
 	Ran Ran
-	// Again tells whether the very same request may be sent again without
+	// Retryable tells whether the very same request may be sent again without
 	// the risk of running twice.
-	Again bool
-	// After is the number of seconds to wait before asking again; 0 for none.
-	After int
+	Retryable bool
+	// RetryAfter is the number of seconds to wait before asking again; 0 for none.
+	RetryAfter int
 	// Text is one line for people.
 	Text string
 }
--- a/mesh/kind/kind_test.go
+++ b/mesh/kind/kind_test.go
@@ -24,7 +24,7 @@
 	var want []string
 	for _, k := range kind.All() {
 		a := k.Answer()
-		again := map[bool]string{true: "yes", false: "no"}[a.Again]
+		again := map[bool]string{true: "yes", false: "no"}[a.Retryable]
 		want = append(want, fmt.Sprintf("| `%s` | %d | %s | %s |", string(k), a.Status, a.Ran, again))
 	}
 	sort.Strings(rows)
@@ -38,7 +38,7 @@
 	c := qt.New(t)
 	for _, k := range kind.All() {
 		a := k.Answer()
-		c.Check(a.Again && a.Ran != kind.RanNo, qt.IsFalse, qt.Commentf("%s", k))
+		c.Check(a.Retryable && a.Ran != kind.RanNo, qt.IsFalse, qt.Commentf("%s", k))
 		c.Check(a.Status >= 400, qt.IsTrue, qt.Commentf("%s", k))
 	}
 	c.Check(kind.Kind("unheard-of").Answer(), qt.Equals, kind.Internal.Answer())
