--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -262,7 +262,7 @@
 		return
 	}
 	c.nested = true
-	c.route.Priority = snapshot.MostUrgent
+	c.route.Priority = snapshot.MaxPriority
 }
 
 // setAim sets the call's aim, and whether the caller appears to retry after a refusal.
--- a/briarrockd/caller/nested_test.go
+++ b/briarrockd/caller/nested_test.go
@@ -19,7 +19,7 @@
 		p.promoteNested(x)
 		return x.route.Priority
 	}
-	c.Check(priority("running.1"), qt.Equals, snapshot.MostUrgent)
+	c.Check(priority("running.1"), qt.Equals, snapshot.MaxPriority)
 	c.Check(priority("ended.1"), qt.Equals, snapshot.Normal)
 	c.Check(priority("running"), qt.Equals, snapshot.Normal)
 }
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -148,7 +148,7 @@
 // grows with the share of refused calls, up to all of the call's slack: callers that retry at
 // once meet the same overload.
 func (g *Gate) retryAfter(a *Arrival) time.Duration {
-	wait := max(g.slotWait(0, snapshot.MostUrgent), minRetryAfter, g.pacer.retryAfter(g.now, len(g.queue)))
+	wait := max(g.slotWait(0, snapshot.MaxPriority), minRetryAfter, g.pacer.retryAfter(g.now, len(g.queue)))
 	if a.Aim.IsZero() {
 		return wait
 	}
@@ -168,7 +168,7 @@
 }
 
 func (g *Gate) handleArrival(m Arrival) {
-	m.Priority = min(m.Priority, snapshot.MostUrgent)
+	m.Priority = min(m.Priority, snapshot.MaxPriority)
 	if !m.Aim.IsZero() {
 		g.reserve.recordArrival(m.Priority, slack(m.Aim.Sub(g.now), g.limit.durations.ofRoute(m.Route)))
 	}
--- a/briarrockd/target/overload.go
+++ b/briarrockd/target/overload.go
@@ -24,23 +24,23 @@
 // overload records how overloaded a gate is for calls of each priority.
 type overload struct {
 	// refusedAt is when a call of the host's own region was last refused.
-	refusedAt [snapshot.MostUrgent + 1]time.Time
+	refusedAt [snapshot.MaxPriority + 1]time.Time
 	// refusedShare is the moving share of calls that were refused on arrival for lack of
 	// capacity.
-	refusedShare [snapshot.MostUrgent + 1]movingShare
+	refusedShare [snapshot.MaxPriority + 1]movingShare
 	// startedAt is when a call was last started.
-	startedAt [snapshot.MostUrgent + 1]time.Time
+	startedAt [snapshot.MaxPriority + 1]time.Time
 }
 
 // recordRefused records the refusal of a call of the host's own region.
 func (p *overload) recordRefused(now time.Time, priority snapshot.Priority) {
-	p.refusedAt[min(priority, snapshot.MostUrgent)] = now
+	p.refusedAt[min(priority, snapshot.MaxPriority)] = now
 }
 
 // isOverloaded reports whether a call of at least this priority was refused within
 // overloadWindow.
 func (p *overload) isOverloaded(now time.Time, priority snapshot.Priority) bool {
-	for _, at := range p.refusedAt[min(priority, snapshot.MostUrgent):] {
+	for _, at := range p.refusedAt[min(priority, snapshot.MaxPriority):] {
 		if !at.IsZero() && now.Sub(at) < overloadWindow {
 			return true
 		}
@@ -50,12 +50,12 @@
 
 // recordDecision records whether a call was refused or admitted on arrival.
 func (p *overload) recordDecision(priority snapshot.Priority, refused bool) {
-	p.refusedShare[min(priority, snapshot.MostUrgent)].observe(refused, refusedWeight)
+	p.refusedShare[min(priority, snapshot.MaxPriority)].observe(refused, refusedWeight)
 }
 
 // recordStarted records the start of a call.
 func (p *overload) recordStarted(now time.Time, priority snapshot.Priority) {
-	p.startedAt[min(priority, snapshot.MostUrgent)] = now
+	p.startedAt[min(priority, snapshot.MaxPriority)] = now
 }
 
 // maxWaitShare returns the share of its slack that a call may spend in the queue, from 0 to 1.
@@ -65,13 +65,13 @@
 // the same without a queue. So the larger the share of refused calls, the shorter a call may
 // wait; the others are refused at once.
 func (p *overload) maxWaitShare(priority snapshot.Priority) float64 {
-	return max(0, 1-float64(p.refusedShare[min(priority, snapshot.MostUrgent)])/maxRefusedShare)
+	return max(0, 1-float64(p.refusedShare[min(priority, snapshot.MaxPriority)])/maxRefusedShare)
 }
 
 // lowerPriorityStarted reports whether lower-priority calls are still being started. The
 // overload is then not caused by calls of this priority, and they get the next slots.
 func (p *overload) lowerPriorityStarted(now time.Time, priority snapshot.Priority) bool {
-	for _, at := range p.startedAt[:min(priority, snapshot.MostUrgent)] {
+	for _, at := range p.startedAt[:min(priority, snapshot.MaxPriority)] {
 		if !at.IsZero() && now.Sub(at) < lowerPriorityWindow {
 			return true
 		}
--- a/briarrockd/target/reserve.go
+++ b/briarrockd/target/reserve.go
@@ -12,7 +12,7 @@
 	runningWeight = 0.02
 	// slackWeight is the weight of the newest call in the mean slack of a priority.
 	slackWeight = 0.1
-	priorities  = int(snapshot.MostUrgent) + 1
+	priorities  = int(snapshot.MaxPriority) + 1
 )
 
 // reserve keeps slots free for urgent calls that can't wait until a long call ends.
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -73,7 +73,7 @@
 		aim:         aim,
 		service:     r.Header.Get(HeaderService),
 		caller:      r.Header.Get(HeaderCaller),
-		priority:    min(snapshot.Priority(priority), snapshot.MostUrgent),
+		priority:    min(snapshot.Priority(priority), snapshot.MaxPriority),
 		deadline:    now.Add(time.Duration(ms) * time.Millisecond),
 		route:       r.Header.Get(HeaderRoute),
 		fingerprint: fingerprint,
--- a/mesh/snapshot/snapshot.go
+++ b/mesh/snapshot/snapshot.go
@@ -70,8 +70,8 @@
 	Bulk Priority = iota
 	Normal
 	Urgent
-	// MostUrgent is the highest priority that there is.
-	MostUrgent Priority = 9
+	// MaxPriority is the highest priority that there is.
+	MaxPriority Priority = 9
 )
 
 // String returns the priority's word in the operator's text.
