--- a/briarrockd/settings/settings.go
+++ b/briarrockd/settings/settings.go
@@ -135,20 +135,20 @@
 	s := &r.s
 	hasSecurity := false
 	r.Fields(root, "the settings", map[string]strict.Field{
-		"host":          {Read: func(n *yaml.Node) { s.Host = r.Name(n) }, Need: true},
-		"domain":        {Read: func(n *yaml.Node) { s.Domain = r.Name(n) }, Need: true},
-		"region":        {Read: func(n *yaml.Node) { s.Region = r.Name(n) }, Need: true},
-		"caller":        {Read: func(n *yaml.Node) { s.CallerAddr = r.address(n) }, Need: true},
-		"call":          {Read: func(n *yaml.Node) { s.CallAddr = r.address(n) }, Need: true},
-		"peer":          {Read: func(n *yaml.Node) { s.PeerAddr = r.address(n) }, Need: true},
+		"host":          {Read: func(n *yaml.Node) { s.Host = r.Name(n) }, Required: true},
+		"domain":        {Read: func(n *yaml.Node) { s.Domain = r.Name(n) }, Required: true},
+		"region":        {Read: func(n *yaml.Node) { s.Region = r.Name(n) }, Required: true},
+		"caller":        {Read: func(n *yaml.Node) { s.CallerAddr = r.address(n) }, Required: true},
+		"call":          {Read: func(n *yaml.Node) { s.CallAddr = r.address(n) }, Required: true},
+		"peer":          {Read: func(n *yaml.Node) { s.PeerAddr = r.address(n) }, Required: true},
 		"announced":     {Read: func(n *yaml.Node) { s.AdvertisedPeerAddr = r.address(n) }},
 		"announcedcall": {Read: func(n *yaml.Node) { s.AdvertisedCallAddr = r.address(n) }},
-		"operator":      {Read: func(n *yaml.Node) { s.OperatorAddr = r.address(n) }, Need: true},
-		"announce":      {Read: func(n *yaml.Node) { s.AnnounceAddr = r.address(n) }, Need: true},
+		"operator":      {Read: func(n *yaml.Node) { s.OperatorAddr = r.address(n) }, Required: true},
+		"announce":      {Read: func(n *yaml.Node) { s.AnnounceAddr = r.address(n) }, Required: true},
 		"contacts":      {Read: func(n *yaml.Node) { s.Contacts = r.addresses(n) }},
 		"hosts":         {Read: func(n *yaml.Node) { s.ExpectedHosts = r.Number(n, 1, maxHosts) }},
-		"platform":      {Read: r.platform, Need: true},
-		"security":      {Read: func(n *yaml.Node) { hasSecurity = true; r.security(n) }, Need: true},
+		"platform":      {Read: r.platform, Required: true},
+		"security":      {Read: func(n *yaml.Node) { hasSecurity = true; r.security(n) }, Required: true},
 		"operators":     {Read: func(n *yaml.Node) { s.Operators = r.tokens(n) }},
 		"callers":       {Read: func(n *yaml.Node) { s.Callers = r.tokens(n) }},
 		"stall":         {Read: func(n *yaml.Node) { s.StallTimeout = r.Duration(n, minStall, maxStall) }},
@@ -187,7 +187,7 @@
 func (r *reader) platform(n *yaml.Node) {
 	p := &r.s.Platform
 	r.Fields(n, "platform", map[string]strict.Field{
-		"url":    {Read: func(n *yaml.Node) { p.URL = r.url(n) }, Need: true},
+		"url":    {Read: func(n *yaml.Node) { p.URL = r.url(n) }, Required: true},
 		"token":  {Read: func(n *yaml.Node) { p.Token = r.Scalar(n) }},
 		"region": {Read: func(n *yaml.Node) { p.Region = r.Name(n) }},
 	})
@@ -212,9 +212,9 @@
 		return
 	}
 	r.Fields(n, "security", map[string]strict.Field{
-		"cert": {Read: func(n *yaml.Node) { s.Cert = r.Scalar(n) }, Need: true},
-		"key":  {Read: func(n *yaml.Node) { s.Key = r.Scalar(n) }, Need: true},
-		"ca":   {Read: func(n *yaml.Node) { s.CA = r.Scalar(n) }, Need: true},
+		"cert": {Read: func(n *yaml.Node) { s.Cert = r.Scalar(n) }, Required: true},
+		"key":  {Read: func(n *yaml.Node) { s.Key = r.Scalar(n) }, Required: true},
+		"ca":   {Read: func(n *yaml.Node) { s.CA = r.Scalar(n) }, Required: true},
 	})
 }
 
@@ -223,8 +223,8 @@
 	for _, x := range r.List(n) {
 		name, sum := "", ""
 		r.Fields(x, "a token", map[string]strict.Field{
-			"name":   {Read: func(n *yaml.Node) { name = r.Name(n) }, Need: true},
-			"sha256": {Read: func(n *yaml.Node) { sum = r.tokenSum(n) }, Need: true},
+			"name":   {Read: func(n *yaml.Node) { name = r.Name(n) }, Required: true},
+			"sha256": {Read: func(n *yaml.Node) { sum = r.tokenSum(n) }, Required: true},
 		})
 		if _, ok := out[sum]; ok {
 			r.Add(x, "the token of %q is listed twice", name)
--- a/mesh/strict/node.go
+++ b/mesh/strict/node.go
@@ -12,8 +12,8 @@
 
 // Field is how one key of a mapping is read, and whether it must be there.
 type Field struct {
-	Read func(n *yaml.Node)
-	Need bool
+	Read     func(n *yaml.Node)
+	Required bool
 }
 
 // Fields reads a mapping by its table of keys and reports what is unknown,
@@ -39,7 +39,7 @@
 		f.Read(value)
 	}
 	for _, key := range strings.Split(keys(known), ", ") {
-		if known[key].Need && !seen[key] {
+		if known[key].Required && !seen[key] {
 			c.Add(n, "%s needs the field %q", what, key)
 		}
 	}
--- a/mesh/text/route.go
+++ b/mesh/text/route.go
@@ -88,9 +88,9 @@
 	r := snapshot.Route{Deadline: defaultDeadline, Retries: -1, Priority: snapshot.Normal}
 	var retries *yaml.Node
 	c.Fields(n, "a route", map[string]strict.Field{
-		"path":     {Read: func(n *yaml.Node) { r.Path = c.path(n) }, Need: true},
+		"path":     {Read: func(n *yaml.Node) { r.Path = c.path(n) }, Required: true},
 		"methods":  {Read: func(n *yaml.Node) { r.Methods = c.methods(n) }},
-		"mode":     {Read: func(n *yaml.Node) { r.Mode = strict.Choice(&c.Reader, n, modes) }, Need: true},
+		"mode":     {Read: func(n *yaml.Node) { r.Mode = strict.Choice(&c.Reader, n, modes) }, Required: true},
 		"deadline": {Read: func(n *yaml.Node) { r.Deadline = c.Duration(n, minDeadline, maxDeadline) }},
 		"retries":  {Read: func(n *yaml.Node) { retries = n; r.Retries = c.Number(n, 0, maxRetries) }},
 		"callers":  {Read: func(n *yaml.Node) { r.Callers = c.Names(n); sort.Strings(r.Callers) }},
--- a/mesh/text/text.go
+++ b/mesh/text/text.go
@@ -74,8 +74,8 @@
 	s := new(snapshot.Snapshot)
 	var services *yaml.Node
 	c.Fields(root, "the text", map[string]strict.Field{
-		"mesh":     {Read: func(n *yaml.Node) { s.Mesh = c.Name(n) }, Need: true},
-		"services": {Read: func(n *yaml.Node) { services = n }, Need: true},
+		"mesh":     {Read: func(n *yaml.Node) { s.Mesh = c.Name(n) }, Required: true},
+		"services": {Read: func(n *yaml.Node) { services = n }, Required: true},
 	})
 	if services == nil {
 		return s
@@ -132,10 +132,10 @@
 	cyclic := false
 	var depends *yaml.Node
 	c.Fields(n, "a service", map[string]strict.Field{
-		"name":        {Read: func(n *yaml.Node) { svc.Name = c.Name(n) }, Need: true},
+		"name":        {Read: func(n *yaml.Node) { svc.Name = c.Name(n) }, Required: true},
 		"depends":     {Read: func(n *yaml.Node) { depends = n }},
 		"cyclic":      {Read: func(n *yaml.Node) { cyclic = c.Boolean(n) }},
-		"upstreams":   {Read: func(n *yaml.Node) { svc.Upstreams = c.Number(n, 1, maxUpstreams) }, Need: true},
+		"upstreams":   {Read: func(n *yaml.Node) { svc.Upstreams = c.Number(n, 1, maxUpstreams) }, Required: true},
 		"slots":       {Read: func(n *yaml.Node) { svc.Slots = c.Number(n, 1, maxSlots) }},
 		"connections": {Read: func(n *yaml.Node) { svc.Conns = c.Number(n, 1, maxConns) }},
 		"queue":       {Read: func(n *yaml.Node) { svc.Queue = c.Number(n, 0, maxQueue) }},
