--- a/mesh/strict/strict.go
+++ b/mesh/strict/strict.go
@@ -6,7 +6,7 @@
 //	var r strict.Reader
 //	root, ok := r.Parse(src)
 //	r.Fields(root, "the settings", map[string]strict.Field{
-//		"host": {Read: func(n *yaml.Node) { s.Host = r.Name(n) }, Need: true},
+//		"host": {Read: func(n *yaml.Node) { s.Host = r.Name(n) }, Required: true},
 //	})
 //	return s, r.Err()
 package strict
