--- a/briarrock/command/show.go
+++ b/briarrock/command/show.go
@@ -98,16 +98,16 @@
 		e.showDomain(d)
 	}
 	for _, h := range s.Held {
-		e.say("held back: request %s to %s, which crashed %d targets", h.Print, h.Service, h.Crashes)
+		e.say("held back: request %s to %s, which crashed %d targets", h.Fingerprint, h.Service, h.Crashes)
 	}
-	if !s.Whole {
+	if !s.Complete {
 		e.say("this node can't reach the first node of its domain: what it shows is only what it knows itself")
 	}
 	switch {
-	case s.Store < 0:
+	case s.StoreAge < 0:
 		e.say("store: no node has been able to read it yet")
-	case s.Store > storeLate.Milliseconds():
-		e.say("store: not read for %v; edits are refused while it is down", time.Duration(s.Store)*time.Millisecond)
+	case s.StoreAge > storeLate.Milliseconds():
+		e.say("store: not read for %v; edits are refused while it is down", time.Duration(s.StoreAge)*time.Millisecond)
 	}
 }
 
@@ -125,8 +125,8 @@
 	if len(d.Laggards) > 0 {
 		line += "; behind: " + strings.Join(d.Laggards, ", ")
 	}
-	if d.Silent > 0 {
-		line += fmt.Sprintf("; not heard of for %v", (time.Duration(d.Silent) * time.Millisecond).Round(time.Second))
+	if d.SilentFor > 0 {
+		line += fmt.Sprintf("; not heard of for %v", (time.Duration(d.SilentFor) * time.Millisecond).Round(time.Second))
 	}
 	e.say("%s", line)
 }
--- a/briarrock/process/process_test.go
+++ b/briarrock/process/process_test.go
@@ -217,7 +217,7 @@
 	err := local.Until(patience, func() bool {
 		for _, h := range f.hosts {
 			s, err := f.status(h)
-			if err != nil || !s.Whole || members(s) != len(f.hosts) {
+			if err != nil || !s.Complete || members(s) != len(f.hosts) {
 				last = fmt.Sprintf("%s: %v %+v\n%s", h.name, err, s, h.log)
 				return false
 			}
--- a/briarrockd/operator/operator.go
+++ b/briarrockd/operator/operator.go
@@ -141,11 +141,11 @@
 
 func (o *API) currentStatus(ctx context.Context) api.Status {
 	s := o.deps.Peers.Status(ctx)
-	out := api.Status{Host: o.deps.Host, Version: s.Version, Hash: s.Hash, Whole: s.Whole, Store: s.Store}
+	out := api.Status{Host: o.deps.Host, Version: s.Version, Hash: s.Hash, Complete: s.Whole, StoreAge: s.Store}
 	for _, d := range s.Domains {
 		status := api.Domain{
 			Domain: d.Domain, Region: d.Region, Members: d.Members,
-			Laggards: d.Laggard, Silent: d.Silent,
+			Laggards: d.Laggard, SilentFor: d.Silent,
 		}
 		for _, c := range d.Counts {
 			status.Counts = append(status.Counts, api.Count{Version: c.Version, Nodes: c.Nodes})
@@ -154,7 +154,7 @@
 	}
 	for _, h := range s.Held {
 		out.Held = append(out.Held, api.Held{
-			Print: strconv.FormatUint(h.Print, 16), Service: h.Service, Crashes: h.Crashes,
+			Fingerprint: strconv.FormatUint(h.Print, 16), Service: h.Service, Crashes: h.Crashes,
 		})
 	}
 	return out
--- a/mesh/operator/operator.go
+++ b/mesh/operator/operator.go
@@ -126,16 +126,16 @@
 	Counts  []Count `json:"counts"`
 	// Laggards are some of the hosts that use an older version.
 	Laggards []string `json:"laggards,omitempty"`
-	// Silent is for how many milliseconds nothing was heard of the domain; 0
+	// SilentFor is for how many milliseconds nothing was heard of the domain; 0
 	// while it is heard of as usual.
-	Silent int64 `json:"silent,omitempty"`
+	SilentFor int64 `json:"silent,omitempty"`
 }
 
 // Held is a request that is held back since it crashes targets.
 type Held struct {
-	Print   string `json:"print"`
-	Service string `json:"service"`
-	Crashes int    `json:"crashes"`
+	Fingerprint string `json:"print"`
+	Service     string `json:"service"`
+	Crashes     int    `json:"crashes"`
 }
 
 // Status is what the mesh serves.
@@ -144,12 +144,12 @@
 	Version uint64   `json:"version"`
 	Hash    string   `json:"hash"`
 	Domains []Domain `json:"domains"`
-	// Whole is unset when the node could not reach the one that knows all.
-	Whole bool `json:"whole"`
-	// Store is for how many milliseconds nobody has read the head; -1 for
+	// Complete is unset when the node could not reach the one that knows all.
+	Complete bool `json:"whole"`
+	// StoreAge is for how many milliseconds nobody has read the head; -1 for
 	// never.
-	Store int64  `json:"store"`
-	Held  []Held `json:"held,omitempty"`
+	StoreAge int64  `json:"store"`
+	Held     []Held `json:"held,omitempty"`
 }
 
 // InForce tells whether every node that is heard of uses at least version,
@@ -163,11 +163,11 @@
 				done += c.Nodes
 			}
 		}
-		if d.Silent > 0 {
+		if d.SilentFor > 0 {
 			return false, done, all
 		}
 	}
-	return s.Whole && all > 0 && done >= all, done, all
+	return s.Complete && all > 0 && done >= all, done, all
 }
 
 // Upstream is one target in the set of a service.
