--- a/briarrockd/caller/chain_test.go
+++ b/briarrockd/caller/chain_test.go
@@ -162,7 +162,7 @@
 	for _, r := range chainRoutes {
 		retries := 2
 		s.Entries = append(s.Entries, snapshot.Entry{
-			Name: r.name, Host: "chain.example", Parts: []snapshot.Part{{Service: r.service, Weight: 1}},
+			Name: r.name, Host: "chain.example", Destinations: []snapshot.Destination{{Service: r.service, Weight: 1}},
 			Route: snapshot.Route{Path: "/" + r.name + "/", Mode: r.mode, Deadline: r.deadline, Aim: r.aim, Priority: r.priority, Retries: retries, Again: true},
 		})
 	}
--- a/briarrockd/caller/full_test.go
+++ b/briarrockd/caller/full_test.go
@@ -45,7 +45,7 @@
 		Services: []snapshot.Service{{Name: "orderdesk", Slots: 2}},
 		Entries: []snapshot.Entry{{
 			Name: "r", Host: "desk.example", Route: snapshot.Route{Path: "/", Deadline: time.Minute, Retries: 2},
-			Parts: []snapshot.Part{{Service: "orderdesk", Weight: 1}},
+			Destinations: []snapshot.Destination{{Service: "orderdesk", Weight: 1}},
 		}},
 	}, members()))
 	var mu sync.Mutex
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -93,7 +93,7 @@
 	s := &snapshot.Snapshot{
 		Services: []snapshot.Service{{Name: "orderdesk", Slots: 6}},
 		Entries: []snapshot.Entry{{
-			Name: "r", Host: "desk.example", Route: route, Parts: []snapshot.Part{{Service: "orderdesk", Weight: 1}},
+			Name: "r", Host: "desk.example", Route: route, Destinations: []snapshot.Destination{{Service: "orderdesk", Weight: 1}},
 		}},
 	}
 	tr := &scriptedTransport{results: results}
@@ -230,7 +230,7 @@
 	c := qt.New(t)
 	s := &snapshot.Snapshot{
 		Services: []snapshot.Service{{Name: "new"}, {Name: "old"}},
-		Entries: []snapshot.Entry{{Host: "h", Route: snapshot.Route{Path: "/a/"}, Parts: []snapshot.Part{
+		Entries: []snapshot.Entry{{Host: "h", Route: snapshot.Route{Path: "/a/"}, Destinations: []snapshot.Destination{
 			{Service: "old", Weight: 90}, {Service: "new", Weight: 10},
 		}}},
 	}
--- a/briarrockd/caller/table.go
+++ b/briarrockd/caller/table.go
@@ -105,8 +105,8 @@
 }
 
 func (r *routing) addEntry(e *snapshot.Entry) {
-	x := &entry{Entry: e, services: make([]*service, 0, len(e.Parts))}
-	for _, p := range e.Parts {
+	x := &entry{Entry: e, services: make([]*service, 0, len(e.Destinations))}
+	for _, p := range e.Destinations {
 		x.services = append(x.services, r.services[p.Service])
 		x.totalWeight += p.Weight
 	}
@@ -184,7 +184,7 @@
 func (x *entry) pick() *service {
 	hash := x.sequence.Add(1) * goldenRatio64
 	position := int(hash >> 32 * uint64(x.totalWeight) >> 32)
-	for i, p := range x.Parts {
+	for i, p := range x.Destinations {
 		if position < p.Weight {
 			return x.services[i]
 		}
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -97,7 +97,7 @@
 	m.snap = &snapshot.Snapshot{
 		Services: []snapshot.Service{{Name: noticeService, Slots: noticeSlots, Conns: 500, Queue: snapshot.QueueBySlots}},
 		Entries: []snapshot.Entry{{
-			Name: "view", Host: "told.example", Parts: []snapshot.Part{{Service: noticeService, Weight: 1}},
+			Name: "view", Host: "told.example", Destinations: []snapshot.Destination{{Service: noticeService, Weight: 1}},
 			Route: snapshot.Route{Path: "/", Deadline: noticeDeadline, Aim: noticeAim, Priority: 7, Retries: 2, Again: true},
 		}},
 	}
--- a/mesh/snapshot/entry.go
+++ b/mesh/snapshot/entry.go
@@ -18,12 +18,12 @@
 	Name string `cbor:"1,keyasint"`
 	Host string `cbor:"2,keyasint"`
 	// Route is the policy; its Path is the prefix that the entry covers.
-	Route Route  `cbor:"3,keyasint"`
-	Parts []Part `cbor:"4,keyasint"`
+	Route        Route         `cbor:"3,keyasint"`
+	Destinations []Destination `cbor:"4,keyasint"`
 }
 
-// Part is one service's share of an entry's requests.
-type Part struct {
+// Destination is one service's share of an entry's requests.
+type Destination struct {
 	Service string `cbor:"1,keyasint"`
 	// Weight is the share, relative to the weights of the other parts; a part
 	// of weight 0 gets no requests.
@@ -62,10 +62,10 @@
 	if e.Host == "" || !strings.HasPrefix(e.Route.Path, "/") {
 		return errors.Wrapf(ErrInventory, "entry %q has no host or path", e.Name)
 	}
-	if !slices.ContainsFunc(e.Parts, func(p Part) bool { return p.Weight > 0 }) {
+	if !slices.ContainsFunc(e.Destinations, func(p Destination) bool { return p.Weight > 0 }) {
 		return errors.Wrapf(ErrInventory, "entry %q leads nowhere", e.Name)
 	}
-	for _, p := range e.Parts {
+	for _, p := range e.Destinations {
 		if p.Weight < 0 {
 			return errors.Wrapf(ErrInventory, "entry %q has a negative weight", e.Name)
 		}
