--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -91,7 +91,7 @@
 	h.turn = w
 	close(h.changed)
 	h.changed = make(chan struct{})
-	h.log.Emit(event.WatchTurn, event.Fields{"on": w.On, "spare": w.Spare, "seen": w.Seen, "wait": w.Wait.Milliseconds()})
+	h.log.Emit(event.WatchAssigned, event.Fields{"on": w.On, "spare": w.Spare, "seen": w.Seen, "wait": w.Wait.Milliseconds()})
 }
 
 // WaitForTurn blocks until this node is to poll the platform, and returns the
--- a/mesh/event/event.go
+++ b/mesh/event/event.go
@@ -38,59 +38,59 @@
 // The list of events. 1xx process, 2xx configuration, 3xx membership and
 // links, 4xx platform, 5xx calls, 6xx operators.
 var (
-	Started         = Event{101, "started", logrus.InfoLevel}
-	Stopping        = Event{102, "stopping", logrus.InfoLevel}
-	Stopped         = Event{103, "stopped", logrus.InfoLevel}
-	KeysLoaded      = Event{104, "keysloaded", logrus.InfoLevel}
-	KeysBad         = Event{105, "keysbad", logrus.ErrorLevel}
-	Library         = Event{106, "library", logrus.WarnLevel}
-	LogDropped      = Event{107, "logdropped", logrus.WarnLevel}
-	Reloaded        = Event{108, "reloaded", logrus.InfoLevel}
-	Panicked        = Event{109, "panicked", logrus.ErrorLevel}
-	VersionInUse    = Event{201, "inuse", logrus.InfoLevel}
-	VersionRefused  = Event{202, "refused", logrus.WarnLevel}
-	VersionOld      = Event{203, "old", logrus.WarnLevel}
-	VersionNotFound = Event{204, "notfound", logrus.WarnLevel}
-	WatchTurn       = Event{205, "watch", logrus.InfoLevel}
-	LinkUp          = Event{301, "linkup", logrus.DebugLevel}
-	LinkDown        = Event{302, "linkdown", logrus.DebugLevel}
-	PeerRefused     = Event{303, "peerrefused", logrus.WarnLevel}
-	PeerGarbage     = Event{304, "garbage", logrus.WarnLevel}
-	MemberSuspect   = Event{305, "suspect", logrus.WarnLevel}
-	MemberDead      = Event{306, "dead", logrus.WarnLevel}
-	MemberLeft      = Event{307, "left", logrus.InfoLevel}
-	DomainStale     = Event{308, "stale", logrus.WarnLevel}
-	StoreDown       = Event{401, "storedown", logrus.WarnLevel}
-	StoreUp         = Event{402, "storeup", logrus.InfoLevel}
-	StoreForgot     = Event{403, "storeforgot", logrus.WarnLevel}
-	CallFailed      = Event{501, "callfailed", logrus.DebugLevel}
-	TargetUp        = Event{502, "targetup", logrus.InfoLevel}
-	TargetGone      = Event{503, "targetgone", logrus.WarnLevel}
-	TargetCrashed   = Event{504, "crashed", logrus.ErrorLevel}
-	RequestHeld     = Event{505, "held", logrus.ErrorLevel}
-	ClaimLost       = Event{506, "claimlost", logrus.WarnLevel}
-	CallAnswered    = Event{507, "answered", logrus.InfoLevel}
-	CallGivenUp     = Event{508, "givenup", logrus.WarnLevel}
-	RunRefused      = Event{509, "runrefused", logrus.InfoLevel}
-	RunEnded        = Event{510, "runended", logrus.InfoLevel}
-	TargetState     = Event{511, "targetstate", logrus.InfoLevel}
-	AnnounceBad     = Event{512, "announcebad", logrus.WarnLevel}
-	TargetRate      = Event{513, "targetrate", logrus.InfoLevel}
-	AnswerBad       = Event{514, "answerbad", logrus.WarnLevel}
-	EditAccepted    = Event{601, "accepted", logrus.InfoLevel}
-	EditConflict    = Event{602, "conflict", logrus.WarnLevel}
-	EditRefused     = Event{603, "invalid", logrus.WarnLevel}
-	EditUnknown     = Event{604, "undecided", logrus.ErrorLevel}
-	OperatorRefused = Event{605, "noauth", logrus.WarnLevel}
+	Started          = Event{101, "started", logrus.InfoLevel}
+	Stopping         = Event{102, "stopping", logrus.InfoLevel}
+	Stopped          = Event{103, "stopped", logrus.InfoLevel}
+	KeysLoaded       = Event{104, "keysloaded", logrus.InfoLevel}
+	KeysBad          = Event{105, "keysbad", logrus.ErrorLevel}
+	Library          = Event{106, "library", logrus.WarnLevel}
+	LogDropped       = Event{107, "logdropped", logrus.WarnLevel}
+	Reloaded         = Event{108, "reloaded", logrus.InfoLevel}
+	Panicked         = Event{109, "panicked", logrus.ErrorLevel}
+	VersionInUse     = Event{201, "inuse", logrus.InfoLevel}
+	VersionRefused   = Event{202, "refused", logrus.WarnLevel}
+	VersionOld       = Event{203, "old", logrus.WarnLevel}
+	VersionNotFound  = Event{204, "notfound", logrus.WarnLevel}
+	WatchAssigned    = Event{205, "watch", logrus.InfoLevel}
+	LinkUp           = Event{301, "linkup", logrus.DebugLevel}
+	LinkDown         = Event{302, "linkdown", logrus.DebugLevel}
+	PeerRefused      = Event{303, "peerrefused", logrus.WarnLevel}
+	PeerGarbage      = Event{304, "garbage", logrus.WarnLevel}
+	MemberSuspect    = Event{305, "suspect", logrus.WarnLevel}
+	MemberDead       = Event{306, "dead", logrus.WarnLevel}
+	MemberLeft       = Event{307, "left", logrus.InfoLevel}
+	DomainStale      = Event{308, "stale", logrus.WarnLevel}
+	StoreDown        = Event{401, "storedown", logrus.WarnLevel}
+	StoreUp          = Event{402, "storeup", logrus.InfoLevel}
+	StoreHistoryLost = Event{403, "storeforgot", logrus.WarnLevel}
+	CallFailed       = Event{501, "callfailed", logrus.DebugLevel}
+	TargetUp         = Event{502, "targetup", logrus.InfoLevel}
+	TargetGone       = Event{503, "targetgone", logrus.WarnLevel}
+	TargetCrashed    = Event{504, "crashed", logrus.ErrorLevel}
+	RequestHeld      = Event{505, "held", logrus.ErrorLevel}
+	ClaimLost        = Event{506, "claimlost", logrus.WarnLevel}
+	CallAnswered     = Event{507, "answered", logrus.InfoLevel}
+	CallGivenUp      = Event{508, "givenup", logrus.WarnLevel}
+	RunRefused       = Event{509, "runrefused", logrus.InfoLevel}
+	RunEnded         = Event{510, "runended", logrus.InfoLevel}
+	TargetState      = Event{511, "targetstate", logrus.InfoLevel}
+	AnnounceBad      = Event{512, "announcebad", logrus.WarnLevel}
+	TargetRate       = Event{513, "targetrate", logrus.InfoLevel}
+	AnswerBad        = Event{514, "answerbad", logrus.WarnLevel}
+	EditAccepted     = Event{601, "accepted", logrus.InfoLevel}
+	EditConflict     = Event{602, "conflict", logrus.WarnLevel}
+	EditRefused      = Event{603, "invalid", logrus.WarnLevel}
+	EditUnknown      = Event{604, "undecided", logrus.ErrorLevel}
+	OperatorRefused  = Event{605, "noauth", logrus.WarnLevel}
 )
 
 // All returns the list in the order of the numbers.
 func All() []Event {
 	return []Event{
 		Started, Stopping, Stopped, KeysLoaded, KeysBad, Library, LogDropped, Reloaded, Panicked,
-		VersionInUse, VersionRefused, VersionOld, VersionNotFound, WatchTurn,
+		VersionInUse, VersionRefused, VersionOld, VersionNotFound, WatchAssigned,
 		LinkUp, LinkDown, PeerRefused, PeerGarbage, MemberSuspect, MemberDead, MemberLeft, DomainStale,
-		StoreDown, StoreUp, StoreForgot,
+		StoreDown, StoreUp, StoreHistoryLost,
 		CallFailed, TargetUp, TargetGone, TargetCrashed, RequestHeld, ClaimLost,
 		CallAnswered, CallGivenUp, RunRefused, RunEnded, TargetState, AnnounceBad, TargetRate, AnswerBad,
 		EditAccepted, EditConflict, EditRefused, EditUnknown, OperatorRefused,
