--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -480,16 +480,16 @@
 		case platform.ReadHead:
 			row, err := sim.get(h, platform.HeadKey)
 			schedule(sim.storeDelay(h), func() platform.Action { return c.HeadRead(row, err) })
-		case platform.Try:
+		case platform.Transact:
 			err := sim.transact(h, a.Transaction)
-			schedule(sim.storeDelay(h), func() platform.Action { return c.Tried(err) })
-		case platform.ReadWrite:
+			schedule(sim.storeDelay(h), func() platform.Action { return c.Transacted(err) })
+		case platform.ReadWriteRow:
 			wait := sim.storeDelay(h)
 			if a.Wait {
 				wait += 200 * time.Millisecond
 			}
 			row, err := sim.get(h, platform.WriteKey(a.ID))
-			schedule(wait, func() platform.Action { return c.WriteRead(row, err) })
+			schedule(wait, func() platform.Action { return c.WriteRowRead(row, err) })
 		case platform.ReadAudit:
 			row, err := sim.get(h, platform.AuditKey(a.Version))
 			schedule(sim.storeDelay(h), func() platform.Action { return c.AuditRead(row, err) })
