--- a/mesh/kind/kind.go
+++ b/mesh/kind/kind.go
@@ -1,15 +1,15 @@
-// Package kind is the closed list of ways in which a call or an operator's
-// request can fail, with the one table that turns a kind into an answer.
+// Package kind defines the closed set of failure kinds of calls and operator
+// requests, and the table that maps each kind to its HTTP response.
 //
-// Every failure that leaves a process carries exactly one Kind. The Kind
-// decides three things that a caller acts on: the HTTP status, whether the
-// request ran at a target (Ran), and whether it is safe to send again (Retryable).
-// No other code decides them, so that two parts of the system can never give
-// two answers to the same failure.
+// Every failure reported outside a process has exactly one Kind. The Kind
+// determines the three properties that a caller acts on: the HTTP status,
+// whether a target executed the request (Ran), and whether the request is safe
+// to retry (Retryable). No other code determines them, so that the same failure
+// is reported in the same way by every part of the system.
 //
-// The heart of the table is Ran. RanNo is a promise: no byte of the request
-// can have reached the target. Wherever that can't be shown the kind must be
-// one whose Ran is RanUnknown.
+// Ran is the most important column of the table. RanNo guarantees that no byte
+// of the request can have reached the target. Where that cannot be proven, the
+// kind must be one whose Ran is RanUnknown.
 //
 //	k := kind.Full
 //	w.Header().Set(kind.HeaderRan, k.Answer().Ran.String())
@@ -18,20 +18,20 @@
 
 import "net/http"
 
-// Ran tells whether a request was run by a target.
+// Ran reports whether a target executed a request.
 type Ran int
 
-// The three answers to "did it run?".
+// The values of Ran.
 const (
-	// RanUnknown is for a request of which bytes may have reached a target.
+	// RanUnknown means that bytes of the request may have reached a target.
 	RanUnknown Ran = iota
-	// RanNo is the promise that no byte of the request reached a target.
+	// RanNo guarantees that no byte of the request reached a target.
 	RanNo
-	// RanYes is for a request that a target has answered.
+	// RanYes means that a target has answered the request.
 	RanYes
 )
 
-// String returns the word used in the Briarrock-Ran header.
+// String returns the value of the Briarrock-Ran header.
 func (r Ran) String() string {
 	switch r {
 	case RanNo:
@@ -43,8 +43,8 @@
 	}
 }
 
-// ParseRan reads the word of a Briarrock-Ran header. Anything that it does
-// not know is RanUnknown, the one answer that promises nothing.
+// ParseRan parses the value of a Briarrock-Ran header. It returns RanUnknown,
+// which guarantees nothing, for any other value.
 func ParseRan(s string) Ran {
 	switch s {
 	case "no":
@@ -56,65 +56,65 @@
 	}
 }
 
-// Headers that carry a failure from a node to its caller.
+// Response headers that describe a failure to the caller.
 const (
 	HeaderKind = "Briarrock-Kind"
 	HeaderRan  = "Briarrock-Ran"
-	// HeaderAfter tells in milliseconds when it is worth asking again, more
-	// finely than Retry-After can.
+	// HeaderAfter is the delay before a retry in milliseconds. Retry-After only
+	// has a resolution of one second.
 	HeaderAfter = "Briarrock-After"
 )
 
-// Kind is one way of failing. Its text is the word in the Briarrock-Kind
-// header, in logs and in metrics.
+// Kind is a failure kind. Its string is the value of the Briarrock-Kind header
+// and the name of the kind in logs and metrics.
 type Kind string
 
-// The closed list. docs/ERRORS.md explains each one to operators; a test holds
-// the page and this list together.
+// The failure kinds. docs/ERRORS.md documents each of them for operators; a
+// test checks that the page and this list agree.
 const (
 	None     Kind = ""
 	Config   Kind = "config"   // this node has no configuration yet
 	Service  Kind = "service"  // no such service
 	Route    Kind = "route"    // the service has no route for this request
-	Caller   Kind = "caller"   // this caller may not use the route
+	Caller   Kind = "caller"   // the caller is not allowed to use the route
 	Empty    Kind = "empty"    // the service has no live target
-	Full     Kind = "full"     // slots and queue of the target are taken
-	Rate     Kind = "rate"     // the target takes no more requests a second
-	Shed     Kind = "shed"     // the target itself refused the request, unrun
-	Limit    Kind = "limit"    // the caller's share of a queue is taken
-	Drain    Kind = "drain"    // the target or the node is leaving
-	Refused  Kind = "refused"  // the target could not be connected to
+	Full     Kind = "full"     // the target's slots and queue are full
+	Rate     Kind = "rate"     // the target's limit of requests per second is reached
+	Shed     Kind = "shed"     // the target refused the request without executing it
+	Limit    Kind = "limit"    // the caller's share of a queue is used up
+	Drain    Kind = "drain"    // the target or the node is draining
+	Refused  Kind = "refused"  // the connection to the target could not be opened
 	Deadline Kind = "deadline" // the deadline passed before the request was sent
 	Late     Kind = "late"     // the deadline passed after the request was sent
 	Broken   Kind = "broken"   // the connection failed after the request was sent
-	Stall    Kind = "stall"    // no byte moved for too long
-	Held     Kind = "held"     // this request has crashed targets
-	Claim    Kind = "claim"    // at-most-once could not be decided: store unavailable
-	Repeat   Kind = "repeat"   // the same key was already sent and its outcome is unknown
-	Conflict Kind = "conflict" // the same key was used with another request
+	Stall    Kind = "stall"    // no byte was transferred for too long
+	Held     Kind = "held"     // the request is blocked because it crashed targets
+	Claim    Kind = "claim"    // the store is unavailable, so the idempotency key cannot be checked
+	Repeat   Kind = "repeat"   // the idempotency key was already used; outcome unknown
+	Conflict Kind = "conflict" // the idempotency key was used with another request
 	Key      Kind = "key"      // the idempotency key is malformed
 	Request  Kind = "request"  // the request is malformed
-	Large    Kind = "large"    // the request's body is larger than allowed
-	Cancel   Kind = "cancel"   // the caller went away
-	Internal Kind = "internal" // a fault of the node itself
+	Large    Kind = "large"    // the request body is larger than allowed
+	Cancel   Kind = "cancel"   // the caller canceled the request
+	Internal Kind = "internal" // internal error of the node
 )
 
-// Answer is what a kind means to whoever asked.
+// Answer is the response to a request that failed with a given Kind.
 type Answer struct {
 	// Status is the HTTP status code.
 	Status int
-	// Ran tells whether the request was run.
+	// Ran reports whether a target executed the request.
 	Ran Ran
-	// Retryable tells whether the very same request may be sent again without
-	// the risk of running twice.
+	// Retryable reports whether the same request may be sent again without the
+	// risk that it is executed twice.
 	Retryable bool
-	// RetryAfter is the number of seconds to wait before asking again; 0 for none.
+	// RetryAfter is the delay before a retry in seconds; 0 means none is given.
 	RetryAfter int
-	// Text is one line for people.
+	// Text is a one-line description for people.
 	Text string
 }
 
-var table = map[Kind]Answer{
+var answers = map[Kind]Answer{
 	Config:   {http.StatusServiceUnavailable, RanNo, true, 1, "this node has no configuration yet"},
 	Service:  {http.StatusNotFound, RanNo, false, 0, "no service of that name"},
 	Route:    {http.StatusNotFound, RanNo, false, 0, "the service has no route for this method and path"},
@@ -141,26 +141,26 @@
 	Internal: {http.StatusInternalServerError, RanUnknown, false, 0, "internal fault of the node"},
 }
 
-// Answer looks the kind up. A kind that is not in the list is answered as
-// Internal, which promises nothing.
+// Answer returns the answer for k. For an undefined kind it returns the answer
+// for Internal, which guarantees nothing.
 func (k Kind) Answer() Answer {
-	a, ok := table[k]
+	a, ok := answers[k]
 	if !ok {
-		return table[Internal]
+		return answers[Internal]
 	}
 	return a
 }
 
-// All returns every kind with an answer, in no particular order.
+// All returns every kind except None, in no particular order.
 func All() []Kind {
-	all := make([]Kind, 0, len(table))
-	for k := range table {
+	all := make([]Kind, 0, len(answers))
+	for k := range answers {
 		all = append(all, k)
 	}
 	return all
 }
 
-// Error makes a kind usable as an error, so that errors.As finds it.
+// Error implements error, so that a kind can be found with errors.As.
 func (k Kind) Error() string {
 	return string(k) + ": " + k.Answer().Text
 }
--- a/mesh/kind/kind_test.go
+++ b/mesh/kind/kind_test.go
@@ -12,7 +12,8 @@
 	"briarrock.example/mesh/kind"
 )
 
-// TestPage holds docs/ERRORS.md and the table together.
+// TestPage checks that the table in docs/ERRORS.md lists exactly the kinds of
+// this package, with the same status, Ran and Retryable.
 func TestPage(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../docs/ERRORS.md")
@@ -24,17 +25,17 @@
 	var want []string
 	for _, k := range kind.All() {
 		a := k.Answer()
-		again := map[bool]string{true: "yes", false: "no"}[a.Retryable]
-		want = append(want, fmt.Sprintf("| `%s` | %d | %s | %s |", string(k), a.Status, a.Ran, again))
+		retryable := map[bool]string{true: "yes", false: "no"}[a.Retryable]
+		want = append(want, fmt.Sprintf("| `%s` | %d | %s | %s |", string(k), a.Status, a.Ran, retryable))
 	}
 	sort.Strings(rows)
 	sort.Strings(want)
 	c.Assert(rows, qt.DeepEquals, want)
 }
 
-// TestAgain checks what the table must never say: that a request which may
-// have run may be sent again.
-func TestAgain(t *testing.T) {
+// TestRetryable checks that no kind allows a retry of a request that a target
+// may have executed.
+func TestRetryable(t *testing.T) {
 	c := qt.New(t)
 	for _, k := range kind.All() {
 		a := k.Answer()
