--- a/mesh/event/call.go
+++ b/mesh/event/call.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// How many lines about single calls a process writes in a second. A call that
-// went otherwise than planned is worth more than one that did not, so the two
-// have bounds of their own; what is left out is counted. A line is 300 to 400
-// bytes and some 10 µs of work, so both together stay below 40 KB/s and a
-// thousandth of a core.
+// Limits of the log lines about single calls that a process writes per second.
+// An unusual call carries more information than a routine one, so each class
+// has its own limit. Omitted lines are counted. A line takes 300 to 400 bytes
+// and about 10 µs, so both classes together stay below 40 KB/s and 0.1% of a
+// core.
 const (
-	plainPerSecond = 10
-	oddPerSecond   = 100
+	routinePerSecond = 10
+	unusualPerSecond = 100
 )
 
-// The classes of lines about calls.
+// Classes of lines about calls, each with its own limit.
 const (
-	plainCall = iota
-	oddCall
+	routineCall = iota
+	unusualCall
 	callClasses
 )
 
-// rate bounds the lines of one class.
-type rate struct {
+// lineLimiter limits the lines of one class per second of wall-clock time.
+type lineLimiter struct {
 	second  int64
 	lines   int
 	skipped int
 }
 
-// admit tells whether a line may be written now, and how many were left out
-// since the last one.
-func (r *rate) admit(now time.Time, perSecond int) (skipped int, ok bool) {
-	if s := now.Unix(); s != r.second {
-		r.second, r.lines = s, 0
+// allow reports whether a line may be written now and, if so, how many lines
+// were omitted since the previous one.
+func (l *lineLimiter) allow(now time.Time, perSecond int) (skipped int, ok bool) {
+	if s := now.Unix(); s != l.second {
+		l.second, l.lines = s, 0
 	}
-	if r.lines >= perSecond {
-		r.skipped++
+	if l.lines >= perSecond {
+		l.skipped++
 		return 0, false
 	}
-	r.lines++
-	skipped, r.skipped = r.skipped, 0
+	l.lines++
+	skipped, l.skipped = l.skipped, 0
 	return skipped, true
 }
 
-// Call writes the line of one call, within a bound of lines a second. plain
-// calls, which went as planned, have a lower bound than the others.
-func (l *Log) Call(e Event, f Fields, plain bool) {
+// Call writes the log line of one call, unless the limit of lines per second is
+// reached. Routine calls, which went as planned, have a lower limit than
+// unusual ones.
+func (l *Log) Call(e Event, f Fields, routine bool) {
 	if l == nil || l.out == nil || !l.out.Logger.IsLevelEnabled(e.level) {
 		return
 	}
-	class, perSecond := oddCall, oddPerSecond
-	if plain {
-		class, perSecond = plainCall, plainPerSecond
+	class, perSecond := unusualCall, unusualPerSecond
+	if routine {
+		class, perSecond = routineCall, routinePerSecond
 	}
 	l.mu.Lock()
-	skipped, ok := l.calls[class].admit(time.Now(), perSecond)
+	skipped, ok := l.calls[class].allow(time.Now(), perSecond)
 	l.mu.Unlock()
 	if ok {
 		l.write(e, f, skipped)
--- a/mesh/event/event.go
+++ b/mesh/event/event.go
@@ -1,13 +1,14 @@
-// Package event holds the numbered log events of every briarrock program.
+// Package event defines the numbered log events of all briarrock programs and
+// the logger that writes them.
 //
-// A log line is one event: a fixed number, a fixed name and typed fields.
-// Operators search for the number; docs/EVENTS.md says what each one means
-// and what to do about it, and a test holds that page and this list together.
+// A log line is one event: a fixed number, a fixed name and named fields.
+// Operators search for the number. docs/EVENTS.md explains each event and what
+// to do about it; a test checks that the page and this list agree.
 //
 //	log.Emit(event.VersionInUse, event.Fields{"version": 7, "took": took})
 //
-// The same event repeated within a second for the same subject is written
-// once and counted, so that a fault can't flood the log.
+// Repeats of an event with the same subject within one second are counted
+// instead of written, so that a persistent fault cannot flood the log.
 package event
 
 import (
@@ -19,24 +20,25 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Event is one kind of log line.
+// Event is a type of log line.
 type Event struct {
 	id    int
 	name  string
 	level logrus.Level
 }
 
-// ID is the event's number, unique and never used again for another event.
+// ID returns the event's number, which is unique and never reused for another
+// event.
 func (e Event) ID() int { return e.id }
 
-// Name is the event's short name.
+// Name returns the event's short name.
 func (e Event) Name() string { return e.name }
 
-// Level is the severity that the event is logged at.
+// Level returns the severity at which the event is logged.
 func (e Event) Level() logrus.Level { return e.level }
 
-// The list of events. 1xx process, 2xx configuration, 3xx membership and
-// links, 4xx platform, 5xx calls, 6xx operators.
+// The events. Numbers are grouped: 1xx process, 2xx configuration, 3xx
+// membership and links, 4xx platform, 5xx calls, 6xx operators.
 var (
 	Started          = Event{101, "started", logrus.InfoLevel}
 	Stopping         = Event{102, "stopping", logrus.InfoLevel}
@@ -84,7 +86,7 @@
 	OperatorRefused  = Event{605, "noauth", logrus.WarnLevel}
 )
 
-// All returns the list in the order of the numbers.
+// All returns all events in ascending order of their numbers.
 func All() []Event {
 	return []Event{
 		Started, Stopping, Stopped, KeysLoaded, KeysBad, Library, LogDropped, Reloaded, Panicked,
@@ -100,36 +102,40 @@
 // Fields are the named values of one log line.
 type Fields map[string]any
 
-// Subject is the field by which repeats of an event are told apart.
+// Subject is the field that identifies what an event is about. Two events are
+// repeats if they have the same number and the same subject.
 const Subject = "subject"
 
-// repeatEvery is the shortest time between two lines of one event and subject.
-const repeatEvery = time.Second
+// repeatInterval is the minimum time between two lines with the same event and
+// subject.
+const repeatInterval = time.Second
 
-// repeatMax bounds the table of recent lines; past it the table is emptied,
-// which at worst writes some lines early.
-const repeatMax = 1024
+// maxRepeats bounds Log.repeats. When the bound is reached the table is
+// cleared, which at worst writes some repeats early.
+const maxRepeats = 1024
 
-type recentKey struct {
+type repeatKey struct {
 	id      int
 	subject string
 }
 
-type recent struct {
-	at      time.Time
+type repeatState struct {
+	written time.Time
 	skipped int
 }
 
-// Log writes events. The zero Log writes nothing, which suits tests.
+// Log writes events. The zero Log and a nil *Log discard all events, which is
+// useful in tests.
 type Log struct {
-	out   *logrus.Entry
-	mu    sync.Mutex
-	seen  map[recentKey]recent
-	calls [callClasses]rate
+	out     *logrus.Entry
+	mu      sync.Mutex
+	repeats map[repeatKey]repeatState
+	calls   [callClasses]lineLimiter
 }
 
-// New returns a Log that writes to w as JSON or as text, from level up. Every
-// line carries host, so that the logs of many nodes can be read together.
+// New returns a Log that writes events of at least the given level to w, as
+// JSON or as text. Every line has the field host, so that the logs of several
+// nodes can be merged.
 func New(w io.Writer, json bool, level logrus.Level, host string) *Log {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -140,14 +146,14 @@
 		l.SetFormatter(&logrus.TextFormatter{FullTimestamp: true, DisableColors: true})
 	}
 	return &Log{
-		out:  l.WithField("host", host),
-		seen: make(map[recentKey]recent),
+		out:     l.WithField("host", host),
+		repeats: make(map[repeatKey]repeatState),
 	}
 }
 
-// Emit writes one event, unless the same event was written for the same
-// subject within the last second: then it is counted, and the count goes out
-// with the next line as "skipped".
+// Emit writes one event. If the same event was written for the same subject
+// within the last second, Emit only counts it; the next line has the count in
+// its field "skipped".
 func (l *Log) Emit(e Event, f Fields) {
 	if l == nil || l.out == nil {
 		return
@@ -155,7 +161,7 @@
 	if !l.out.Logger.IsLevelEnabled(e.level) {
 		return
 	}
-	skipped, write := l.admit(e, f)
+	skipped, write := l.allow(e, f)
 	if !write {
 		return
 	}
@@ -170,40 +176,42 @@
 	entry.Log(e.level, e.name)
 }
 
-// Writer returns a writer whose lines become events: for libraries that write
-// to a log of their own.
-func (l *Log) Writer(e Event) io.Writer { return lines{l, e} }
+// Writer returns a writer that emits e for each Write, with the written bytes
+// in the field "text". It adapts libraries that take a writer for their log.
+func (l *Log) Writer(e Event) io.Writer { return lineWriter{l, e} }
 
-type lines struct {
+type lineWriter struct {
 	l *Log
 	e Event
 }
 
-// maxLine bounds what is kept of a library's line.
-const maxLine = 200
+// maxLineBytes is the length to which lines of libraries are truncated.
+const maxLineBytes = 200
 
 // Write implements io.Writer.
-func (w lines) Write(b []byte) (int, error) {
-	text := strings.TrimSpace(string(b[:min(len(b), maxLine)]))
+func (w lineWriter) Write(b []byte) (int, error) {
+	text := strings.TrimSpace(string(b[:min(len(b), maxLineBytes)]))
 	w.l.Emit(w.e, Fields{"text": text})
 	return len(b), nil
 }
 
-func (l *Log) admit(e Event, f Fields) (int, bool) {
+// allow reports whether an event may be written now and, if so, how many of its
+// repeats were skipped since the previous line.
+func (l *Log) allow(e Event, f Fields) (int, bool) {
 	subject, _ := f[Subject].(string)
-	key := recentKey{e.id, subject}
+	key := repeatKey{e.id, subject}
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	last, ok := l.seen[key]
-	if ok && now.Sub(last.at) < repeatEvery {
+	last, ok := l.repeats[key]
+	if ok && now.Sub(last.written) < repeatInterval {
 		last.skipped++
-		l.seen[key] = last
+		l.repeats[key] = last
 		return 0, false
 	}
-	if len(l.seen) >= repeatMax {
-		clear(l.seen)
+	if len(l.repeats) >= maxRepeats {
+		clear(l.repeats)
 	}
-	l.seen[key] = recent{at: now}
+	l.repeats[key] = repeatState{written: now}
 	return last.skipped, true
 }
--- a/mesh/event/event_test.go
+++ b/mesh/event/event_test.go
@@ -16,7 +16,8 @@
 	"briarrock.example/mesh/event"
 )
 
-// TestPage holds docs/EVENTS.md and the list together.
+// TestPage checks that docs/EVENTS.md lists exactly the events of this package,
+// in the order of their numbers, and that no number is used twice.
 func TestPage(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../docs/EVENTS.md")
@@ -34,7 +35,8 @@
 	c.Assert(rows, qt.DeepEquals, want)
 }
 
-// TestRepeats checks that a fault which repeats itself can't flood the log.
+// TestRepeats checks that repeats of an event within a second are counted
+// instead of written, so that a persistent fault cannot flood the log.
 func TestRepeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/mesh/event/queue.go
+++ b/mesh/event/queue.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// Queue is a writer that never blocks: lines wait in memory, and when a bounded
-// number of them does, further ones are left out and counted.
+// Queue is a non-blocking writer. It buffers a bounded number of lines in
+// memory for a goroutine that writes them to the underlying writer. When the
+// buffer is full, further lines are dropped and counted.
 //
-// A log goes to a pipe, and whoever reads it may stop. Without the queue each
-// request would then hang in a write, on a node that is well.
+// The log usually goes to a pipe, whose reader may stop reading. Without the
+// queue every request of a healthy node would then block in a write.
 type Queue struct {
 	w       io.Writer
 	lines   chan []byte
@@ -22,7 +23,8 @@
 	once    sync.Once
 }
 
-// NewQueue starts a queue of up to size lines before w. Close ends it.
+// NewQueue returns a Queue that buffers up to size lines for w. It starts a
+// goroutine that runs until Close is called.
 func NewQueue(w io.Writer, size int) *Queue {
 	q := &Queue{w: w, lines: make(chan []byte, size), stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
@@ -30,13 +32,13 @@
 		for {
 			select {
 			case b := <-q.lines:
-				q.put(b)
+				q.writeLine(b)
 				continue
 			default:
 			}
 			select {
 			case b := <-q.lines:
-				q.put(b)
+				q.writeLine(b)
 			case <-q.stop:
 				return
 			}
@@ -45,14 +47,14 @@
 	return q
 }
 
-func (q *Queue) put(b []byte) {
-	_, _ = q.w.Write(b) // there is nowhere to report it to
+func (q *Queue) writeLine(b []byte) {
+	_, _ = q.w.Write(b) // an error of the log itself cannot be logged
 	if n := q.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(q.w, "{\"event\":%d,\"msg\":%q,\"lines\":%d}\n", LogDropped.id, LogDropped.name, n)
 	}
 }
 
-// Write implements io.Writer. It takes a copy of b.
+// Write implements io.Writer. It copies b and never returns an error.
 func (q *Queue) Write(b []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), b...):
@@ -62,12 +64,13 @@
 	return len(b), nil
 }
 
-// Close writes what waits, for within at most: the reader may have stopped for
-// good. Lines that come later are left out.
-func (q *Queue) Close(within time.Duration) {
+// Close writes the buffered lines and stops the queue. It returns after timeout
+// at the latest, since the reader may have stopped for good. Lines that are
+// written after Close are dropped.
+func (q *Queue) Close(timeout time.Duration) {
 	q.once.Do(func() { close(q.stop) })
 	select {
 	case <-q.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
--- a/mesh/event/queue_test.go
+++ b/mesh/event/queue_test.go
@@ -15,37 +15,39 @@
 	"briarrock.example/mesh/event"
 )
 
-// stuck is a writer that nobody reads from until it is opened.
-type stuck struct {
-	mu   sync.Mutex
-	open chan struct{}
-	got  bytes.Buffer
+// blockedWriter is a writer whose Write blocks until unblock is closed, as a
+// pipe does while its reader has stopped.
+type blockedWriter struct {
+	mu      sync.Mutex
+	unblock chan struct{}
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.open
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.got.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.unblock
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.Write(b)
 }
 
-// TestFullPipe logs to a pipe whose reader has stopped.
+// TestFullPipe logs to a pipe whose reader has stopped. Without the queue a
+// request would block in the write of its log line.
 //
-// A request that logged would hang in its write. The lines wait in memory
-// instead, a bounded number of them, the rest is counted, and when the reader
-// goes on it is told how many are missing.
+// The test checks that writes do not block, that a bounded number of lines is
+// buffered, and that the number of dropped lines is logged once the reader
+// resumes.
 func TestFullPipe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		w := &stuck{open: make(chan struct{})}
+		w := &blockedWriter{unblock: make(chan struct{})}
 		q := event.NewQueue(w, 8)
 		for i := range 100 {
 			_, _ = fmt.Fprintf(q, "line %d\n", i)
 		}
 		synctest.Wait()
-		close(w.open)
+		close(w.unblock)
 		q.Close(time.Minute)
-		lines := strings.Split(strings.TrimSpace(w.got.String()), "\n")
+		lines := strings.Split(strings.TrimSpace(w.written.String()), "\n")
 		missing := 0
 		for _, l := range lines {
 			if strings.Contains(l, "logdropped") {
@@ -59,22 +61,24 @@
 	})
 }
 
-// TestStoppedReader ends a process whose log nobody reads: it ends all the same.
+// TestStoppedReader checks that Close returns after its timeout when the log's
+// reader has stopped for good, so that the process can exit.
 func TestStoppedReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &stuck{open: make(chan struct{})}
+		w := &blockedWriter{unblock: make(chan struct{})}
 		q := event.NewQueue(w, 8)
 		_, _ = q.Write([]byte("line"))
 		began := time.Now()
 		q.Close(time.Second)
 		qt.New(t).Check(time.Since(began), qt.Equals, time.Second)
 		_, _ = q.Write([]byte("late"))
-		close(w.open)
+		close(w.unblock)
 	})
 }
 
-// TestCalls logs more calls than may be logged in a second: the odd ones have a
-// bound of their own, and the next line tells how many were left out.
+// TestCalls logs more calls per second than the limits allow. It checks that
+// routine and unusual calls have separate limits and that the next line reports
+// how many lines were omitted.
 func TestCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
