--- a/mesh/codec/codec.go
+++ b/mesh/codec/codec.go
@@ -1,6 +1,6 @@
-// Package codec is the one encoding of everything that nodes send to each
-// other or name by a hash: deterministic CBOR (RFC 8949, section 4.2), read
-// strictly and within bounds, since what comes in is not trusted.
+// Package codec encodes and decodes everything that nodes send to each other or
+// identify by a content hash. The format is deterministic CBOR (RFC 8949,
+// section 4.2). Input is untrusted, so decoding is strict and bounded.
 //
 //	b, err := codec.Encode(v)
 //	err := codec.Decode(b, &v)
@@ -11,11 +11,11 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of what Decode takes, whatever the type.
+// Limits that Decode enforces for every type.
 const (
-	MaxNested   = 8
-	MaxElements = 1 << 16
-	MaxPairs    = 64
+	MaxNested   = 8       // levels of nesting
+	MaxElements = 1 << 16 // elements of one array
+	MaxPairs    = 64      // pairs of one map
 )
 
 var (
@@ -31,18 +31,19 @@
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // constant options of ours that the library refuses
+		panic(err) // the library rejects the constant options above
 	}
 	return v
 }
 
-// Encode returns the one encoding of v.
+// Encode returns the deterministic encoding of v: equal values have equal
+// encodings.
 func Encode(v any) ([]byte, error) {
 	b, err := encMode.Marshal(v)
 	return b, errors.Wrap(err, "codec")
 }
 
-// Decode reads b into what v points at.
+// Decode decodes b into the value that v points to.
 func Decode(b []byte, v any) error {
 	return errors.Wrap(decMode.Unmarshal(b, v), "codec")
 }
--- a/mesh/strict/node.go
+++ b/mesh/strict/node.go
@@ -10,17 +10,19 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Field is how one key of a mapping is read, and whether it must be there.
+// Field describes one key of a mapping: the function that reads its value, and
+// whether the key is required.
 type Field struct {
 	Read     func(n *yaml.Node)
 	Required bool
 }
 
-// Fields reads a mapping by its table of keys and reports what is unknown,
-// doubled or missing.
-func (c *Reader) Fields(n *yaml.Node, what string, known map[string]Field) {
+// Fields reads the mapping n. For each key it calls the Read function of the
+// field of that name in known. Unknown, duplicate and missing required keys are
+// mistakes; what names the mapping in their texts, such as "a route".
+func (r *Reader) Fields(n *yaml.Node, what string, known map[string]Field) {
 	if n.Kind != yaml.MappingNode {
-		c.Add(n, "%s must be a mapping", what)
+		r.Add(n, "%s must be a mapping", what)
 		return
 	}
 	seen := make(map[string]bool)
@@ -28,24 +30,25 @@
 		key, value := n.Content[i], n.Content[i+1]
 		f, ok := known[key.Value]
 		if !ok {
-			c.Add(key, "%s has no field %q; it has %s", what, key.Value, keys(known))
+			r.Add(key, "%s has no field %q; it has %s", what, key.Value, sortedKeys(known))
 			continue
 		}
 		if seen[key.Value] {
-			c.Add(key, "field %q is given twice", key.Value)
+			r.Add(key, "field %q is given twice", key.Value)
 			continue
 		}
 		seen[key.Value] = true
 		f.Read(value)
 	}
-	for _, key := range strings.Split(keys(known), ", ") {
+	for _, key := range strings.Split(sortedKeys(known), ", ") {
 		if known[key].Required && !seen[key] {
-			c.Add(n, "%s needs the field %q", what, key)
+			r.Add(n, "%s needs the field %q", what, key)
 		}
 	}
 }
 
-func keys(known map[string]Field) string {
+// sortedKeys returns the keys of known, sorted and joined by ", ".
+func sortedKeys(known map[string]Field) string {
 	names := make([]string, 0, len(known))
 	for k := range known {
 		names = append(names, k)
@@ -54,47 +57,48 @@
 	return strings.Join(names, ", ")
 }
 
-// Scalar reads a single value.
-func (c *Reader) Scalar(n *yaml.Node) string {
+// Scalar returns the value of the scalar n as a string.
+func (r *Reader) Scalar(n *yaml.Node) string {
 	if n.Kind != yaml.ScalarNode {
-		c.Add(n, "a single value is wanted here")
+		r.Add(n, "a single value is wanted here")
 		return ""
 	}
 	return n.Value
 }
 
-var nameRule = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
-// Name reads a name: small letters, digits and dashes.
-func (c *Reader) Name(n *yaml.Node) string {
-	s := c.Scalar(n)
-	if n.Kind == yaml.ScalarNode && !nameRule.MatchString(s) {
-		c.Add(n, "name %q must be small letters, digits and dashes, 63 at most, and begin with a letter", s)
+// Name returns the name in the scalar n: 1 to 63 lowercase letters, digits and
+// dashes, starting with a letter.
+func (r *Reader) Name(n *yaml.Node) string {
+	s := r.Scalar(n)
+	if n.Kind == yaml.ScalarNode && !namePattern.MatchString(s) {
+		r.Add(n, "name %q must be small letters, digits and dashes, 63 at most, and begin with a letter", s)
 		return ""
 	}
 	return s
 }
 
-// List reads a list.
-func (c *Reader) List(n *yaml.Node) []*yaml.Node {
+// List returns the elements of the list n.
+func (r *Reader) List(n *yaml.Node) []*yaml.Node {
 	if n.Kind != yaml.SequenceNode {
-		c.Add(n, "a list is wanted here")
+		r.Add(n, "a list is wanted here")
 		return nil
 	}
 	return n.Content
 }
 
-// Names reads a list of names without doubles.
-func (c *Reader) Names(n *yaml.Node) []string {
+// Names returns the names in the list n. A duplicate is a mistake.
+func (r *Reader) Names(n *yaml.Node) []string {
 	seen := make(map[string]bool)
 	var out []string
-	for _, x := range c.List(n) {
-		s := c.Name(x)
+	for _, x := range r.List(n) {
+		s := r.Name(x)
 		if s == "" {
 			continue
 		}
 		if seen[s] {
-			c.Add(x, "%q is listed twice", s)
+			r.Add(x, "%q is listed twice", s)
 			continue
 		}
 		seen[s] = true
@@ -103,38 +107,41 @@
 	return out
 }
 
-// Number reads a whole number from low to high.
-func (c *Reader) Number(n *yaml.Node, low, high int) int {
-	v, err := strconv.Atoi(c.Scalar(n))
+// Number returns the integer in the scalar n. A value outside [low, high] is a
+// mistake, for which Number returns low.
+func (r *Reader) Number(n *yaml.Node, low, high int) int {
+	v, err := strconv.Atoi(r.Scalar(n))
 	if err != nil || v < low || v > high {
-		c.Add(n, "%q must be a whole number from %d to %d", n.Value, low, high)
+		r.Add(n, "%q must be a whole number from %d to %d", n.Value, low, high)
 		return low
 	}
 	return v
 }
 
-// Boolean reads true or false.
-func (c *Reader) Boolean(n *yaml.Node) bool {
-	v, err := strconv.ParseBool(c.Scalar(n))
+// Boolean returns the boolean in the scalar n.
+func (r *Reader) Boolean(n *yaml.Node) bool {
+	v, err := strconv.ParseBool(r.Scalar(n))
 	if err != nil {
-		c.Add(n, "%q must be true or false", n.Value)
+		r.Add(n, "%q must be true or false", n.Value)
 	}
 	return v
 }
 
-// Duration reads a duration, such as 250ms or 2s, from low to high.
-func (c *Reader) Duration(n *yaml.Node, low, high time.Duration) time.Duration {
-	v, err := time.ParseDuration(c.Scalar(n))
+// Duration returns the duration in the scalar n, such as 250ms or 2s. A value
+// outside [low, high] is a mistake, for which Duration returns low.
+func (r *Reader) Duration(n *yaml.Node, low, high time.Duration) time.Duration {
+	v, err := time.ParseDuration(r.Scalar(n))
 	if err != nil || v < low || v > high {
-		c.Add(n, "%q must be a duration from %v to %v", n.Value, low, high)
+		r.Add(n, "%q must be a duration from %v to %v", n.Value, low, high)
 		return low
 	}
 	return v
 }
 
-// Choice reads one of a closed list of words.
-func Choice[T any](c *Reader, n *yaml.Node, words map[string]T) T {
-	s := c.Scalar(n)
+// Choice returns the value that words maps the scalar n to. A scalar that is
+// not a key of words is a mistake.
+func Choice[T any](r *Reader, n *yaml.Node, words map[string]T) T {
+	s := r.Scalar(n)
 	v, ok := words[s]
 	if !ok {
 		names := make([]string, 0, len(words))
@@ -142,7 +149,7 @@
 			names = append(names, w)
 		}
 		sort.Strings(names)
-		c.Add(n, "%q is not one of %s", s, strings.Join(names, ", "))
+		r.Add(n, "%q is not one of %s", s, strings.Join(names, ", "))
 	}
 	return v
 }
--- a/mesh/strict/strict.go
+++ b/mesh/strict/strict.go
@@ -1,7 +1,7 @@
-// Package strict reads YAML that people write, and is exact about it: what is
-// unknown, doubled, missing, of the wrong type or out of range is a mistake.
-// It collects all mistakes, each with its line and column, instead of stopping
-// at the first.
+// Package strict reads and validates YAML documents written by people. Unknown,
+// duplicate and missing keys, wrong types and values out of range are mistakes.
+// A Reader collects all mistakes of a document, each with its line and column,
+// instead of stopping at the first one.
 //
 //	var r strict.Reader
 //	root, ok := r.Parse(src)
@@ -22,8 +22,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Mistake is one fault in a document, with its place. Line and Column count
-// from 1; 0 stands for the document as a whole.
+// Mistake is a validation error in a document, with its position. Line and
+// Column count from 1; 0 means the document as a whole.
 type Mistake struct {
 	Line   int    `json:"line"`
 	Column int    `json:"column"`
@@ -35,11 +35,11 @@
 	return fmt.Sprintf("%d:%d: %s", m.Line, m.Column, m.Text)
 }
 
-// Mistakes is every fault in a document, in the order of their places. It is an
-// error when it is not empty.
+// Mistakes is the list of all mistakes in a document, ordered by position. A
+// non-empty list is used as an error.
 type Mistakes []Mistake
 
-// Error lists the mistakes, one a line.
+// Error returns the mistakes, one per line.
 func (m Mistakes) Error() string {
 	lines := make([]string, 0, len(m))
 	for _, x := range m {
@@ -48,75 +48,78 @@
 	return strings.Join(lines, "\n")
 }
 
-// maxMistakes bounds the list; a text with more is mostly one mistake early on.
+// maxMistakes limits the mistakes that a Reader collects. A document with more
+// usually has a single early mistake that causes all the others.
 const maxMistakes = 50
 
-// Reader collects mistakes while a document is read. Its zero value is ready.
+// Reader parses a document and collects its mistakes. The zero value is ready
+// to use.
 type Reader struct {
 	mistakes Mistakes
 }
 
-// Add notes a mistake at the place of n.
-func (c *Reader) Add(n *yaml.Node, format string, args ...any) {
-	c.AddAt(n.Line, n.Column, format, args...)
+// Add records a mistake at the position of n.
+func (r *Reader) Add(n *yaml.Node, format string, args ...any) {
+	r.AddAt(n.Line, n.Column, format, args...)
 }
 
-// AddAt notes a mistake at a line and column.
-func (c *Reader) AddAt(line, column int, format string, args ...any) {
-	if len(c.mistakes) >= maxMistakes {
+// AddAt records a mistake at the given line and column.
+func (r *Reader) AddAt(line, column int, format string, args ...any) {
+	if len(r.mistakes) >= maxMistakes {
 		return
 	}
-	c.mistakes = append(c.mistakes, Mistake{line, column, fmt.Sprintf(format, args...)})
+	r.mistakes = append(r.mistakes, Mistake{line, column, fmt.Sprintf(format, args...)})
 }
 
-// Parse reads the syntax of a document and returns its root. It is false when
-// there is none, which is noted as a mistake.
-func (c *Reader) Parse(src []byte) (*yaml.Node, bool) {
+// Parse parses src and returns the root node of its document. It records a
+// mistake and returns false if src is not valid YAML, is empty or contains more
+// than one document.
+func (r *Reader) Parse(src []byte) (*yaml.Node, bool) {
 	var doc, second yaml.Node
 	dec := yaml.NewDecoder(bytes.NewReader(src))
 	if err := dec.Decode(&doc); err != nil && !errors.Is(err, io.EOF) {
-		c.addYAML(err)
+		r.addSyntaxError(err)
 		return nil, false
 	}
-	// What stands in a second document would count for nothing, and nobody
-	// would be told.
+	// A second document would be ignored without a message.
 	switch err := dec.Decode(&second); {
 	case err == nil:
-		c.Add(&second, "a second document begins here; there must be one only")
+		r.Add(&second, "a second document begins here; there must be one only")
 		return nil, false
 	case !errors.Is(err, io.EOF):
-		c.addYAML(err)
+		r.addSyntaxError(err)
 		return nil, false
 	}
 	if len(doc.Content) == 0 {
-		c.AddAt(1, 1, "the document is empty")
+		r.AddAt(1, 1, "the document is empty")
 		return nil, false
 	}
 	return doc.Content[0], true
 }
 
-// addYAML takes the line out of a syntax error of the YAML library, which
-// gives it only in its text.
-func (c *Reader) addYAML(err error) {
+// addSyntaxError records a syntax error of the YAML library. It parses the line
+// number from the error's text, the only place where the library reports it.
+func (r *Reader) addSyntaxError(err error) {
 	msg := strings.TrimPrefix(err.Error(), "yaml: ")
 	line := 0
 	if n, _ := fmt.Sscanf(msg, "line %d:", &line); n == 1 {
 		_, msg, _ = strings.Cut(msg, ": ")
 	}
-	c.AddAt(line, 1, "not YAML: %s", msg)
+	r.AddAt(line, 1, "not YAML: %s", msg)
 }
 
-// Err returns the mistakes in the order of their places; nil for none.
-func (c *Reader) Err() error {
-	if len(c.mistakes) == 0 {
+// Err returns the recorded mistakes as a Mistakes ordered by position, or nil
+// if there are none.
+func (r *Reader) Err() error {
+	if len(r.mistakes) == 0 {
 		return nil
 	}
-	sort.SliceStable(c.mistakes, func(i, j int) bool {
-		a, b := c.mistakes[i], c.mistakes[j]
+	sort.SliceStable(r.mistakes, func(i, j int) bool {
+		a, b := r.mistakes[i], r.mistakes[j]
 		if a.Line != b.Line {
 			return a.Line < b.Line
 		}
 		return a.Column < b.Column
 	})
-	return c.mistakes
+	return r.mistakes
 }
