--- a/mesh/snapshot/delta.go
+++ b/mesh/snapshot/delta.go
@@ -5,25 +5,27 @@
 	"github.com/pkg/errors"
 )
 
-// dictID is the identifier that a raw zstd dictionary must carry; base and
-// content always travel with their hashes, so one value serves for all.
+// dictID is the identifier that zstd requires of a raw dictionary. One constant
+// is enough, since base and content are always identified by their hashes.
 const dictID = 1
 
-// maxWindow bounds the memory that decoding a peer's delta may ask for.
-const maxWindow = 2 * MaxBytes
+// maxWindowBytes limits the window, and so the memory, that a peer's delta can
+// make the decoder allocate.
+const maxWindowBytes = 2 * MaxBytes
 
-// Pack compresses b against base, the bytes of a version that the receiver
-// holds. With an empty base it compresses b alone.
+// Pack returns b compressed as a delta against base, an encoded snapshot that
+// the receiver already has. With an empty base it compresses b by itself.
 //
-// The base serves as a raw zstd dictionary, so that an edit of one line costs
-// some tens of bytes whatever the size of the text. The level and the small
-// tables keep the memory that it takes at 3 MB for 1,200 entries; the next level
-// takes 9 MB for the same bytes. docs/design/delta.md has the other ways.
+// The base is used as a raw zstd dictionary, so an edit of one line takes some
+// tens of bytes regardless of the size of the configuration. With this level
+// and low encoder memory, compression uses 3 MB for 1,200 entries; the next
+// level uses 9 MB for an output of the same size. docs/design/delta.md describes
+// the alternatives.
 func Pack(base, b []byte) ([]byte, error) {
 	opts := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedDefault),
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(windowFor(len(base) + len(b))),
+		zstd.WithWindowSize(windowSize(len(base) + len(b))),
 		zstd.WithEncoderCRC(false),
 	}
 	if len(base) > 0 {
@@ -37,12 +39,13 @@
 	return enc.EncodeAll(b, nil), nil
 }
 
-// Unpack reverses Pack. The result is not trusted: callers pass it to Open.
+// Unpack decompresses the output of Pack for the same base. Its errors wrap
+// ErrDelta. The result is untrusted: callers verify it by passing it to Open.
 func Unpack(base, packed []byte) ([]byte, error) {
 	opts := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderMaxMemory(MaxBytes),
-		zstd.WithDecoderMaxWindow(maxWindow),
+		zstd.WithDecoderMaxWindow(maxWindowBytes),
 	}
 	if len(base) > 0 {
 		opts = append(opts, zstd.WithDecoderDictRaw(dictID, base))
@@ -59,9 +62,9 @@
 	return b, nil
 }
 
-// windowFor is the smallest zstd window (a power of two, 1 KiB at least) that
-// reaches back over n bytes.
-func windowFor(n int) int {
+// windowSize returns the smallest zstd window, a power of two of at least 1 KiB,
+// that covers n bytes.
+func windowSize(n int) int {
 	w := zstd.MinWindowSize
 	for w < n && w < MaxBytes {
 		w <<= 1
--- a/mesh/snapshot/diff.go
+++ b/mesh/snapshot/diff.go
@@ -6,13 +6,13 @@
 	"sort"
 )
 
-// Change is one difference between two snapshots, by resource.
+// Change is a difference between two snapshots in one resource.
 type Change struct {
 	// Sign is "+" for added, "-" for removed, "~" for changed.
 	Sign string `json:"sign"`
-	// Resource names a service ("posting") or a route ("posting POST /x").
+	// Resource identifies a service ("posting") or a route ("posting POST /x").
 	Resource string `json:"resource"`
-	// Detail says what changed, from and to.
+	// Detail lists the changed fields with their old and new values.
 	Detail string `json:"detail,omitempty"`
 }
 
@@ -24,8 +24,8 @@
 	return c.Sign + " " + c.Resource + ": " + c.Detail
 }
 
-// Diff lists what changes from a to b, sorted by resource. Either may be nil,
-// which stands for nothing.
+// Diff returns the changes from a to b, sorted by resource. A nil snapshot is
+// treated as empty.
 func Diff(a, b *Snapshot) []Change {
 	from, to := resources(a), resources(b)
 	var out []Change
@@ -35,7 +35,7 @@
 			out = append(out, Change{Sign: "-", Resource: name})
 			continue
 		}
-		if detail := fieldChanges(old, now); detail != "" {
+		if detail := diffFields(old, now); detail != "" {
 			out = append(out, Change{Sign: "~", Resource: name, Detail: detail})
 		}
 	}
@@ -48,6 +48,8 @@
 	return out
 }
 
+// resources returns the services and routes of s by resource name. The routes
+// are resources of their own and are removed from their services.
 func resources(s *Snapshot) map[string]any {
 	m := make(map[string]any)
 	if s == nil {
@@ -64,7 +66,8 @@
 	return m
 }
 
-// Name identifies a route within its service, for people.
+// Name returns the route's methods and path, such as "GET,POST /x", or "* /x"
+// for a route of all methods. It is unique within a service.
 func (r Route) Name() string {
 	if len(r.Methods) == 0 {
 		return "* " + r.Path
@@ -76,7 +79,9 @@
 	return methods + " " + r.Path
 }
 
-func fieldChanges(old, now any) string {
+// diffFields returns the fields that differ between two structs of the same
+// type, each as "Name old → new".
+func diffFields(old, now any) string {
 	a, b := reflect.ValueOf(old), reflect.ValueOf(now)
 	detail := ""
 	for i := range a.NumField() {
--- a/mesh/snapshot/snapshot.go
+++ b/mesh/snapshot/snapshot.go
@@ -1,17 +1,19 @@
-// Package snapshot is the immutable, compiled form of the operator's text:
-// what one version of the configuration says, in the form that nodes hold,
-// send to each other and serve from.
+// Package snapshot defines the immutable, compiled form of one version of the
+// configuration. Nodes store snapshots, send them to each other and route
+// requests by them.
 //
-// A Snapshot is made by package text, encoded once in deterministic CBOR
-// (RFC 8949, section 4.2) and from then on named by the hash of these bytes.
-// Two nodes with the same Hash hold the same bytes, whatever way they took.
+// Package text compiles the operator's text to a Snapshot. The Snapshot is
+// encoded once in deterministic CBOR (RFC 8949, section 4.2) and is then
+// identified by the hash of these bytes. Two nodes with the same Hash have the
+// same bytes, regardless of how they received them.
 //
 //	b, _ := snapshot.Encode(s)
 //	h := snapshot.Sum(b)
 //	s, err := snapshot.Open(b, h) // hash, bounds and inventory checked
 //
-// Open is the only way back from bytes: it checks the hash, decodes strictly
-// and verifies the inventory, so that a half-made snapshot can't be used.
+// Open is the only function that decodes a snapshot. It checks the hash,
+// decodes strictly and verifies the inventory, so that an incomplete snapshot
+// cannot be used.
 package snapshot
 
 import (
@@ -26,17 +28,17 @@
 	"briarrock.example/mesh/codec"
 )
 
-// Bounds of a snapshot. The text compiler and Open both enforce them.
+// Limits of a snapshot. The text compiler and Open both enforce them.
 const (
-	// MaxBytes bounds an encoded snapshot.
+	// MaxBytes is the maximum size of an encoded snapshot.
 	MaxBytes = 8 << 20
-	// MaxServices bounds the services of one mesh.
+	// MaxServices is the maximum number of services of one mesh.
 	MaxServices = 4096
-	// MaxRoutes bounds the routes of one service.
+	// MaxRoutes is the maximum number of routes of one service.
 	MaxRoutes = 256
 )
 
-// Sentinel errors of Open and Apply.
+// Sentinel errors of Encode, Open and Unpack.
 var (
 	ErrHash      = errors.New("snapshot: content does not match its hash")
 	ErrInventory = errors.New("snapshot: inventory is not complete")
@@ -44,17 +46,17 @@
 	ErrDelta     = errors.New("snapshot: delta does not fit its base")
 )
 
-// Mode says how often a request of a route may run.
+// Mode is the execution guarantee for the requests of a route.
 type Mode uint8
 
 const (
-	// Repeatable requests may be sent again after a failure.
+	// Repeatable requests may be retried after a failure.
 	Repeatable Mode = iota
-	// Once requests run at most once.
+	// Once requests are executed at most once.
 	Once
 )
 
-// String returns the mode's word in the operator's text.
+// String returns the mode's name in the operator's text.
 func (m Mode) String() string {
 	if m == Once {
 		return "once"
@@ -62,19 +64,22 @@
 	return "repeatable"
 }
 
-// Priority orders the queue of a target; a higher one goes first.
+// Priority orders the requests in a target's queue. Higher priorities are sent
+// first.
 type Priority uint8
 
-// The priorities that the text has words for, from the least urgent.
+// The priorities with a name in the operator's text, in ascending order, and
+// the maximum.
 const (
 	Bulk Priority = iota
 	Normal
 	Urgent
-	// MaxPriority is the highest priority that there is.
+	// MaxPriority is the highest priority.
 	MaxPriority Priority = 9
 )
 
-// String returns the priority's word in the operator's text.
+// String returns the priority's name in the operator's text, or "urgent+N" for
+// a priority N above Urgent, which has no name there.
 func (p Priority) String() string {
 	switch p {
 	case Bulk:
@@ -97,19 +102,22 @@
 	Retries  int           `cbor:"5,keyasint,omitempty"`
 	Callers  []string      `cbor:"6,keyasint,omitempty"`
 	Priority Priority      `cbor:"7,keyasint,omitempty"`
-	// Aim is the time within which an answer is worth most to the caller; 0 if
-	// the text doesn't say.
+	// Aim is the target response time: a response within Aim has the most value
+	// to the caller. 0 means that none is configured.
 	Aim time.Duration `cbor:"8,keyasint,omitempty"`
-	// Again lets a request that may be repeated be sent again when its target
-	// answers that it failed (a 5xx); by default such an answer is final.
+	// Again allows a Repeatable request to be retried after a 5xx response of
+	// its target. By default such a response is final.
 	Again bool `cbor:"9,keyasint,omitempty"`
 }
 
-// QueueBySlots as a service's Queue is twice the slots that each of its targets
-// announces: what waits is then begun within two usual requests' time.
+// QueueBySlots as Service.Queue sets each target's queue length to twice the
+// number of slots that the target announces. A queued request then starts
+// within the duration of two usual requests.
 const QueueBySlots = -1
 
-// Service is one service: its limits per target, what it needs and its routes.
+// Service is one service: its limits per target, its dependencies and its
+// routes. Slots limits the concurrent requests of one target, Queue the requests
+// that wait for a slot; see QueueBySlots.
 type Service struct {
 	Name      string   `cbor:"1,keyasint"`
 	Depends   []string `cbor:"2,keyasint,omitempty"`
@@ -118,20 +126,21 @@
 	Conns     int      `cbor:"5,keyasint"`
 	Queue     int      `cbor:"6,keyasint,omitempty"`
 	Routes    []Route  `cbor:"7,keyasint,omitempty"`
-	// Health is the path by which a target tells whether it is well; empty if
-	// it has none.
+	// Health is the path of the targets' health endpoint; empty if there is
+	// none.
 	Health string `cbor:"8,keyasint,omitempty"`
 }
 
-// Inventory counts and names exactly what a snapshot must hold.
+// Inventory lists the services and counts the routes and entries that a
+// snapshot must contain. It is used to detect an incomplete snapshot.
 type Inventory struct {
 	Services []string `cbor:"1,keyasint"`
 	Routes   int      `cbor:"2,keyasint"`
 	Entries  int      `cbor:"3,keyasint,omitempty"`
 }
 
-// Snapshot is one version's content. Services are sorted by name. It is never
-// changed after it was made.
+// Snapshot is the content of one version of the configuration. Services are
+// sorted by name. A Snapshot is immutable.
 type Snapshot struct {
 	Mesh      string    `cbor:"1,keyasint"`
 	Services  []Service `cbor:"2,keyasint"`
@@ -140,7 +149,7 @@
 	Limits    Limits    `cbor:"5,keyasint"`
 }
 
-// Service finds a service by name.
+// Service returns the service with the given name by binary search.
 func (s *Snapshot) Service(name string) (*Service, bool) {
 	lo, hi := 0, len(s.Services)
 	for lo < hi {
@@ -157,19 +166,19 @@
 	return &s.Services[lo], true
 }
 
-// Hash names content: BLAKE3, 256 bits.
+// Hash is a content hash: BLAKE3 with 256 bits.
 type Hash [32]byte
 
 // String returns the hash in hexadecimal.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// Short returns the first eight hexadecimal digits, for people.
+// Short returns the first eight hexadecimal digits, for display.
 func (h Hash) Short() string { return hex.EncodeToString(h[:4]) }
 
-// IsZero tells whether the hash names nothing.
+// IsZero reports whether h is the zero Hash, which identifies no content.
 func (h Hash) IsZero() bool { return h == Hash{} }
 
-// ParseHash reads what String wrote.
+// ParseHash parses the output of Hash.String.
 func ParseHash(s string) (Hash, error) {
 	var h Hash
 	b, err := hex.DecodeString(s)
@@ -180,10 +189,11 @@
 	return h, nil
 }
 
-// Sum names content by its hash.
+// Sum returns the content hash of b.
 func Sum(b []byte) Hash { return blake3.Sum256(b) }
 
-// Encode returns the one encoding of s.
+// Encode returns the deterministic encoding of s. It returns ErrBounds if the
+// encoding is larger than MaxBytes.
 func Encode(s *Snapshot) ([]byte, error) {
 	b, err := codec.Encode(s)
 	if err != nil {
@@ -195,9 +205,9 @@
 	return b, nil
 }
 
-// Open decodes b after checking that it is whole: within MaxBytes, equal to
-// hash, and complete by its own inventory. Its errors wrap ErrBounds, ErrHash
-// or ErrInventory.
+// Open decodes and verifies an encoded snapshot: b must not be larger than
+// MaxBytes, must have the given hash and must be complete according to its
+// inventory. Its errors wrap ErrBounds, ErrHash or ErrInventory.
 func Open(b []byte, hash Hash) (*Snapshot, error) {
 	if len(b) > MaxBytes {
 		return nil, ErrBounds
@@ -215,28 +225,28 @@
 	return s, nil
 }
 
-// Verify checks that the snapshot holds exactly what its inventory lists and
-// that nothing in it points at something that it doesn't hold.
+// Verify checks that the snapshot contains exactly what its inventory lists and
+// that every reference in it points to something that it contains.
 //
-// It guards against a version that was compiled or cut short by a fault: its
-// symptom would be a route that answers from nowhere. Since every reference is
-// looked up in the same immutable value, a version that passes can't lose one
-// later.
+// It guards against a version that a fault in compilation or transfer left
+// incomplete, which would show as a route without a service behind it. Since
+// every reference is resolved within the same immutable value, a snapshot that
+// passes cannot get a dangling reference later.
 func (s *Snapshot) Verify() error {
 	if len(s.Services) > MaxServices {
 		return ErrBounds
 	}
 	if len(s.Services) != len(s.Inventory.Services) {
-		return errors.Wrapf(ErrInventory, "%d services of %d", len(s.Services), len(s.Inventory.Services))
+		return errors.Wrapf(ErrInventory, "%d services where the inventory lists %d", len(s.Services), len(s.Inventory.Services))
 	}
 	routes := 0
 	for i := range s.Services {
 		svc := &s.Services[i]
 		if svc.Name != s.Inventory.Services[i] {
-			return errors.Wrapf(ErrInventory, "service %q where %q is listed", svc.Name, s.Inventory.Services[i])
+			return errors.Wrapf(ErrInventory, "service %q where the inventory lists %q", svc.Name, s.Inventory.Services[i])
 		}
 		if i > 0 && s.Services[i-1].Name >= svc.Name {
-			return errors.Wrapf(ErrInventory, "service %q out of order", svc.Name)
+			return errors.Wrapf(ErrInventory, "service %q is not in sorted order", svc.Name)
 		}
 		if err := s.verifyService(svc); err != nil {
 			return err
@@ -244,14 +254,14 @@
 		routes += len(svc.Routes)
 	}
 	if routes != s.Inventory.Routes {
-		return errors.Wrapf(ErrInventory, "%d routes of %d", routes, s.Inventory.Routes)
+		return errors.Wrapf(ErrInventory, "%d routes where the inventory lists %d", routes, s.Inventory.Routes)
 	}
 	return s.verifyEntries()
 }
 
 func (s *Snapshot) verifyService(svc *Service) error {
 	if svc.Upstreams < 1 || svc.Slots < 1 || svc.Conns < 1 {
-		return errors.Wrapf(ErrInventory, "service %q has no upstreams", svc.Name)
+		return errors.Wrapf(ErrInventory, "service %q has no upstreams, slots or connections", svc.Name)
 	}
 	if len(svc.Routes) > MaxRoutes {
 		return ErrBounds
@@ -264,7 +274,7 @@
 	return nil
 }
 
-// NewInventory lists what services hold.
+// NewInventory returns the inventory of services, without entries.
 func NewInventory(services []Service) Inventory {
 	inv := Inventory{Services: make([]string, 0, len(services))}
 	for i := range services {
@@ -274,7 +284,8 @@
 	return inv
 }
 
-// Allows tells whether a caller may use the route.
+// Allows reports whether a caller may use the route. An empty Callers list
+// allows all callers.
 func (r Route) Allows(caller string) bool {
 	return len(r.Callers) == 0 || slices.Contains(r.Callers, caller)
 }
--- a/mesh/snapshot/snapshot_test.go
+++ b/mesh/snapshot/snapshot_test.go
@@ -11,7 +11,7 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-func sample(n, slots int) *snapshot.Snapshot {
+func newSnapshot(n, slots int) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{Mesh: "test"}
 	for i := range n {
 		s.Services = append(s.Services, snapshot.Service{
@@ -23,19 +23,18 @@
 	return s
 }
 
-func encoded(c *qt.C, s *snapshot.Snapshot) ([]byte, snapshot.Hash) {
+func encode(c *qt.C, s *snapshot.Snapshot) ([]byte, snapshot.Hash) {
 	b, err := snapshot.Encode(s)
 	c.Assert(err, qt.IsNil)
 	return b, snapshot.Sum(b)
 }
 
-// TestOpen damages a snapshot in each way that a fault on its way could.
-//
-// A proxy that took a damaged one would serve half of a version. Whatever is
-// cut off or changed must be seen before anything of it is used.
+// TestOpen truncates an encoded snapshot at every length and corrupts it at
+// every byte. A proxy that accepted a damaged snapshot would serve a part of a
+// version, so Open must detect the damage before any of the content is used.
 func TestOpen(t *testing.T) {
 	c := qt.New(t)
-	good, hash := encoded(c, sample(20, 6))
+	good, hash := encode(c, newSnapshot(20, 6))
 	_, err := snapshot.Open(good, hash)
 	c.Assert(err, qt.IsNil)
 	for n := range good {
@@ -50,10 +49,11 @@
 	c.Assert(errors.Is(err, snapshot.ErrBounds), qt.IsTrue)
 }
 
-// TestInventory makes snapshots that are sound as bytes but not whole.
+// TestInventory checks that Open rejects snapshots whose bytes match their hash
+// but whose content does not match the inventory.
 func TestInventory(t *testing.T) {
 	c := qt.New(t)
-	for name, spoil := range map[string]func(*snapshot.Snapshot){
+	for name, corrupt := range map[string]func(*snapshot.Snapshot){
 		"a service is missing":       func(s *snapshot.Snapshot) { s.Services = s.Services[1:] },
 		"a route is missing":         func(s *snapshot.Snapshot) { s.Services[0].Routes = nil },
 		"a service has another name": func(s *snapshot.Snapshot) { s.Services[0].Name = "a" },
@@ -64,18 +64,20 @@
 			s.Inventory = snapshot.NewInventory(s.Services)
 		},
 	} {
-		s := sample(3, 6)
-		spoil(s)
-		b, hash := encoded(c, s)
+		s := newSnapshot(3, 6)
+		corrupt(s)
+		b, hash := encode(c, s)
 		_, err := snapshot.Open(b, hash)
 		c.Check(errors.Is(err, snapshot.ErrInventory), qt.IsTrue, qt.Commentf("%s: %v", name, err))
 	}
 }
 
+// TestDelta checks that a delta restores the content against its base, and that
+// a wrong base never yields content with the expected hash.
 func TestDelta(t *testing.T) {
 	c := qt.New(t)
-	old, _ := encoded(c, sample(170, 6))
-	now, hash := encoded(c, sample(170, 7))
+	old, _ := encode(c, newSnapshot(170, 6))
+	now, hash := encode(c, newSnapshot(170, 7))
 	for _, base := range [][]byte{nil, old} {
 		p, err := snapshot.Pack(base, now)
 		c.Assert(err, qt.IsNil)
@@ -85,15 +87,16 @@
 	}
 	p, err := snapshot.Pack(old, now)
 	c.Assert(err, qt.IsNil)
-	other, _ := encoded(c, sample(9, 9))
+	other, _ := encode(c, newSnapshot(9, 9))
 	wrong, err := snapshot.Unpack(other, p)
 	if err == nil {
 		c.Assert(snapshot.Sum(wrong), qt.Not(qt.Equals), hash)
 	}
 }
 
-// TestBomb checks that a small delta can't ask for a lot of memory.
-func TestBomb(t *testing.T) {
+// TestDecompressionBomb checks that a small delta cannot be decompressed to
+// more than MaxBytes.
+func TestDecompressionBomb(t *testing.T) {
 	c := qt.New(t)
 	p, err := snapshot.Pack(nil, make([]byte, 4*snapshot.MaxBytes))
 	c.Assert(err, qt.IsNil)
@@ -102,10 +105,10 @@
 	c.Assert(errors.Is(err, snapshot.ErrDelta), qt.IsTrue)
 }
 
-// FuzzOpen checks that no bytes from a peer can pass for a snapshot that is
-// not whole, or end the process.
+// FuzzOpen checks that no input from a peer is accepted as a snapshot that
+// fails Verify, or crashes the process.
 func FuzzOpen(f *testing.F) {
-	b, err := snapshot.Encode(sample(2, 6))
+	b, err := snapshot.Encode(newSnapshot(2, 6))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -114,12 +117,13 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := snapshot.Open(b, snapshot.Sum(b))
 		if err == nil && s.Verify() != nil {
-			t.Fatal("opened without being whole")
+			t.Fatal("Open accepted a snapshot that fails Verify")
 		}
 	})
 }
 
-// FuzzUnpack checks that no delta from a peer can end the process.
+// FuzzUnpack checks that no delta from a peer crashes the process or yields
+// more than MaxBytes.
 func FuzzUnpack(f *testing.F) {
 	base := []byte("a base that is somewhat longer than a few bytes")
 	p, err := snapshot.Pack(base, []byte("a base that is somewhat longer than most"))
@@ -131,7 +135,7 @@
 	f.Fuzz(func(t *testing.T, base, p []byte) {
 		b, err := snapshot.Unpack(base, p)
 		if err == nil && len(b) > snapshot.MaxBytes {
-			t.Fatal("larger than allowed")
+			t.Fatal("Unpack returned more than MaxBytes")
 		}
 	})
 }
