--- a/mesh/text/route.go
+++ b/mesh/text/route.go
@@ -13,14 +13,14 @@
 	"briarrock.example/mesh/strict"
 )
 
-// Ranges and defaults of a route's policy.
+// Ranges and defaults of the fields of a route.
 const (
 	defaultDeadline = 5 * time.Second
 	minDeadline     = time.Millisecond
 	maxDeadline     = time.Hour
 	defaultRetries  = 1
 	maxRetries      = 5
-	maxPath         = 1024
+	maxPathBytes    = 1024
 )
 
 var methods = []string{
@@ -37,27 +37,29 @@
 		c.Add(list, "%d routes; %d is the most", len(list.Content), snapshot.MaxRoutes)
 		return nil
 	}
-	seen := make(map[string]int)
+	lines := make(map[string]int)
 	out := make([]snapshot.Route, 0, len(list.Content))
 	for _, n := range list.Content {
 		r := c.route(n)
 		if r.Path == "" {
 			continue
 		}
-		if line, ok := overlaps(seen, r); ok {
+		if line, ok := findDuplicate(lines, r); ok {
 			c.Add(n, "route %s is listed twice; first on line %d", r.Name(), line)
 			continue
 		}
-		remember(seen, r, n.Line)
+		addRoute(lines, r, n.Line)
 		out = append(out, r)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name() < out[j].Name() })
 	return out
 }
 
-// anyMethod stands for a route without a list of methods.
+// anyMethod is the method in the key of a route without a list of methods.
 const anyMethod = "*"
 
+// routeKeys returns the keys "METHOD PATH" of a route, by which duplicates are
+// found.
 func routeKeys(r snapshot.Route) []string {
 	if len(r.Methods) == 0 {
 		return []string{anyMethod + " " + r.Path}
@@ -69,18 +71,20 @@
 	return keys
 }
 
-func overlaps(seen map[string]int, r snapshot.Route) (int, bool) {
+// findDuplicate returns the line of an earlier route that has a key in common
+// with r. lines maps the keys of the earlier routes to their lines.
+func findDuplicate(lines map[string]int, r snapshot.Route) (int, bool) {
 	for _, k := range routeKeys(r) {
-		if line, ok := seen[k]; ok {
+		if line, ok := lines[k]; ok {
 			return line, true
 		}
 	}
 	return 0, false
 }
 
-func remember(seen map[string]int, r snapshot.Route, line int) {
+func addRoute(lines map[string]int, r snapshot.Route, line int) {
 	for _, k := range routeKeys(r) {
-		seen[k] = line
+		lines[k] = line
 	}
 }
 
@@ -118,7 +122,7 @@
 
 func (c *compiler) path(n *yaml.Node) string {
 	s := c.Scalar(n)
-	if !strings.HasPrefix(s, "/") || len(s) > maxPath || strings.ContainsAny(s, "?#% ") {
+	if !strings.HasPrefix(s, "/") || len(s) > maxPathBytes || strings.ContainsAny(s, "?#% ") {
 		c.Add(n, "path %q must start with / and hold no query, escape or space", s)
 		return ""
 	}
--- a/mesh/text/text.go
+++ b/mesh/text/text.go
@@ -1,5 +1,5 @@
-// Package text reads the operator's text, the one YAML document that lists
-// every service and what it depends on, and compiles it to a snapshot.
+// Package text compiles the operator's text to a snapshot. The text is a single
+// YAML document that lists all services and their dependencies.
 //
 //	mesh: quaywell
 //	services:
@@ -15,9 +15,10 @@
 //	        deadline: 2s
 //	        callers: [kiosk]
 //
-// Compile is strict: an unknown word, a reference to nothing, a duplicate or a
-// number out of range is a mistake. It reports all mistakes at once, each with
-// its line and column, and makes a snapshot only when there are none.
+// Compile is strict: unknown keys and values, references to missing services,
+// duplicates and numbers out of range are mistakes. It reports all mistakes at
+// once, each with its line and column, and returns a snapshot only if there are
+// none.
 package text
 
 import (
@@ -30,10 +31,11 @@
 	"briarrock.example/mesh/strict"
 )
 
-// MaxBytes bounds the operator's text.
+// MaxBytes is the maximum size of the operator's text.
 const MaxBytes = 4 << 20
 
-// Compile turns a text into a snapshot. Its error, if any, is strict.Mistakes.
+// Compile compiles the operator's text to a snapshot. Its error, if any, is a
+// strict.Mistakes.
 func Compile(src []byte) (*snapshot.Snapshot, error) {
 	c := new(compiler)
 	if len(src) > MaxBytes {
@@ -57,14 +59,17 @@
 
 type compiler struct {
 	strict.Reader
-	// places of services by name, for mistakes found after reading them all.
-	places map[string]*yaml.Node
-	// cyclic are the services that allow themselves to be on a cycle.
+	// nodes maps a service name to its YAML node, for the positions of mistakes
+	// that are found after all services have been read.
+	nodes map[string]*yaml.Node
+	// cyclic holds the services with "cyclic: true", which may be part of a
+	// dependency cycle.
 	cyclic map[string]bool
 	refs   []reference
 }
 
-// reference is one name in a depends list, checked when all names are known.
+// reference is one name in the depends list of the service from. It is checked
+// after all services have been read.
 type reference struct {
 	from string
 	node *yaml.Node
@@ -89,8 +94,8 @@
 		return s
 	}
 	s.Services = c.services(services)
-	c.references()
-	c.cycles(s.Services)
+	c.checkReferences()
+	c.checkCycles(s.Services)
 	s.Inventory = snapshot.NewInventory(s.Services)
 	return s
 }
@@ -100,7 +105,7 @@
 		c.Add(list, "%d services; %d is the most", len(list.Content), snapshot.MaxServices)
 		return nil
 	}
-	c.places = make(map[string]*yaml.Node)
+	c.nodes = make(map[string]*yaml.Node)
 	c.cyclic = make(map[string]bool)
 	out := make([]snapshot.Service, 0, len(list.Content))
 	for _, n := range list.Content {
@@ -108,18 +113,18 @@
 		if svc.Name == "" {
 			continue
 		}
-		if first, ok := c.places[svc.Name]; ok {
+		if first, ok := c.nodes[svc.Name]; ok {
 			c.Add(n, "service %q is listed twice; first on line %d", svc.Name, first.Line)
 			continue
 		}
-		c.places[svc.Name] = n
+		c.nodes[svc.Name] = n
 		out = append(out, svc)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
 
-// Ranges of the numbers in the text.
+// Upper limits of the numbers in the text.
 const (
 	maxUpstreams = 10000
 	maxSlots     = 10000
@@ -160,17 +165,18 @@
 	return names
 }
 
-func (c *compiler) references() {
+// checkReferences reports dependencies on services that are not listed.
+func (c *compiler) checkReferences() {
 	for _, r := range c.refs {
-		if _, ok := c.places[r.node.Value]; !ok {
+		if _, ok := c.nodes[r.node.Value]; !ok {
 			c.Add(r.node, "service %q depends on %q, which is not listed", r.from, r.node.Value)
 		}
 	}
 }
 
-// cycles refuses a cycle of dependencies unless a service on it says
-// "cyclic: true": a call that goes round such a cycle never ends by itself.
-func (c *compiler) cycles(services []snapshot.Service) {
+// checkCycles reports dependency cycles in which no service has "cyclic: true".
+// A call that follows such a cycle never terminates by itself.
+func (c *compiler) checkCycles(services []snapshot.Service) {
 	depends := make(map[string][]string, len(services))
 	for _, s := range services {
 		depends[s.Name] = s.Depends
@@ -184,9 +190,9 @@
 		path = append(path, name)
 		for _, d := range depends[name] {
 			if state[d] == visiting {
-				c.cycle(path, d)
+				c.reportCycle(path, d)
 			}
-			if state[d] == 0 && c.places[d] != nil {
+			if state[d] == 0 && c.nodes[d] != nil {
 				visit(d)
 			}
 		}
@@ -200,7 +206,9 @@
 	}
 }
 
-func (c *compiler) cycle(path []string, back string) {
+// reportCycle records the cycle that leads from the last service of path to the
+// service back, which is also on path, unless a service in it is cyclic.
+func (c *compiler) reportCycle(path []string, back string) {
 	for i, name := range path {
 		if name == back {
 			path = path[i:]
@@ -212,7 +220,7 @@
 			return
 		}
 	}
-	way := strings.Join(append(append([]string{}, path...), back), " → ")
-	c.Add(c.places[back], "services depend on each other in a cycle: %s; "+
-		"say \"cyclic: true\" at one of them if it is meant", way)
+	cycle := strings.Join(append(append([]string{}, path...), back), " → ")
+	c.Add(c.nodes[back], "services depend on each other in a cycle: %s; "+
+		"say \"cyclic: true\" at one of them if it is meant", cycle)
 }
--- a/mesh/text/text_test.go
+++ b/mesh/text/text_test.go
@@ -13,8 +13,8 @@
 	"briarrock.example/mesh/text"
 )
 
-// TestCompile runs the scripts in testdata: texts, and the mistakes or the
-// routes that they compile to.
+// TestCompile runs the scripts in testdata. Each compiles a text and expects
+// either its mistakes or the services and routes of its snapshot.
 func TestCompile(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string {
@@ -31,7 +31,7 @@
 	})
 }
 
-// TestExamples checks that the texts which ship are without mistakes.
+// TestExamples checks that the example configurations compile without mistakes.
 func TestExamples(t *testing.T) {
 	c := qt.New(t)
 	for _, name := range []string{"quaywell", "lakeshore"} {
@@ -43,8 +43,8 @@
 	}
 }
 
-// FuzzCompile checks that whatever an operator writes gives mistakes or a
-// snapshot that is whole.
+// FuzzCompile checks that every input either is rejected or compiles to a
+// snapshot that can be encoded and opened.
 func FuzzCompile(f *testing.F) {
 	f.Add([]byte("mesh: a\nservices: []\n"))
 	f.Add([]byte("mesh: a\nservices:\n  - {name: b, upstreams: 1, routes: [{path: /, mode: once}]}\n"))
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 		if _, err := snapshot.Open(b, snapshot.Sum(b)); err != nil {
-			t.Fatal(fmt.Errorf("does not open: %w", err))
+			t.Fatal(fmt.Errorf("Open rejects a compiled snapshot: %w", err))
 		}
 	})
 }
