--- a/mesh/platform/commit.go
+++ b/mesh/platform/commit.go
@@ -10,24 +10,25 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// HeadKey is the table's row that names the version in force.
+// HeadKey is the key of the head row, which identifies the current version.
 const HeadKey = "head"
 
-// auditPrefix begins the key of each audit row; the version follows in a
-// fixed width, so that the order of keys is the order of versions.
+// auditPrefix is the key prefix of the audit rows. The version follows with a
+// fixed width, so that keys sort in the order of versions.
 const auditPrefix = "audit/"
 
 // AuditKey returns the key of a version's audit row.
 func AuditKey(version uint64) string { return fmt.Sprintf("%s%020d", auditPrefix, version) }
 
-// writePrefix begins the key of the row by which an edit's id is known.
+// writePrefix is the key prefix of the write rows. A write row records that the
+// edit with the write id in its key was accepted, and as which version.
 const writePrefix = "write/"
 
-// WriteKey returns the key of the row of an edit's id.
+// WriteKey returns the key of the write row for a write id.
 func WriteKey(id string) string { return writePrefix + id }
 
-// AuditScan asks for the audit rows of versions below before, newest first;
-// 0 asks for the newest.
+// AuditScan returns the scan for up to limit audit rows of versions below
+// before, newest first. If before is 0 the scan starts at the newest version.
 func AuditScan(before uint64, limit int) Scan {
 	s := Scan{Prefix: auditPrefix, Limit: limit, Reverse: true}
 	if before > 0 {
@@ -39,28 +40,29 @@
 // Head is the value of the head row.
 type Head struct {
 	Version uint64 `json:"version"`
-	Hash    string `json:"hash"` // of the snapshot
-	Text    string `json:"text"` // hash of the operator's text
-	Write   string `json:"write"`
+	Hash    string `json:"hash"`  // hash of the snapshot
+	Text    string `json:"text"`  // hash of the operator's text
+	Write   string `json:"write"` // write id of the edit
 }
 
-// Audit is one row of the audit trail, written in the same transaction as the
-// head that it tells of.
+// Audit is the value of an audit row. It is written in the same transaction as
+// the head of its version.
 type Audit struct {
 	Version uint64    `json:"version"`
-	Base    uint64    `json:"base"`
-	Hash    string    `json:"hash"`
-	Text    string    `json:"text"`
-	Write   string    `json:"write"`
-	Who     string    `json:"who"`
-	From    string    `json:"from"` // address that the edit came from
-	Host    string    `json:"host"` // host of the accepting node
+	Base    uint64    `json:"base"`  // version that the edit was based on
+	Hash    string    `json:"hash"`  // hash of the snapshot
+	Text    string    `json:"text"`  // hash of the operator's text
+	Write   string    `json:"write"` // write id of the edit
+	Who     string    `json:"who"`   // operator who made the edit
+	From    string    `json:"from"`  // address that the edit was sent from
+	Host    string    `json:"host"`  // host of the node that accepted the edit
 	At      time.Time `json:"at"`
 	Note    string    `json:"note,omitempty"`
 	Changes []string  `json:"changes"`
 }
 
-// ParseHead reads the value of a head row.
+// ParseHead decodes the value of a head row and returns it with the hash of its
+// snapshot.
 func ParseHead(b []byte) (Head, snapshot.Hash, error) {
 	var h Head
 	if err := json.Unmarshal(b, &h); err != nil {
@@ -70,74 +72,82 @@
 	return h, hash, err
 }
 
-// Outcome is how an attempt to commit ended.
+// Outcome is the result of a commit.
 type Outcome int
 
 // The outcomes of a commit.
 const (
-	// Pending says that the commit goes on.
+	// Pending means that the commit has not finished.
 	Pending Outcome = iota
-	// Accepted says that the version is the head, written exactly once.
+	// Accepted means that the edit became the head, written exactly once.
 	Accepted
-	// Conflicted says that another edit came first; nothing was written.
+	// Conflicted means that another edit was committed first; nothing was
+	// written.
 	Conflicted
-	// Refused says that nothing was written since the store was unavailable.
+	// Refused means that nothing was written because the store was unavailable.
 	Refused
-	// Undecided says that the write may have taken effect. Asking again with
-	// the same write id tells.
+	// Undecided means that the write may have taken effect. A retry with the
+	// same write id determines whether it did.
 	Undecided
 )
 
-// Commit decides how one edit becomes the head. It is a step function: each
-// method takes what happened and returns what to do next, without any I/O.
+// Commit is the state machine that makes one edit the head. Each method takes
+// the result of the previous action and returns the next action. It does no I/O
+// itself.
 //
-// Its safeguard is against an answer that is lost after the write took
-// effect. Writing again blindly would put the edit in twice, or put it over
-// another operator's. So each edit has an id, and the transaction that makes
-// it the head also writes a row under that id. Before anything else, and after
-// every outcome that is not clear, that row is read: if it is there the edit
-// went in, as the version that the row names, however long ago and whatever
-// came after it.
+// Commit guards against a response that is lost after the write took effect. A
+// blind retry would then apply the edit twice or overwrite the edit of another
+// operator. Therefore each edit has a write id, and the transaction that makes
+// the edit the head also writes a row under this id, the write row. Commit reads
+// the write row first and again after every unclear result. If the row exists,
+// the edit was accepted as the version in the row, no matter how long ago and
+// whatever was committed since.
 type Commit struct {
 	audit Audit
-	// sent is set once the transaction may have been carried out.
-	sent  bool
-	tries int
+	// sent is set once the transaction may have taken effect.
+	sent bool
+	// reads counts the inconclusive reads after the transaction was sent.
+	reads int
 }
 
-// maxReads is how often a commit asks what became of its write.
+// maxReads is the number of inconclusive reads after which a commit whose
+// transaction was sent ends as Undecided.
 const maxReads = 5
 
-// NewCommit returns the decision for one edit. The audit row names the base
-// that the edit began from and the id of the write; its Version is set here.
+// NewCommit returns a Commit for one edit. The caller sets the base version and
+// the write id in a; NewCommit sets a.Version.
 func NewCommit(a Audit) *Commit {
 	a.Version = a.Base + 1
 	return &Commit{audit: a}
 }
 
-// Action is what the caller of a Commit does next.
+// Action is the next step that the caller of a Commit must execute.
 type Action interface{ action() }
 
-// ReadWriteRow asks to read the row of the edit's id and call WriteRowRead.
+// ReadWriteRow is the action to read the write row of an edit and to pass it to
+// WriteRowRead.
 type ReadWriteRow struct {
-	ID string
-	// Wait is set when the last read told nothing: pause before this one.
+	ID string // the write id
+	// Wait is set if the previous read was inconclusive. The caller then pauses
+	// before this one.
 	Wait bool
 }
 
-// ReadHead asks to read the head row and call HeadRead.
+// ReadHead is the action to read the head row and to pass it to HeadRead.
 type ReadHead struct{}
 
-// Transact asks to run the transaction and call Transacted.
+// Transact is the action to execute a transaction and to pass its error to
+// Transacted.
 type Transact struct{ Transaction Transaction }
 
-// ReadAudit asks to read a version's audit row and call AuditRead.
+// ReadAudit is the action to read a version's audit row and to pass it to
+// AuditRead.
 type ReadAudit struct{ Version uint64 }
 
-// Finish ends the commit.
+// Finish is the last action. It holds the result of the commit.
 type Finish struct {
 	Outcome Outcome
-	Audit   Audit // the edit accepted, or the one that came first
+	Audit   Audit // the accepted edit or, after a conflict, the one committed first
 }
 
 func (ReadWriteRow) action() {}
@@ -146,91 +156,95 @@
 func (ReadAudit) action()    {}
 func (Finish) action()       {}
 
-// Begin starts the commit.
+// Begin returns the first action.
 func (c *Commit) Begin() Action { return ReadWriteRow{ID: c.audit.Write} }
 
-// written is the value of the row of an edit's id.
-type written struct {
+// writeRow is the value of a write row.
+type writeRow struct {
 	Version uint64 `json:"version"`
 	Hash    string `json:"hash"`
 }
 
-// WriteRowRead takes the row of the edit's id. err is nil, ErrMissing, or a
-// failed read.
+// WriteRowRead takes the result of ReadWriteRow. err is nil, ErrMissing or the
+// error of a failed read.
 func (c *Commit) WriteRowRead(row Row, err error) Action {
 	if errors.Is(err, ErrMissing) {
 		return ReadHead{}
 	}
-	var w written
+	var w writeRow
 	if err == nil {
 		err = json.Unmarshal(row.Value, &w)
 	}
 	if err != nil {
-		return c.unclear()
+		return c.readFailed()
 	}
 	a := c.audit
 	a.Version, a.Hash, a.Base = w.Version, w.Hash, w.Version-1
 	return Finish{Outcome: Accepted, Audit: a}
 }
 
-// unclear is for a read that told nothing. As long as nothing was sent, that
-// is a plain refusal.
-func (c *Commit) unclear() Action {
+// readFailed returns the action after an inconclusive read. As long as the
+// transaction was not sent, the commit ends as Refused.
+func (c *Commit) readFailed() Action {
 	if !c.sent {
 		return Finish{Outcome: Refused}
 	}
-	c.tries++
-	if c.tries >= maxReads {
+	c.reads++
+	if c.reads >= maxReads {
 		return Finish{Outcome: Undecided, Audit: c.audit}
 	}
 	return ReadWriteRow{ID: c.audit.Write, Wait: true}
 }
 
-// HeadRead takes the head row. err is nil, ErrMissing, or a failed read.
+// HeadRead takes the result of ReadHead. err is nil, ErrMissing or the error of
+// a failed read.
 func (c *Commit) HeadRead(row Row, err error) Action {
 	if err != nil && !errors.Is(err, ErrMissing) {
-		return c.unclear()
+		return c.readFailed()
 	}
 	var head Head
 	if err == nil {
 		if head, _, err = ParseHead(row.Value); err != nil {
-			return c.unclear()
+			return c.readFailed()
 		}
 	}
 	if head.Version != c.audit.Base {
-		// Another edit came first. One of ours that is still on its way can't
-		// take effect any more, since its condition names the old head.
+		// Another edit was committed first. A transaction of this commit that is
+		// still in flight can no longer take effect, since it is conditional on
+		// the tag of the previous head.
 		return ReadAudit{Version: c.audit.Base + 1}
 	}
 	if c.sent {
-		return c.unclear()
+		return c.readFailed()
 	}
-	return c.try(Condition{Key: HeadKey, Tag: row.Tag})
+	return c.transact(Condition{Key: HeadKey, Tag: row.Tag})
 }
 
-func (c *Commit) try(cond Condition) Action {
-	head, err := json.Marshal(Head{
+// transact returns the transaction that writes the head, audit and write rows,
+// provided that cond holds for the head row and the other two do not exist.
+func (c *Commit) transact(cond Condition) Action {
+	headValue, err := json.Marshal(Head{
 		Version: c.audit.Version, Hash: c.audit.Hash, Text: c.audit.Text, Write: c.audit.Write,
 	})
 	if err != nil {
 		return Finish{Outcome: Refused}
 	}
-	row, err := json.Marshal(c.audit)
-	if err != nil || len(row) > MaxValue {
+	auditValue, err := json.Marshal(c.audit)
+	if err != nil || len(auditValue) > MaxValue {
 		return Finish{Outcome: Refused}
 	}
-	mark, err := json.Marshal(written{c.audit.Version, c.audit.Hash})
+	writeValue, err := json.Marshal(writeRow{c.audit.Version, c.audit.Hash})
 	if err != nil {
 		return Finish{Outcome: Refused}
 	}
-	audit, write := AuditKey(c.audit.Version), WriteKey(c.audit.Write)
+	auditKey, writeKey := AuditKey(c.audit.Version), WriteKey(c.audit.Write)
 	return Transact{Transaction{
-		Conditions: []Condition{cond, {Key: audit}, {Key: write}},
-		Writes:     []Write{{HeadKey, head}, {audit, row}, {write, mark}},
+		Conditions: []Condition{cond, {Key: auditKey}, {Key: writeKey}},
+		Writes:     []Write{{HeadKey, headValue}, {auditKey, auditValue}, {writeKey, writeValue}},
 	}}
 }
 
-// Transacted takes the outcome of the transaction.
+// Transacted takes the error of the transaction.
 func (c *Commit) Transacted(err error) Action {
 	switch {
 	case err == nil:
@@ -238,15 +252,16 @@
 	case errors.Is(err, ErrUnavailable):
 		return Finish{Outcome: Refused}
 	default:
-		// A condition that failed is looked up too: the request may have been
-		// delivered twice below us, and the first delivery have won.
+		// The write row is also read after a failed condition: a lower layer may
+		// have delivered the request twice, so that the first delivery took
+		// effect and made the second one fail.
 		c.sent = true
 		return ReadWriteRow{ID: c.audit.Write}
 	}
 }
 
-// AuditRead takes the audit row of the edit that came first, if it could be
-// read; that something came first is known without it.
+// AuditRead takes the result of ReadAudit for the edit that was committed first.
+// The outcome is a conflict even if the row could not be read.
 func (c *Commit) AuditRead(row Row, err error) Action {
 	var found Audit
 	if err == nil && json.Unmarshal(row.Value, &found) == nil {
--- a/mesh/platform/commit_test.go
+++ b/mesh/platform/commit_test.go
@@ -13,9 +13,9 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// TestCommit runs the scripts in testdata: what an operator's edit meets at
-// the store, and what the commit does next. The failures in them are told
-// there.
+// TestCommit runs the scripts in testdata. Each passes a sequence of store
+// results to a Commit and expects its actions. The scripts describe the failures
+// that they cover.
 func TestCommit(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var c *platform.Commit
--- a/mesh/platform/edit.go
+++ b/mesh/platform/edit.go
@@ -5,30 +5,33 @@
 	"time"
 )
 
-// Edit is everything that one accepted edit keeps on the platform.
+// Edit holds everything that is stored on the platform for one accepted edit.
 type Edit struct {
 	Audit    Audit
 	Text     []byte
 	Snapshot []byte
 }
 
-// rereadAfter is the pause before asking again what became of a write.
-const rereadAfter = 200 * time.Millisecond
+// rereadDelay is the pause before a write row is read again after an
+// inconclusive read.
+const rereadDelay = 200 * time.Millisecond
 
-// Apply commits an edit: first its objects, which are named by their content
-// and so may be written twice, then the head by Commit. The Finish tells how
-// it ended and, after a conflict, whose edit came first. head is the head row
-// if it has just been read; the zero Row stands for not read.
+// Apply commits an edit. It first writes the edit's objects, which are named by
+// their content hash, so that repeated writes are harmless, and then makes the
+// edit the head by executing the actions of a Commit. The returned Finish holds
+// the outcome and, after a conflict, the edit that was committed first. head is
+// the head row if the caller has just read it; if head is the zero Row, Apply
+// reads the row itself.
 func Apply(ctx context.Context, st Store, e Edit, head Row) Finish {
 	c := NewCommit(e.Audit)
 	row, rowErr := Row{}, error(nil)
-	read := make(chan struct{})
+	rowRead := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(rowRead)
 		row, rowErr = st.Get(ctx, WriteKey(e.Audit.Write))
 	}()
-	err := putAll(ctx, st, e.Text, e.Snapshot)
-	<-read
+	err := putContents(ctx, st, e.Text, e.Snapshot)
+	<-rowRead
 	if err != nil {
 		return Finish{Outcome: Refused}
 	}
@@ -40,7 +43,7 @@
 		switch a := next.(type) {
 		case ReadWriteRow:
 			if a.Wait {
-				Pause(ctx, rereadAfter)
+				Pause(ctx, rereadDelay)
 			}
 			next = c.WriteRowRead(st.Get(ctx, WriteKey(a.ID)))
 		case ReadHead:
@@ -55,9 +58,9 @@
 	}
 }
 
-// putAll keeps several objects at a time: one after the other would cost a
-// node far from the store a round trip each.
-func putAll(ctx context.Context, st Store, contents ...[]byte) error {
+// putContents writes several objects concurrently. Sequential writes would cost
+// a node in a region far from the store one round trip per object.
+func putContents(ctx context.Context, st Store, contents ...[]byte) error {
 	done := make(chan error, len(contents))
 	for _, b := range contents {
 		go func() { done <- PutContent(ctx, st, b) }()
@@ -71,7 +74,7 @@
 	return first
 }
 
-// Pause waits for d, or until ctx ends.
+// Pause sleeps for d or until ctx is done.
 func Pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/mesh/platform/http.go
+++ b/mesh/platform/http.go
@@ -15,27 +15,28 @@
 	"github.com/pkg/errors"
 )
 
-// HTTP is the Store that speaks HTTP with conditional requests (RFC 9110):
+// HTTP is a Store over HTTP with conditional requests (RFC 9110):
 //
-//	GET  /table/KEY                 a row, its tag in ETag
-//	GET  /table?prefix=&after=&limit=&reverse=   rows as JSON
-//	POST /transact                  a Transaction as JSON; 412 if a condition fails
-//	PUT  /object/NAME               If-None-Match: *; 412 says that it is there already
-//	GET  /object/NAME
+//	GET  /table/KEY                 reads a row; its tag is in ETag
+//	GET  /table?prefix=&after=&limit=&reverse=   reads rows as JSON
+//	POST /transact                  executes a Transaction in JSON; 412 if a condition fails
+//	PUT  /object/NAME               writes an object with If-None-Match: *; 412 if it exists
+//	GET  /object/NAME               reads an object
 type HTTP struct {
 	client *http.Client
 	base   string
 	token  string
 }
 
-// attemptTimeout bounds one request to the platform.
-const attemptTimeout = 3 * time.Second
+// requestTimeout limits the duration of one request to the platform.
+const requestTimeout = 3 * time.Second
 
-// maxObject bounds an object read from the platform, in bytes.
-const maxObject = 16 << 20
+// maxObjectBytes is the maximum size of an object or of a page of rows that is
+// read from the platform.
+const maxObjectBytes = 16 << 20
 
-// NewHTTP returns a Store at base, such as "http://127.0.0.1:7400". The token,
-// if any, is sent as a bearer token.
+// NewHTTP returns a Store for the platform at the URL base, such as
+// "http://127.0.0.1:7400". A non-empty token is sent as a bearer token.
 func NewHTTP(client *http.Client, base, token string) *HTTP {
 	return &HTTP{client: client, base: strings.TrimSuffix(base, "/"), token: token}
 }
@@ -59,7 +60,7 @@
 	q.Set("after", s.After)
 	q.Set("limit", strconv.Itoa(s.Limit))
 	q.Set("reverse", strconv.FormatBool(s.Reverse))
-	res, body, err := h.do(ctx, request{method: http.MethodGet, path: "/table?" + q.Encode(), limit: maxObject})
+	res, body, err := h.do(ctx, request{method: http.MethodGet, path: "/table?" + q.Encode(), limit: maxObjectBytes})
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +80,7 @@
 	if err != nil {
 		return errors.Wrap(err, "platform: transact")
 	}
-	res, _, err := h.do(ctx, request{method: http.MethodPost, path: "/transact", body: b, limit: MaxValue, writes: true})
+	res, _, err := h.do(ctx, request{method: http.MethodPost, path: "/transact", body: b, limit: MaxValue, isWrite: true})
 	if err != nil {
 		return err
 	}
@@ -90,20 +91,20 @@
 func (h *HTTP) PutObject(ctx context.Context, name string, content []byte) error {
 	res, _, err := h.do(ctx, request{
 		method: http.MethodPut, path: "/object/" + url.PathEscape(name), body: content,
-		ifNoneMatch: "*", limit: MaxValue, writes: true,
+		ifNoneMatch: "*", limit: MaxValue, isWrite: true,
 	})
 	if err != nil {
 		return err
 	}
 	if res.StatusCode == http.StatusPreconditionFailed {
-		return nil // the name is the content's hash: it is there already
+		return nil // the object exists; its name is the content hash, so it is equal
 	}
 	return writeError(res)
 }
 
 // GetObject implements Store.
 func (h *HTTP) GetObject(ctx context.Context, name string) ([]byte, error) {
-	res, body, err := h.do(ctx, request{method: http.MethodGet, path: "/object/" + url.PathEscape(name), limit: maxObject})
+	res, body, err := h.do(ctx, request{method: http.MethodGet, path: "/object/" + url.PathEscape(name), limit: maxObjectBytes})
 	if err != nil {
 		return nil, err
 	}
@@ -113,17 +114,17 @@
 	return body, nil
 }
 
-// request is one exchange with the platform.
+// request is one request to the platform.
 type request struct {
 	method, path string
 	body         []byte
 	ifNoneMatch  string
-	limit        int64
-	writes       bool
+	limit        int64 // maximum size of the response body in bytes
+	isWrite      bool
 }
 
 func (h *HTTP) do(ctx context.Context, r request) (*http.Response, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -133,7 +134,7 @@
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "platform: request")
 	}
-	// Without GetBody the client can't send a write a second time by itself.
+	// Without GetBody the HTTP client cannot retry a write on its own.
 	req.GetBody = nil
 	if h.token != "" {
 		req.Header.Set("Authorization", "Bearer "+h.token)
@@ -143,12 +144,12 @@
 	}
 	res, err := h.client.Do(req)
 	if err != nil {
-		return nil, nil, RequestError(err, r.writes && connected)
+		return nil, nil, RequestError(err, r.isWrite && connected)
 	}
 	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(res.Body, r.limit+1))
 	if err != nil {
-		return nil, nil, RequestError(err, r.writes)
+		return nil, nil, RequestError(err, r.isWrite)
 	}
 	if int64(len(body)) > r.limit {
 		return nil, nil, errors.Errorf("platform: answer to %s %s is too large", r.method, r.path)
@@ -156,16 +157,18 @@
 	return res, body, nil
 }
 
-// RequestError is the error of a question that got no answer: it tells a write that
-// may have taken effect from one that can't have:
-// before a connection was had, no byte of it was sent.
-func RequestError(err error, maybeDone bool) error {
-	if maybeDone {
+// RequestError returns the error for a request that got no response. It wraps
+// ErrUnknown if maybeApplied is set, that is for a write that may have taken
+// effect, and ErrUnavailable otherwise. A write cannot have taken effect if it
+// failed before there was a connection, since no byte of it was sent.
+func RequestError(err error, maybeApplied bool) error {
+	if maybeApplied {
 		return errors.Wrap(ErrUnknown, err.Error())
 	}
 	return errors.Wrap(ErrUnavailable, err.Error())
 }
 
+// readError returns the error for a response to a read whose status is not 200.
 func readError(res *http.Response) error {
 	if res.StatusCode == http.StatusNotFound {
 		return ErrMissing
@@ -173,9 +176,9 @@
 	return errors.Wrap(ErrUnavailable, res.Status)
 }
 
-// writeError tells what an answer to a write means. A 5xx, 503 included, may
-// come from something in between that gave up on an answer while the write
-// took effect, so it proves nothing.
+// writeError returns the error for a response to a write; nil means that the
+// write took effect. A 5xx status, including 503, returns ErrUnknown: it may come
+// from an intermediary that timed out while the write took effect.
 func writeError(res *http.Response) error {
 	switch {
 	case res.StatusCode < http.StatusMultipleChoices:
--- a/mesh/platform/object.go
+++ b/mesh/platform/object.go
@@ -8,12 +8,13 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// objectName is the name under which content is kept: by its hash, and so the
-// same from whichever node and however often it is written.
+// objectName returns the name of the object that stores the content with the
+// hash h. The name depends on the content only, so writes are idempotent.
 func objectName(h snapshot.Hash) string { return "zstd-" + h.String() }
 
-// PutContent keeps content under its hash. It is compressed, since nodes of
-// other regions than the store's write and read it over the paid link.
+// PutContent stores b as an object named by its hash. The object is compressed,
+// since nodes outside the store's region transfer it over a link that is billed
+// by traffic.
 func PutContent(ctx context.Context, st Store, b []byte) error {
 	packed, err := snapshot.Pack(nil, b)
 	if err != nil {
@@ -22,17 +23,18 @@
 	name := objectName(snapshot.Sum(b))
 	for n := 1; ; n++ {
 		err := st.PutObject(ctx, name, packed)
-		if err == nil || n == putTries || errors.Is(err, ErrUnavailable) {
+		if err == nil || n == maxPutAttempts || errors.Is(err, ErrUnavailable) {
 			return errors.WithStack(err)
 		}
 	}
 }
 
-// putTries is how often an object is written whose answer was lost: it is
-// named by its content, so writing it again is harmless.
-const putTries = 3
+// maxPutAttempts is the number of attempts to write an object when the outcome
+// of a write is unknown. Retries are harmless, since the write is idempotent.
+const maxPutAttempts = 3
 
-// GetContent reads content by its hash and checks that it is what was kept.
+// GetContent reads the content with the hash h and verifies the hash. It returns
+// snapshot.ErrHash if the stored content does not match.
 func GetContent(ctx context.Context, st Store, h snapshot.Hash) ([]byte, error) {
 	packed, err := st.GetObject(ctx, objectName(h))
 	if err != nil {
--- a/mesh/platform/store.go
+++ b/mesh/platform/store.go
@@ -1,17 +1,17 @@
-// Package platform speaks to the platform's service, the only place where
-// anything is kept: a transactional table and an object store.
+// Package platform is the client of the platform's storage service, a
+// transactional table and an object store. All persistent state is kept there.
 //
-// Store is all that the rest of the system asks of it, so that another
-// platform's protocol is one more adapter. HTTP is the adapter that ships.
-// Commit, in commit.go, is the decision of how a new version gets in: a step
-// function that never writes twice and never guesses.
+// Store is the interface that the rest of the system uses, so that support for
+// another platform only takes another implementation of it. HTTP is the one in
+// this package. Commit is the state machine that commits a new version: it never
+// applies an edit twice and never reports an outcome that it has not verified.
 //
 //	st := platform.NewHTTP(client, "http://127.0.0.1:7400", token)
 //	row, err := st.Get(ctx, platform.HeadKey)
 //
-// An error of a write means one of three things, and callers must tell them
-// apart: ErrCondition, it was not done since a condition did not hold;
-// ErrUnavailable, it certainly was not done; anything else, not known.
+// Callers must distinguish three kinds of errors of a write: ErrCondition, it
+// did not take effect because a condition failed; ErrUnavailable, it certainly
+// did not take effect; any other error, it may have taken effect.
 package platform
 
 import (
@@ -20,25 +20,25 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of what is stored.
+// Limits of the table.
 const (
-	MaxKey   = 512
-	MaxValue = 64 << 10
-	MaxWrite = 256 // rows in one transaction
-	MaxScan  = 500 // rows in one answer to a scan
+	MaxKey   = 512      // bytes of a key
+	MaxValue = 64 << 10 // bytes of a value
+	MaxWrite = 256      // rows in one transaction
+	MaxScan  = 500      // rows in the response to one scan
 )
 
 // Sentinel errors of a Store.
 var (
-	// ErrMissing says that there is no such row or object.
+	// ErrMissing means that the row or object does not exist.
 	ErrMissing = errors.New("platform: not found")
-	// ErrCondition says that a transaction was not done since one of its
-	// conditions did not hold.
+	// ErrCondition means that a transaction did not take effect because one of
+	// its conditions failed.
 	ErrCondition = errors.New("platform: condition does not hold")
-	// ErrUnavailable says that the platform could not be asked, and so that
-	// nothing was done.
+	// ErrUnavailable means that the platform could not be reached or rejected
+	// the request, and so that a write certainly did not take effect.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUnknown says that a write was sent and its answer did not come: it
+	// ErrUnknown means that a write was sent but its outcome is not known: it
 	// may have taken effect.
 	ErrUnknown = errors.New("platform: outcome not known")
 )
@@ -50,28 +50,30 @@
 	Tag   string `json:"tag"`
 }
 
-// Condition asks that a row is as it was read. An empty Tag asks that there
-// is no such row.
+// Condition requires that a row still has the given tag. An empty Tag requires
+// that the row does not exist.
 type Condition struct {
 	Key string `json:"key"`
 	Tag string `json:"tag"`
 }
 
-// Write is one change in a transaction; a nil Value deletes the row.
+// Write sets the value of one row; a nil Value deletes the row.
 type Write struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 }
 
-// Transaction is a set of writes that take effect together, if every
-// condition holds at that moment.
+// Transaction is a set of writes that are applied atomically if all conditions
+// hold.
 type Transaction struct {
 	Conditions []Condition `json:"conditions"`
 	Writes     []Write     `json:"writes"`
 }
 
-// Scan asks for rows whose key begins with Prefix, from the key after After
-// on, Limit at most; Reverse gives the last ones first.
+// Scan selects up to Limit rows whose keys begin with Prefix. It starts after
+// the key After, which need not exist; an empty After starts at the first row.
+// With Reverse, rows are in descending order of their keys, After is an exclusive
+// upper bound, and an empty After starts at the last row.
 type Scan struct {
 	Prefix  string
 	After   string
@@ -79,17 +81,18 @@
 	Reverse bool
 }
 
-// Store is the platform's service. Its methods are safe for concurrent use.
+// Store is the platform's storage service. Its methods are safe for concurrent
+// use.
 type Store interface {
-	// Get reads one row; ErrMissing if there is none.
+	// Get returns the row with the given key, or ErrMissing.
 	Get(ctx context.Context, key string) (Row, error)
-	// List reads rows in the order of their keys.
+	// List returns the rows selected by s in the order of their keys.
 	List(ctx context.Context, s Scan) ([]Row, error)
-	// Transact does all writes of t or none.
+	// Transact applies all writes of t or none.
 	Transact(ctx context.Context, t Transaction) error
-	// PutObject keeps content under a name that is derived from it, and so
-	// may be done twice without harm.
+	// PutObject stores content under name. The name must be derived from the
+	// content, so that a repeated call is harmless.
 	PutObject(ctx context.Context, name string, content []byte) error
-	// GetObject reads what PutObject kept; ErrMissing if there is none.
+	// GetObject returns the content of an object, or ErrMissing.
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
