--- a/mesh/operator/operator.go
+++ b/mesh/operator/operator.go
@@ -1,13 +1,13 @@
-// Package operator is the interface between an operator's command line and
-// any node: its messages, as JSON over HTTP, and a client.
+// Package operator defines the operator API of a node, JSON over HTTP, and a
+// client for it. Every node serves the API.
 //
 //	c := operator.New(http.DefaultClient, "http://127.0.0.1:7104", token)
 //	res, err := c.Apply(ctx, operator.Apply{Text: text, Base: 6, Write: id})
 //
-// An edit has one of the outcomes below. Accepted, Refused and Undecided are
-// three different answers on purpose: an operator who is told Refused knows
-// that nothing changed, and one who is told Undecided knows that asking again
-// with the same write id is safe and will tell.
+// An edit ends with one of the outcomes below. Refused and Undecided are
+// distinct on purpose: Refused guarantees that nothing changed; Undecided means
+// that the edit may have been accepted, and that a retry with the same write id
+// is safe and determines whether it was.
 package operator
 
 import (
@@ -27,21 +27,21 @@
 	"briarrock.example/mesh/strict"
 )
 
-// Outcome is how an edit ended.
+// Outcome is the result of an edit.
 type Outcome string
 
 // The outcomes of an edit.
 const (
-	Accepted  Outcome = "accepted"  // it is the head now
-	Unchanged Outcome = "unchanged" // the head says the same already
-	Planned   Outcome = "planned"   // a dry run: it would be accepted
+	Accepted  Outcome = "accepted"  // the edit became the head
+	Unchanged Outcome = "unchanged" // the head already has the same content
+	Planned   Outcome = "planned"   // dry run: the edit would be accepted
 	Invalid   Outcome = "invalid"   // the text has mistakes
-	Conflict  Outcome = "conflict"  // another edit came first
-	Refused   Outcome = "refused"   // the store is unavailable, nothing changed
-	Undecided Outcome = "undecided" // it may have taken effect; ask again
+	Conflict  Outcome = "conflict"  // another edit was committed first
+	Refused   Outcome = "refused"   // the store is unavailable; nothing changed
+	Undecided Outcome = "undecided" // the edit may have taken effect; retry
 )
 
-// Paths of the interface.
+// Paths of the operator API.
 const (
 	PathApply   = "/v1/apply"
 	PathText    = "/v1/text"
@@ -50,21 +50,22 @@
 	PathExplain = "/v1/explain"
 )
 
-// Apply asks to make a text the configuration.
+// Apply is an edit: a request to make Text the configuration of the mesh.
 type Apply struct {
 	Text []byte `json:"text"`
-	// Base is the version that the edit began from.
+	// Base is the version that the edit is based on.
 	Base uint64 `json:"base"`
-	// Head takes whatever is the head now for the base.
+	// Head uses the current head as the base instead of Base.
 	Head bool `json:"head,omitempty"`
-	// Write identifies the edit, so that it can be asked about again.
+	// Write is the write id. It identifies the edit, so that a retry is
+	// idempotent.
 	Write string `json:"write"`
 	Note  string `json:"note,omitempty"`
-	// Dry only says what would happen.
+	// Dry requests a dry run, which reports the outcome and changes nothing.
 	Dry bool `json:"dry,omitempty"`
 }
 
-// Result answers Apply.
+// Result is the response to Apply.
 type Result struct {
 	Outcome  Outcome         `json:"outcome"`
 	Version  uint64          `json:"version,omitempty"`
@@ -73,26 +74,27 @@
 	Write    string          `json:"write,omitempty"`
 	Mistakes strict.Mistakes `json:"mistakes,omitempty"`
 	Changes  []string        `json:"changes,omitempty"`
-	// Removed are routes and services in use that the edit takes away.
+	// Removed lists the services and routes of the current configuration that
+	// the edit removes.
 	Removed []string `json:"removed,omitempty"`
-	// Nodes is how many nodes the change goes to.
+	// Nodes is the number of nodes that the change is distributed to.
 	Nodes int `json:"nodes,omitempty"`
-	// Other is the edit that came first, after a conflict.
+	// Other is the edit that was committed first, after a conflict.
 	Other *platform.Audit `json:"other,omitempty"`
-	// Text says in a sentence what happened and what to do.
+	// Text describes the outcome and what to do next in one sentence.
 	Text string `json:"text"`
 }
 
 // Entry is one version in the history.
 type Entry struct {
 	platform.Audit
-	// Converged is how many milliseconds after its acceptance the version was
-	// in force on every node, as the accepting node saw it; 0 if not known.
+	// Converged is the time in milliseconds from the acceptance of the version
+	// until all nodes used it, as measured by the accepting node; 0 if unknown.
 	Converged int64 `json:"converged,omitempty"`
 	Nodes     int   `json:"nodes,omitempty"`
 }
 
-// Attempt is an edit that was not accepted, kept for the audit trail.
+// Attempt is an edit that was not accepted. It is stored for the audit trail.
 type Attempt struct {
 	At      time.Time `json:"at"`
 	Who     string    `json:"who"`
@@ -104,56 +106,61 @@
 	Text    string    `json:"text"`
 }
 
-// History answers a page of the history, newest first.
+// History is one page of the history, newest version first.
 type History struct {
 	Entries  []Entry   `json:"entries"`
 	Attempts []Attempt `json:"attempts,omitempty"`
-	// Next is the version to ask before for the next page; 0 at the end.
+	// Next is the argument before of Client.History for the next page; 0 on the
+	// last page.
 	Next uint64 `json:"next,omitempty"`
 }
 
-// Count is how many nodes use one version.
+// Count is the number of nodes that use one version.
 type Count struct {
 	Version uint64 `json:"version"`
 	Nodes   int    `json:"nodes"`
 }
 
-// Domain is what one failure domain serves.
+// Domain is the status of one failure domain.
 type Domain struct {
 	Domain  string  `json:"domain"`
 	Region  string  `json:"region"`
 	Members int     `json:"members"`
 	Counts  []Count `json:"counts"`
-	// Laggards are some of the hosts that use an older version.
+	// Laggards lists some of the hosts that use an older version.
 	Laggards []string `json:"laggards,omitempty"`
-	// SilentFor is for how many milliseconds nothing was heard of the domain; 0
-	// while it is heard of as usual.
+	// SilentFor is the time in milliseconds since the last report of the domain
+	// if its reports are overdue, and 0 otherwise.
 	SilentFor int64 `json:"silent,omitempty"`
 }
 
-// Held is a request that is held back since it crashes targets.
+// Held is a request that is blocked because it crashed targets. Fingerprint
+// identifies the request.
 type Held struct {
 	Fingerprint string `json:"print"`
 	Service     string `json:"service"`
 	Crashes     int    `json:"crashes"`
 }
 
-// Status is what the mesh serves.
+// Status is the status of the mesh: the versions in use, the blocked requests
+// and the age of the last read from the store.
 type Status struct {
 	Host    string   `json:"host"`
 	Version uint64   `json:"version"`
 	Hash    string   `json:"hash"`
 	Domains []Domain `json:"domains"`
-	// Complete is unset when the node could not reach the one that knows all.
+	// Complete is false if the node could not reach the node that aggregates the
+	// status of all domains.
 	Complete bool `json:"whole"`
-	// StoreAge is for how many milliseconds nobody has read the head; -1 for
-	// never.
+	// StoreAge is the time in milliseconds since any node last read the head
+	// from the store; -1 if none has.
 	StoreAge int64  `json:"store"`
 	Held     []Held `json:"held,omitempty"`
 }
 
-// InForce tells whether every node that is heard of uses at least version,
-// and how many do and how many there are.
+// InForce reports whether all nodes use at least version, how many nodes do and
+// how many there are. It reports false if the status is incomplete or the
+// reports of a domain are overdue.
 func (s Status) InForce(version uint64) (bool, int, int) {
 	done, all := 0, 0
 	for _, d := range s.Domains {
@@ -170,7 +177,7 @@
 	return s.Complete && all > 0 && done >= all, done, all
 }
 
-// Upstream is one target in the set of a service.
+// Upstream is one target of a service.
 type Upstream struct {
 	Host   string `json:"host"`
 	Domain string `json:"domain"`
@@ -178,10 +185,11 @@
 	Slots  int    `json:"slots"`
 }
 
-// Explain tells which way a request would take, and why.
+// Explain describes how a node would route a request: the matching route, its
+// policy and the targets, or the failure kind if the request would be refused.
 type Explain struct {
 	Version   uint64     `json:"version"`
-	Kind      string     `json:"kind,omitempty"` // why it would be refused
+	Kind      string     `json:"kind,omitempty"` // failure kind, see package kind
 	Text      string     `json:"text,omitempty"`
 	Service   string     `json:"service,omitempty"`
 	Route     string     `json:"route,omitempty"`
@@ -195,66 +203,70 @@
 	Upstreams []Upstream `json:"upstreams,omitempty"`
 }
 
-// Client speaks to one node.
+// Client is a client for the operator API of one node.
 type Client struct {
 	http  *http.Client
 	base  string
 	token string
 }
 
-// New returns a client for the operator address of a node.
+// New returns a Client for the node at the URL base. A non-empty token is sent
+// as a bearer token.
 func New(c *http.Client, base, token string) *Client { return &Client{c, base, token} }
 
-// ErrUnreachable says that the node could not be asked.
+// ErrUnreachable means that the node did not return a complete response.
 var ErrUnreachable = errors.New("operator: node cannot be reached")
 
-const maxAnswer = 32 << 20
+const maxResponseBytes = 32 << 20
 
-// Apply sends an edit.
+// Apply sends an edit and returns its result.
 func (c *Client) Apply(ctx context.Context, a Apply) (Result, error) {
 	var out Result
-	err := c.ask(ctx, http.MethodPost, PathApply, a, &out)
+	err := c.do(ctx, http.MethodPost, PathApply, a, &out)
 	return out, err
 }
 
-// Status asks what the mesh serves.
+// Status returns the status of the mesh.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var out Status
-	err := c.ask(ctx, http.MethodGet, PathStatus, nil, &out)
+	err := c.do(ctx, http.MethodGet, PathStatus, nil, &out)
 	return out, err
 }
 
-// History asks for versions before one, newest first; 0 for the newest.
+// History returns up to limit versions before the given one, newest first. If
+// before is 0 the page starts at the newest version.
 func (c *Client) History(ctx context.Context, before uint64, limit int) (History, error) {
 	var out History
 	q := url.Values{"before": {strconv.FormatUint(before, 10)}, "limit": {strconv.Itoa(limit)}}
-	err := c.ask(ctx, http.MethodGet, PathHistory+"?"+q.Encode(), nil, &out)
+	err := c.do(ctx, http.MethodGet, PathHistory+"?"+q.Encode(), nil, &out)
 	return out, err
 }
 
-// Explain asks which way a request would take.
+// Explain returns how the node would route a request of caller with the given
+// method and target URL.
 func (c *Client) Explain(ctx context.Context, method, target, caller string) (Explain, error) {
 	var out Explain
 	q := url.Values{"method": {method}, "url": {target}, "caller": {caller}}
-	err := c.ask(ctx, http.MethodGet, PathExplain+"?"+q.Encode(), nil, &out)
+	err := c.do(ctx, http.MethodGet, PathExplain+"?"+q.Encode(), nil, &out)
 	return out, err
 }
 
-// Version is a text with the version that it is.
+// Version is the operator's text of one version.
 type Version struct {
 	Version uint64 `json:"version"`
 	Text    []byte `json:"text"`
 }
 
-// Text asks for a version's text; 0 for the head's. Version 0 in the answer
-// says that there is none yet.
+// Text returns the text of a version, or of the head if version is 0. The
+// returned Version is 0 if there is no version yet.
 func (c *Client) Text(ctx context.Context, version uint64) (Version, error) {
 	var out Version
-	err := c.ask(ctx, http.MethodGet, PathText+"?version="+strconv.FormatUint(version, 10), nil, &out)
+	err := c.do(ctx, http.MethodGet, PathText+"?version="+strconv.FormatUint(version, 10), nil, &out)
 	return out, err
 }
 
-func (c *Client) ask(ctx context.Context, method, path string, in, out any) error {
+// do sends in as JSON, if it is not nil, and decodes the JSON response into out.
+func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		b, err := json.Marshal(in)
@@ -275,7 +287,7 @@
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
 	defer func() { _ = res.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Wrap(ErrUnreachable, err.Error())
 	}
