--- a/mesh/kind/kind.go
+++ b/mesh/kind/kind.go
@@ -114,6 +114,7 @@
 	Text string
 }
 
+// answers maps each kind to its Status, Ran, Retryable, RetryAfter and Text.
 var answers = map[Kind]Answer{
 	Config:   {http.StatusServiceUnavailable, RanNo, true, 1, "this node has no configuration yet"},
 	Service:  {http.StatusNotFound, RanNo, false, 0, "no service of that name"},
