--- a/briarrockd/caller/table.go
+++ b/briarrockd/caller/table.go
@@ -135,7 +135,7 @@
 			continue
 		}
 		t.upstreams[x.Service] = append(t.upstreams[x.Service], upstream{
-			host: m.Host, addr: m.Call, domain: m.Domain, region: m.Region,
+			host: m.Host, addr: m.CallAddr, domain: m.Domain, region: m.Region,
 			slots: min(x.Slots, svc.Slots), incarnation: m.Incarnation,
 		})
 	}
--- a/briarrockd/peer/floor.go
+++ b/briarrockd/peer/floor.go
@@ -5,184 +5,191 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// sawUse remembers what a peer uses, so that it can be told its floor after a
-// restart: the peer itself if it is of the own domain, and its whole domain,
-// in case all of its nodes restart.
-func (h *Core) sawUse(l *link, version uint64) {
-	v := &h.version
-	v.peered = true
-	v.domains[l.domain] = max(v.domains[l.domain], version)
-	if l.domain == h.self.Domain {
-		v.seen[l.host] = max(v.seen[l.host], version)
+// recordPeerVersion records the version that a peer uses, so that this node can send
+// it as a floor after the peer restarts. It is recorded for the peer itself if it
+// belongs to this node's domain, and for the peer's whole domain in case all nodes
+// there restart.
+func (c *Core) recordPeerVersion(l *link, version uint64) {
+	v := &c.version
+	v.everLinked = true
+	v.domainVersions[l.domain] = max(v.domainVersions[l.domain], version)
+	if l.domain == c.self.Domain {
+		v.peerVersions[l.host] = max(v.peerVersions[l.host], version)
 	}
 }
 
-// raiseFloor takes a peer's word for what this host has served before.
-func (h *Core) raiseFloor(floor uint64) {
-	h.version.floor = max(h.version.floor, floor)
+// raiseFloor raises this host's version floor to the one that a peer has recorded.
+func (c *Core) raiseFloor(floor uint64) {
+	c.version.floor = max(c.version.floor, floor)
 }
 
-// remoteFloor notes that a peer of another domain holds a version, and so
-// remembers that this domain uses it.
-func (h *Core) remoteFloor(l *link, version uint64) {
-	if l.domain == h.self.Domain || version == 0 {
+// noteRemoteVersion raises the remote floor to a version that a peer of another
+// domain holds: that peer has recorded that this domain uses the version.
+func (c *Core) noteRemoteVersion(l *link, version uint64) {
+	if l.domain == c.self.Domain || version == 0 {
 		return
 	}
-	h.observeFloor(l.id, min(version, max(h.version.number, h.version.outside)))
+	c.raiseRemoteFloor(l.id, min(version, max(c.version.number, c.version.remoteFloor)))
 }
 
-// observeFloor takes in that other domains know that this one uses a version,
-// and passes it on within the domain. A node that has not served yet takes it
-// for its floor.
-func (h *Core) observeFloor(from LinkID, version uint64) {
-	v := &h.version
-	if version <= v.outside {
+// raiseRemoteFloor raises the remote floor and floods it within the domain, except
+// over the link that it came from. A node that is not ready raises its own floor to
+// it as well.
+func (c *Core) raiseRemoteFloor(from LinkID, version uint64) {
+	v := &c.version
+	if version <= v.remoteFloor {
 		return
 	}
-	v.outside = version
+	v.remoteFloor = version
 	if !v.ready {
-		h.raiseFloor(version)
+		c.raiseFloor(version)
 	}
-	for _, l := range h.sortedLinks() {
-		if l.id != from && l.domain == h.self.Domain {
-			h.send(l, Known{version})
+	for _, l := range c.sortedLinks() {
+		if l.id != from && l.domain == c.self.Domain {
+			c.send(l, FloorNotice{version})
 		}
 	}
-	h.serve()
+	c.serve()
 }
 
-// use puts a version into use. It is the only place where the number changes,
-// and the one check that keeps a node from ever going back stands in arrived.
-func (h *Core) use(number uint64, hash snapshot.Hash, s *snapshot.Snapshot) {
-	v := &h.version
-	v.before, v.numberBefore = v.hash, v.number
+// setVersion puts a version into use. Only setVersion changes the number in use, and
+// the one check against going back to an older version is in acceptVersion.
+func (c *Core) setVersion(number uint64, hash snapshot.Hash, s *snapshot.Snapshot) {
+	v := &c.version
+	v.previousHash, v.previousNumber = v.hash, v.number
 	v.number = number
 	v.hash = hash
 	v.staged = s
-	v.stagedAt = h.now
-	v.known = false
-	if v.want.number <= number {
-		v.want = want{}
+	v.stagedAt = c.now
+	v.confirmedInDomain = false
+	if v.pending.number <= number {
+		v.pending = pendingFetch{}
 	}
-	for _, l := range h.sortedLinks() {
+	for _, l := range c.sortedLinks() {
 		if !l.lazy {
-			h.peerBehind(l, l.version)
+			c.notifyIfBehind(l, l.version)
 		}
 	}
-	h.caughtUp()
-	h.becomeReady()
+	c.recordPendingPoll()
+	c.becomeReady()
 	if !v.ready {
-		h.updateWatchRole() // callers wait for the poll that confirms the version
+		c.updatePollRole() // callers wait for the poll that confirms the version
 	}
-	h.serve()
-	h.reportChanged()
+	c.serve()
+	c.markReportDirty()
 }
 
-// serve hands the newest verified version to the proxy, once the node may.
+// serve passes the newest verified version to the proxy, once the node is ready and
+// the version is confirmed.
 //
-// The host could die right after, while the store is down, and come back to
-// peers that have never heard of the version: it would then serve an older
-// one than before. So a version is served only once it is remembered: by
-// another node of the domain, whoever sent the content here or asked for it,
-// and, in case the whole domain dies, by another domain. That costs a round
-// trip or two, and only in the domain where the version came in; where nobody
-// answers, a node waits confirmWithin. docs/design/floor.md has what is left.
-func (h *Core) serve() {
-	v := &h.version
+// If the host crashed right after serving a version, while the store was down, it
+// could restart among peers that had not received the version, and would then
+// serve an older one than before. So a version is served only once it is recorded
+// by another node of the domain (the one that sent the content or fetched it) and,
+// in case the whole domain fails, by another domain. This costs one or two round
+// trips, and only in the domain where the version arrives first. If no peer
+// answers, the node serves after confirmTimeout. docs/design/floor.md lists the
+// cases that remain.
+func (c *Core) serve() {
+	v := &c.version
 	if !v.ready || v.staged == nil {
 		return
 	}
-	if !h.confirmed() {
+	if !c.confirmed() {
 		return
 	}
-	h.do(Use{v.number, v.hash, v.staged})
-	h.log(event.VersionInUse, event.Fields{event.Subject: v.hash.Short(), "version": v.number})
+	c.emit(ServeVersion{v.number, v.hash, v.staged})
+	c.log(event.VersionInUse, event.Fields{event.Subject: v.hash.Short(), "version": v.number})
 	v.staged = nil
 }
 
-func (h *Core) confirmed() bool {
-	v := &h.version
-	if h.now.Sub(v.stagedAt) >= confirmWithin {
+// confirmed reports whether the staged version may be served: other nodes have
+// recorded that this node holds it, or confirmTimeout has passed.
+func (c *Core) confirmed() bool {
+	v := &c.version
+	if c.now.Sub(v.stagedAt) >= confirmTimeout {
 		return true
 	}
-	if !v.known && h.hasNeighbour() {
+	if !v.confirmedInDomain && c.hasNeighbour() {
 		return false
 	}
-	return v.outside >= v.number || len(h.table.names()) < 2
+	return v.remoteFloor >= v.number || len(c.table.names()) < 2
 }
 
-// hasNeighbour tells whether there is a link within the domain.
-func (h *Core) hasNeighbour() bool {
-	for _, l := range h.byHost {
-		if l.domain == h.self.Domain {
+// hasNeighbour reports whether any link within the domain is open.
+func (c *Core) hasNeighbour() bool {
+	for _, l := range c.linkByHost {
+		if l.domain == c.self.Domain {
 			return true
 		}
 	}
 	return false
 }
 
-// remembered notes that a peer knows that this node holds a version.
-func (h *Core) remembered(l *link, number uint64) {
-	v := &h.version
-	if l.domain != h.self.Domain || number < v.number || v.number == 0 {
+// confirmInDomain marks the version in use as confirmed in the domain if the peer
+// belongs to it and has recorded that this node holds that version.
+func (c *Core) confirmInDomain(l *link, number uint64) {
+	v := &c.version
+	if l.domain != c.self.Domain || number < v.number || v.number == 0 {
 		return
 	}
-	v.known = true
-	h.serve()
+	v.confirmedInDomain = true
+	c.serve()
 }
 
-// joined tells whether this node has been linked for a while with everybody who
-// remembers what it served, while the platform can't be asked: its neighbours in
-// the domain, and one member of each other domain of the region. A version is
-// served only once one of them holds it.
-func (h *Core) joined() bool {
-	if len(h.links) == 0 || h.watch.fails == 0 {
+// linkedToAll reports whether polls of the platform fail, and this node has had links
+// for linkSettleTime to all peers that could have recorded the versions it served:
+// its neighbours in the domain and, if it is a bridge node, one member of each other
+// domain of the region. A version is served only once one of these peers holds it.
+func (c *Core) linkedToAll() bool {
+	if len(c.links) == 0 || c.watch.failures == 0 {
 		return false
 	}
-	long := func(l *link) bool { return l != nil && h.now.Sub(l.openedAt) >= joinedAfter }
-	for _, r := range h.neighbours() {
-		if !long(h.byHost[r.Host]) {
+	settled := func(l *link) bool { return l != nil && c.now.Sub(l.openedAt) >= linkSettleTime }
+	for _, r := range c.neighbours() {
+		if !settled(c.linkByHost[r.Host]) {
 			return false
 		}
 	}
-	met := make(map[string]bool)
-	for _, l := range h.byHost {
-		met[l.domain] = met[l.domain] || long(l)
+	linkedDomains := make(map[string]bool)
+	for _, l := range c.linkByHost {
+		linkedDomains[l.domain] = linkedDomains[l.domain] || settled(l)
 	}
-	others := 0
-	for _, name := range h.table.names() {
-		if name == h.self.Domain || h.table.domains[name].region != h.self.Region {
+	otherDomains := 0
+	for _, name := range c.table.names() {
+		if name == c.self.Domain || c.table.domains[name].region != c.self.Region {
 			continue
 		}
-		others++
-		if !met[name] && h.position() < bridges {
+		otherDomains++
+		if !linkedDomains[name] && c.orderIndex() < bridgesPerDomain {
 			return false
 		}
 	}
-	return others > 0 || len(h.table.members(h.self.Domain)) > 1
+	return otherDomains > 0 || len(c.table.members(c.self.Domain)) > 1
 }
 
-// becomeReady decides when a node that has just started may serve.
+// becomeReady marks a node that has just started as ready once it may serve.
 //
-// Its host keeps nothing, so it can't know what it served before. The fault
-// would be to serve an older version than before the restart, if the peer it
-// meets first is behind; the symptom, an accepted change that goes away again
-// on one host. A head that was read after this process started is at least as
-// new as anything that it ever served, since versions are served only after
-// they are the head. Where the store can't be reached, the node waits for its
-// domain's peers and never goes below what they saw it use: once a poll has failed,
-// until it has met all of those who would remember, or else for serveAfter.
-func (h *Core) becomeReady() {
-	v := &h.version
+// A host stores nothing on disk, so after a restart it doesn't know which version it
+// served before. If the first peer it links to is behind, it could serve an older
+// version than before the restart, and a committed change would disappear on that
+// host. A head read after this process started is at least as new as any version
+// the host has served, since a version is served only after it is the head. If the
+// store is unreachable, the node waits for the peers of its domain, and never serves
+// a version below the floor they report: after a failed poll it waits until it is
+// linked to all peers that could have recorded one (linkedToAll), or else for
+// startServeDelay.
+func (c *Core) becomeReady() {
+	v := &c.version
 	if v.ready || v.number == 0 || v.number < v.floor {
 		return
 	}
-	fresh := h.watch.freshAt.After(h.watch.startedAt.Add(freshMargin)) || h.watch.own
-	waited := !v.started.IsZero() && h.now.Sub(v.started) >= serveAfter
-	if !fresh && !h.joined() && (!waited || !v.peered) {
+	fresh := c.watch.headReadAt.After(c.watch.startedAt.Add(headAgeMargin)) || c.watch.ownPollCounted
+	waited := !v.startedAt.IsZero() && c.now.Sub(v.startedAt) >= startServeDelay
+	if !fresh && !c.linkedToAll() && (!waited || !v.everLinked) {
 		return
 	}
 	v.ready = true
-	h.watch.role.heardAt = later(h.watch.role.heardAt, h.now)
-	h.serve()
+	c.watch.role.noticedAt = laterOf(c.watch.role.noticedAt, c.now)
+	c.serve()
 }
--- a/briarrockd/peer/push.go
+++ b/briarrockd/peer/push.go
@@ -6,144 +6,152 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// peerBehind tells a peer of the version in use if it does not have it. A
-// notice that was lost is told again when the peer's heartbeat still shows an
-// older version.
-func (h *Core) peerBehind(l *link, number uint64) {
-	if number >= h.version.number {
+// notifyIfBehind pushes or announces the version in use to a peer whose version,
+// peerVersion, is older. A lost notice is sent again when the peer's heartbeat still
+// shows an older version.
+func (c *Core) notifyIfBehind(l *link, peerVersion uint64) {
+	if peerVersion >= c.version.number {
 		return
 	}
-	if l.told == h.version.number && h.now.Sub(l.toldAt) < beatEvery {
+	if l.announced == c.version.number && c.now.Sub(l.announcedAt) < heartbeatInterval {
 		return
 	}
-	out := h.version.outside >= h.version.number || l.domain != h.self.Domain
-	// Where the platform's adapter reads, the peer may watch as well and be about
-	// to have the version: the notice of it is enough, and who wants it asks.
-	if h.cfg.HeadFed || !h.push(l, number, out) {
-		h.send(l, Notice{h.version.number, h.version.hash, out})
+	heldRemotely := c.version.remoteFloor >= c.version.number || l.domain != c.self.Domain
+	// With delegated polling the peer may poll the platform too and receive the
+	// version that way. A notice is enough: a peer that needs the version fetches it.
+	if c.cfg.DelegatePolling || !c.pushVersion(l, peerVersion, heldRemotely) {
+		c.send(l, VersionNotice{c.version.number, c.version.hash, heldRemotely})
 	}
-	l.told = h.version.number
-	l.toldAt = h.now
+	l.announced = c.version.number
+	l.announcedAt = c.now
 }
 
-// push sends the version in use itself instead of a notice of it, where the
-// peer has the version before and the difference is small: that spares it the
-// round trip of a fetch. A difference is mostly smaller than the notice.
-func (h *Core) push(l *link, has uint64, out bool) bool {
-	v := &h.version
-	base, ok := v.content[v.before]
-	if !ok || has != v.numberBefore {
+// pushVersion sends a delta to the version in use instead of a notice, if the peer
+// holds the previous version and the delta is small. This saves the round trip of a
+// fetch, and the delta is mostly smaller than the notice. It reports whether the
+// delta was sent.
+func (c *Core) pushVersion(l *link, peerVersion uint64, heldRemotely bool) bool {
+	v := &c.version
+	base, ok := v.content[v.previousHash]
+	if !ok || peerVersion != v.previousNumber {
 		return false
 	}
-	p, err := h.packOnce(v.before, v.hash, base, v.content[v.hash])
-	if err != nil || len(p) > h.pushMost(l) {
+	packed, err := c.cachedDelta(v.previousHash, v.hash, base, v.content[v.hash])
+	if err != nil || len(packed) > c.maxPush(l) {
 		return false
 	}
-	h.send(l, Content{Version: v.number, Hash: v.hash, Base: v.before, Packed: p, Out: out, Push: true})
-	h.sawUse(l, v.number)
+	c.send(l, Content{Version: v.number, Hash: v.hash, Base: v.previousHash, Packed: packed, HeldRemotely: heldRemotely, Push: true})
+	c.recordPeerVersion(l, v.number)
 	return true
 }
 
-// pushMost bounds what is pushed over a link. Within a region a peer may get
-// the same push from several links; over the paid link there is one copy.
-func (h *Core) pushMost(l *link) int {
-	if l.region != h.self.Region {
-		return pushPaid
-	}
-	return pushNear
+// maxPush returns the size limit in bytes of a delta pushed over a link. It is lower
+// within a region, where a peer may get the same push over several links, than over
+// a paid inter-region link, which carries one copy.
+func (c *Core) maxPush(l *link) int {
+	if l.region != c.self.Region {
+		return maxPushInterRegion
+	}
+	return maxPushInRegion
 }
 
-// have takes a peer's word that a push has arrived.
-func (h *Core) have(l *link, f Have) {
+// onVersionAck handles a peer's acknowledgement that a version has arrived there.
+func (c *Core) onVersionAck(l *link, f VersionAck) {
 	l.version = max(l.version, f.Version)
-	h.sawUse(l, f.Version)
-	h.remoteFloor(l, f.Version)
-	h.remembered(l, f.Version)
+	c.recordPeerVersion(l, f.Version)
+	c.noteRemoteVersion(l, f.Version)
+	c.confirmInDomain(l, f.Version)
 }
 
-// pushed takes a version that was not asked for. Its sender waits to hear
-// that it has arrived, unless ours has crossed it on the way.
-func (h *Core) pushed(l *link, f Content) {
-	h.notice(l, Notice{f.Version, f.Hash, f.Out})
-	h.acknowledge(l, f.Version)
+// onPush handles a pushed version as a notice and acknowledges it: the sender waits
+// for the acknowledgement, unless this node's own notice of the version crossed the
+// push in transit.
+func (c *Core) onPush(l *link, f Content) {
+	c.onVersionNotice(l, VersionNotice{f.Version, f.Hash, f.HeldRemotely})
+	c.acknowledge(l, f.Version)
 }
 
-// acknowledge tells who sent a version that it has arrived, unless it has been
-// told of the same version from here meanwhile.
-func (h *Core) acknowledge(l *link, number uint64) {
-	if l.told < number {
-		l.told, l.toldAt = number, h.now
-		h.send(l, Have{number})
+// acknowledge sends a VersionAck to the peer that sent a version, unless this node
+// has already announced that version to the peer.
+func (c *Core) acknowledge(l *link, number uint64) {
+	if l.announced < number {
+		l.announced, l.announcedAt = number, c.now
+		c.send(l, VersionAck{number})
 	}
 }
 
-// notice takes a peer's word that it holds a version. It may be about to
-// serve it, so that is remembered as its floor.
-func (h *Core) notice(l *link, f Notice) {
-	h.sawUse(l, f.Version)
-	h.remoteFloor(l, f.Version)
-	if f.Out {
-		h.version.outside = max(h.version.outside, f.Version)
-	}
-	h.heardVersion(l, f.Version, f.Hash)
-	h.remembered(l, f.Version)
+// onVersionNotice handles a peer's notice that it holds a version. The peer may be
+// about to serve it, so the version is recorded as the peer's floor.
+func (c *Core) onVersionNotice(l *link, f VersionNotice) {
+	c.recordPeerVersion(l, f.Version)
+	c.noteRemoteVersion(l, f.Version)
+	if f.HeldRemotely {
+		c.version.remoteFloor = max(c.version.remoteFloor, f.Version)
+	}
+	c.onPeerVersion(l, f.Version, f.Hash)
+	c.confirmInDomain(l, f.Version)
 }
 
-// tellLazy tells a lazy link of the version in use, after a delay in which
-// the other carriers' link has mostly done it at no cost here.
-func (h *Core) tellLazy(l *link) {
-	if !l.lazy || l.version >= h.version.number {
-		l.owed = time.Time{}
+// notifyLazy announces the version in use over a lazy link, if the peer is still
+// behind after a random delay of one to two times lazyDelay. By then the link between
+// the regions' other gateway nodes has mostly delivered the version, and this link
+// carries nothing.
+func (c *Core) notifyLazy(l *link) {
+	if !l.lazy || l.version >= c.version.number {
+		l.lazyNoticeAt = time.Time{}
 		return
 	}
-	if l.owed.IsZero() {
-		l.owed = h.now.Add(lazyAfter + h.jitter(lazyAfter))
+	if l.lazyNoticeAt.IsZero() {
+		l.lazyNoticeAt = c.now.Add(lazyDelay + c.jitter(lazyDelay))
 		return
 	}
-	if !h.now.Before(l.owed) {
-		h.peerBehind(l, l.version)
+	if !c.now.Before(l.lazyNoticeAt) {
+		c.notifyIfBehind(l, l.version)
 	}
 }
 
-func (h *Core) packOnce(baseHash, hash snapshot.Hash, base, b []byte) ([]byte, error) {
-	p := &h.version.pack
-	if p.bytes != nil && p.base == baseHash && p.hash == hash {
-		return p.bytes, nil
-	}
-	out, err := snapshot.Pack(base, b)
+// cachedDelta returns b packed against base, from the cache if the last delta was
+// for the same pair of hashes. A nil base packs the full snapshot.
+func (c *Core) cachedDelta(baseHash, hash snapshot.Hash, base, b []byte) ([]byte, error) {
+	last := &c.version.lastDelta
+	if last.bytes != nil && last.base == baseHash && last.hash == hash {
+		return last.bytes, nil
+	}
+	packed, err := snapshot.Pack(base, b)
 	if err != nil {
 		return nil, err
 	}
-	*p = packed{baseHash, hash, out}
-	return out, nil
+	*last = delta{baseHash, hash, packed}
+	return packed, nil
 }
 
-// unpackPush tries to put a pushed version into use. If it doesn't fit, it
-// counts as a notice.
-func (h *Core) unpackPush(f Content) bool {
-	base, ok := h.version.content[f.Base]
+// applyPush puts a pushed version into use. It returns false if this node doesn't
+// hold the base or the delta is invalid; the caller then treats the push as a notice.
+func (c *Core) applyPush(f Content) bool {
+	base, ok := c.version.content[f.Base]
 	if !ok {
 		return false
 	}
-	if f.Out {
-		h.version.outside = max(h.version.outside, f.Version)
+	if f.HeldRemotely {
+		c.version.remoteFloor = max(c.version.remoteFloor, f.Version)
 	}
-	return h.unpack("", base, f)
+	return c.applyContent("", base, f)
 }
 
-// unpack puts a version that came from a peer into use, if it is whole. The
-// difference is passed on as it came, so that only the first node packs it.
-func (h *Core) unpack(from string, base []byte, f Content) bool {
+// applyContent unpacks a version received from a peer and puts it into use if it is
+// valid; from is the sending host, for the log. The received delta is cached and
+// forwarded as it is, so that only the first node packs it.
+func (c *Core) applyContent(from string, base []byte, f Content) bool {
 	b, err := snapshot.Unpack(base, f.Packed)
 	if err != nil {
-		h.refuse(from, f.Version, err)
+		c.logRefused(from, f.Version, err)
 		return false
 	}
-	before := h.version.pack
-	h.version.pack = packed{f.Base, f.Hash, f.Packed}
-	if h.arrived(f.Version, f.Hash, b) {
+	previous := c.version.lastDelta
+	c.version.lastDelta = delta{f.Base, f.Hash, f.Packed}
+	if c.acceptVersion(f.Version, f.Hash, b) {
 		return true
 	}
-	h.version.pack = before
+	c.version.lastDelta = previous
 	return false
 }
--- a/briarrockd/peer/report.go
+++ b/briarrockd/peer/report.go
@@ -7,36 +7,41 @@
 	"briarrock.example/mesh/event"
 )
 
-// summaryEvery is how often a root tells its summary again, so that a domain
-// that falls silent can be told from one where nothing happens.
-const summaryEvery = 10 * time.Second
+// summaryInterval is how often the root of a domain sends its summary even if nothing
+// has changed, so that other domains can distinguish an idle domain from one that is
+// unreachable.
+const summaryInterval = 10 * time.Second
 
-// forgetDomain is how long a whole domain may be silent before its members are
-// forgotten: longer than domains and regions are ever cut off.
-const forgetDomain = 6 * time.Hour
+// domainForgetAfter is how long no summary of a domain may arrive before its members
+// are declared dead. It is longer than any partition of a domain or region lasts.
+const domainForgetAfter = 6 * time.Hour
 
 // tally counts nodes by the version that they use.
 type tally struct {
-	counts  map[uint64]int
-	laggard []string
+	counts   map[uint64]int
+	laggards []string
 }
 
-// reports is what a node knows of who uses which version.
+// reports is a node's state of which versions are in use: the reports of its subtree
+// and the summaries of the domains.
 type reports struct {
-	// children are the last reports of the children in the tree.
+	// children is, by host, the last report of each child in the tree.
 	children map[string]Report
-	// sent is the last report that went to parent.
-	sent   Report
-	parent string
-	dirty  bool
-	// domains are the latest summaries, this domain's own included at its root.
-	domains map[string]summarized
-	nextAt  time.Time
-	stale   map[string]bool
+	// lastSent is the last report sent, to the host named by parent.
+	lastSent Report
+	parent   string
+	// dirty is set when the report may have changed since it was sent.
+	dirty bool
+	// domains is, by domain, the latest summary; at a root this includes its own.
+	domains     map[string]receivedSummary
+	nextSummary time.Time
+	// stale holds the domains whose summaries are overdue, so that each outage is
+	// logged once.
+	stale map[string]bool
 }
 
-// summarized is a summary and when it came.
-type summarized struct {
+// receivedSummary is a summary and when it arrived.
+type receivedSummary struct {
 	Summary
 	at time.Time
 }
@@ -44,70 +49,71 @@
 func newReports() reports {
 	return reports{
 		children: make(map[string]Report),
-		domains:  make(map[string]summarized),
+		domains:  make(map[string]receivedSummary),
 		stale:    make(map[string]bool),
 		dirty:    true,
 	}
 }
 
-func (h *Core) reportChanged() { h.report.dirty = true }
+func (c *Core) markReportDirty() { c.reports.dirty = true }
 
-func (h *Core) reportLost(host string) {
-	if _, ok := h.report.children[host]; ok {
-		delete(h.report.children, host)
-		h.report.dirty = true
+func (c *Core) removeReport(host string) {
+	if _, ok := c.reports.children[host]; ok {
+		delete(c.reports.children, host)
+		c.reports.dirty = true
 	}
-	if h.report.parent == host {
-		h.report.parent = ""
+	if c.reports.parent == host {
+		c.reports.parent = ""
 	}
 }
 
-func (h *Core) reported(l *link, f Report) {
-	if l.domain != h.self.Domain {
+func (c *Core) onReport(l *link, f Report) {
+	if l.domain != c.self.Domain {
 		return
 	}
-	h.report.children[l.host] = f
-	h.report.dirty = true
+	c.reports.children[l.host] = f
+	c.reports.dirty = true
 }
 
-// subtree adds up this node and what its children reported. Reports of hosts
-// that are no longer children are dropped: after the order changed they would
-// be counted in two places.
-func (h *Core) subtree() Report {
+// subtreeReport returns the report of this node and the subtrees of its children.
+// Reports of hosts that are no longer children are dropped: after a change of the
+// order they would be counted in two places.
+func (c *Core) subtreeReport() Report {
 	children := make(map[string]bool)
-	i := h.position()
-	order := h.table.members(h.self.Domain)
-	for c := range degree {
-		if j := degree*i + 1 + c; i >= 0 && j < len(order) {
+	i := c.orderIndex()
+	order := c.table.members(c.self.Domain)
+	for k := range treeDegree {
+		if j := treeDegree*i + 1 + k; i >= 0 && j < len(order) {
 			children[order[j].Host] = true
 		}
 	}
 	t := tally{counts: make(map[uint64]int)}
-	t.counts[h.version.number]++
-	for host, r := range h.report.children {
+	t.counts[c.version.number]++
+	for host, r := range c.reports.children {
 		if !children[host] {
-			delete(h.report.children, host)
+			delete(c.reports.children, host)
 			continue
 		}
-		for _, c := range r.Counts {
-			t.counts[c.Version] += c.Nodes
+		for _, n := range r.Counts {
+			t.counts[n.Version] += n.Nodes
 		}
-		t.laggard = append(t.laggard, r.Laggard...)
+		t.laggards = append(t.laggards, r.Laggards...)
 	}
-	return t.report(h.self.Host, h.version.number)
+	return t.report(c.self.Host, c.version.number)
 }
 
-// report turns a tally into its bounded form: the newest versions, and the
-// names of some that are behind.
+// report converts a tally to a Report of bounded size: the newest versions, with older
+// ones added to the last of them, and the names of some hosts with an older version.
+// host and own are this node and the version it uses.
 func (t *tally) report(host string, own uint64) Report {
 	var r Report
 	newest := uint64(0)
 	for v, n := range t.counts {
-		r.Counts = append(r.Counts, Count{v, n})
+		r.Counts = append(r.Counts, VersionCount{v, n})
 		newest = max(newest, v)
 	}
 	if own < newest {
-		t.laggard = append(t.laggard, host)
+		t.laggards = append(t.laggards, host)
 	}
 	sort.Slice(r.Counts, func(i, j int) bool { return r.Counts[i].Version > r.Counts[j].Version })
 	for len(r.Counts) > maxCounts {
@@ -115,48 +121,48 @@
 		r.Counts = r.Counts[:len(r.Counts)-1]
 		r.Counts[len(r.Counts)-1].Nodes += last.Nodes
 	}
-	sort.Strings(t.laggard)
-	r.Laggard = t.laggard[:min(len(t.laggard), maxLaggard)]
+	sort.Strings(t.laggards)
+	r.Laggards = t.laggards[:min(len(t.laggards), maxLaggards)]
 	return r
 }
 
-func (h *Core) tickReport() {
-	if h.report.dirty {
-		h.sendReport()
+func (c *Core) tickReport() {
+	if c.reports.dirty {
+		c.sendReport()
 	}
-	if h.isRoot() && !h.now.Before(h.report.nextAt) {
-		h.summarize()
+	if c.isRoot() && !c.now.Before(c.reports.nextSummary) {
+		c.summarize()
 	}
-	h.noteStale()
+	c.checkStaleDomains()
 }
 
-// sendReport sends this node's report to its parent, if either changed. At
-// the root it goes out to the other domains instead.
-func (h *Core) sendReport() {
-	r := h.subtree()
-	h.report.dirty = false
-	if h.isRoot() {
-		if !sameReport(r, h.report.sent) {
-			h.report.sent = r
-			h.summarize()
+// sendReport sends this node's report to its parent, if the report or the parent has
+// changed. The root sends a summary to the other domains instead.
+func (c *Core) sendReport() {
+	r := c.subtreeReport()
+	c.reports.dirty = false
+	if c.isRoot() {
+		if !sameReport(r, c.reports.lastSent) {
+			c.reports.lastSent = r
+			c.summarize()
 		}
 		return
 	}
-	p := h.parent()
-	if p == nil || h.byHost[p.Host] == nil {
-		h.report.dirty = true
+	p := c.parent()
+	if p == nil || c.linkByHost[p.Host] == nil {
+		c.reports.dirty = true
 		return
 	}
-	if p.Host == h.report.parent && sameReport(r, h.report.sent) {
+	if p.Host == c.reports.parent && sameReport(r, c.reports.lastSent) {
 		return
 	}
-	h.report.sent = r
-	h.report.parent = p.Host
-	h.send(h.byHost[p.Host], r)
+	c.reports.lastSent = r
+	c.reports.parent = p.Host
+	c.send(c.linkByHost[p.Host], r)
 }
 
 func sameReport(a, b Report) bool {
-	if len(a.Counts) != len(b.Counts) || len(a.Laggard) != len(b.Laggard) {
+	if len(a.Counts) != len(b.Counts) || len(a.Laggards) != len(b.Laggards) {
 		return false
 	}
 	for i := range a.Counts {
@@ -164,127 +170,129 @@
 			return false
 		}
 	}
-	for i := range a.Laggard {
-		if a.Laggard[i] != b.Laggard[i] {
+	for i := range a.Laggards {
+		if a.Laggards[i] != b.Laggards[i] {
 			return false
 		}
 	}
 	return true
 }
 
-// summarize tells the other domains what this one uses.
-func (h *Core) summarize() {
-	h.report.nextAt = h.now.Add(summaryEvery)
-	r := h.subtree()
+// summarize sends the summary of this domain to the other domains.
+func (c *Core) summarize() {
+	c.reports.nextSummary = c.now.Add(summaryInterval)
+	r := c.subtreeReport()
 	s := Summary{
-		Domain:  h.self.Domain,
-		Region:  h.self.Region,
-		At:      h.now.UnixMilli(),
-		Members: len(h.table.members(h.self.Domain)),
-		Counts:  r.Counts,
-		Laggard: r.Laggard,
-	}
-	h.report.domains[s.Domain] = summarized{s, h.now}
-	h.relaySummary(0, s)
+		Domain:   c.self.Domain,
+		Region:   c.self.Region,
+		At:       c.now.UnixMilli(),
+		Members:  len(c.table.members(c.self.Domain)),
+		Counts:   r.Counts,
+		Laggards: r.Laggards,
+	}
+	c.reports.domains[s.Domain] = receivedSummary{s, c.now}
+	c.relaySummary(0, s)
 }
 
-func (h *Core) summary(l *link, f Summary) {
-	old, ok := h.report.domains[f.Domain]
-	if f.Domain == h.self.Domain || (ok && f.At <= old.At) || (!ok && len(h.report.domains) >= maxDomains) {
+func (c *Core) onSummary(l *link, f Summary) {
+	old, ok := c.reports.domains[f.Domain]
+	if f.Domain == c.self.Domain || (ok && f.At <= old.At) || (!ok && len(c.reports.domains) >= maxDomains) {
 		return
 	}
-	h.report.domains[f.Domain] = summarized{f, h.now}
-	h.relaySummary(l.id, f)
+	c.reports.domains[f.Domain] = receivedSummary{f, c.now}
+	c.relaySummary(l.id, f)
 }
 
-// relaySummary passes a summary on to the bridges of other domains, and to
-// the first two of the own one, who may have to take over.
-func (h *Core) relaySummary(from LinkID, s Summary) {
-	for _, l := range h.sortedLinks() {
-		if l.id == from || l.lazy || l.domain == s.Domain || !h.carries(l) || h.restricted(l) {
+// relaySummary forwards a summary over all links that carry summaries, except the one
+// it came from: to the bridge nodes of other domains, and to the other bridge node of
+// this domain, which may become the root. A from of 0 excludes no link.
+func (c *Core) relaySummary(from LinkID, s Summary) {
+	for _, l := range c.sortedLinks() {
+		if l.id == from || l.lazy || l.domain == s.Domain || !c.carriesSummaries(l) || c.introductionOnly(l) {
 			continue
 		}
-		h.send(l, s)
+		c.send(l, s)
 	}
 }
 
-// carries tells whether summaries go over a link: those between domains, and
-// the one between the two bridges of this domain.
-func (h *Core) carries(l *link) bool {
-	if l.domain != h.self.Domain {
+// carriesSummaries reports whether summaries are sent over a link: links between domains,
+// and the link between the two bridge nodes of this domain.
+func (c *Core) carriesSummaries(l *link) bool {
+	if l.domain != c.self.Domain {
 		return true
 	}
-	order := h.table.members(h.self.Domain)
-	for _, r := range order[:min(len(order), bridges)] {
+	order := c.table.members(c.self.Domain)
+	for _, r := range order[:min(len(order), bridgesPerDomain)] {
 		if r.Host == l.host {
-			return h.position() < bridges
+			return c.orderIndex() < bridgesPerDomain
 		}
 	}
 	return false
 }
 
-// sendSummaries brings a new link up to date.
-func (h *Core) sendSummaries(l *link) {
-	if l.lazy || !h.carries(l) {
+// sendSummaries sends all known summaries over a new link.
+func (c *Core) sendSummaries(l *link) {
+	if l.lazy || !c.carriesSummaries(l) {
 		return
 	}
-	for _, name := range h.summaryNames() {
+	for _, name := range c.summaryNames() {
 		if name != l.domain {
-			h.send(l, h.report.domains[name].Summary)
+			c.send(l, c.reports.domains[name].Summary)
 		}
 	}
 }
 
-func (h *Core) summaryNames() []string {
-	names := make([]string, 0, len(h.report.domains))
-	for name := range h.report.domains {
+func (c *Core) summaryNames() []string {
+	names := make([]string, 0, len(c.reports.domains))
+	for name := range c.reports.domains {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
 }
 
-// noteStale logs, at the root, when another domain falls silent.
-func (h *Core) noteStale() {
-	if !h.isRoot() {
+// checkStaleDomains logs, at the root, when the summaries of another domain stop, and
+// declares the domain dead after domainForgetAfter.
+func (c *Core) checkStaleDomains() {
+	if !c.isRoot() {
 		return
 	}
-	for name, s := range h.report.domains {
-		silent := name != h.self.Domain && h.now.Sub(s.at) > summaryEvery+staleAfter
-		if silent && !h.report.stale[name] {
-			h.log(event.DomainStale, event.Fields{event.Subject: name, "since": s.at.UTC().Format(time.RFC3339)})
+	for name, s := range c.reports.domains {
+		silent := name != c.self.Domain && c.now.Sub(s.at) > summaryInterval+domainStaleAfter
+		if silent && !c.reports.stale[name] {
+			c.log(event.DomainStale, event.Fields{event.Subject: name, "since": s.at.UTC().Format(time.RFC3339)})
 		}
-		h.report.stale[name] = silent
-		if silent && h.now.Sub(s.at) > forgetDomain {
-			h.giveUp(name)
+		c.reports.stale[name] = silent
+		if silent && c.now.Sub(s.at) > domainForgetAfter {
+			c.declareDomainDead(name)
 		}
 	}
 }
 
-// giveUp declares the members of a domain dead that has been silent for
-// so long that it was most likely given up: nobody of its own is left to say
-// so, and its members would be kept for good. If it was only cut off, they
-// object when they come back.
-func (h *Core) giveUp(name string) {
-	delete(h.report.domains, name)
-	delete(h.report.stale, name)
-	for _, host := range h.hostsOf(name) {
-		m := h.table.byHost[host].Member
+// declareDomainDead declares all members of a domain dead. It is called after so long
+// without a summary that the domain was most likely decommissioned. No member is left
+// there to declare the others dead, so they would stay in the table forever. If the
+// domain was only partitioned, its members refute this when they are reachable again.
+func (c *Core) declareDomainDead(name string) {
+	delete(c.reports.domains, name)
+	delete(c.reports.stale, name)
+	for _, host := range c.hostsOf(name) {
+		m := c.table.byHost[host].Member
 		m.State = Dead
-		h.merge(0, m)
+		c.merge(0, m)
 	}
 }
 
-// DomainStatus is what one domain serves, as the asked node knows it.
+// DomainStatus is what one domain serves, as known to the node that answers.
 type DomainStatus struct {
-	Domain  string   `json:"domain"`
-	Region  string   `json:"region"`
-	Members int      `json:"members"`
-	Counts  []Count  `json:"counts"`
-	Laggard []string `json:"laggards,omitempty"`
-	// Silent is for how many milliseconds nothing was heard of the domain; 0
-	// while it is heard of as usual.
-	Silent int64 `json:"silent,omitempty"`
+	Domain   string         `json:"domain"`
+	Region   string         `json:"region"`
+	Members  int            `json:"members"`
+	Counts   []VersionCount `json:"counts"`
+	Laggards []string       `json:"laggards,omitempty"`
+	// SilentMillis is the time in milliseconds since the last summary of the domain,
+	// if that is overdue; else 0.
+	SilentMillis int64 `json:"silent,omitempty"`
 }
 
 // Status is what the mesh serves.
@@ -292,43 +300,43 @@
 	Version uint64         `json:"version"`
 	Hash    string         `json:"hash"`
 	Domains []DomainStatus `json:"domains"`
-	// Whole is set when the answer came from the root of a domain, which
-	// hears of all the others.
-	Whole bool `json:"whole"`
-	// Store is for how many milliseconds nobody has read the head; -1 for
-	// never.
-	Store int64 `json:"store"`
-	// Held are requests that are held back because they crash targets.
-	Held []Held `json:"held,omitempty"`
+	// Complete is set when the answer comes from the root of a domain, which receives
+	// the summaries of all others.
+	Complete bool `json:"whole"`
+	// HeadAgeMillis is the time in milliseconds since the last known read of the head
+	// by any node; -1 for never.
+	HeadAgeMillis int64 `json:"store"`
+	// Held lists the requests that are held back because they crash targets.
+	Held []HeldRequest `json:"held,omitempty"`
 }
 
-// Status returns what this node knows of the mesh, and the address of the
-// node to ask instead when this one is not the root of its domain.
-func (h *Core) Status(now time.Time) (Status, string) {
-	s := Status{Version: h.version.number, Hash: h.version.hash.String(), Whole: h.isRoot(), Store: -1}
-	if !h.watch.freshAt.IsZero() {
-		s.Store = now.Sub(h.watch.freshAt).Milliseconds()
-	}
-	s.Held = h.holds.list()
+// Status returns the mesh's status as known to this node. If this node is not the root
+// of its domain, it also returns the root's peer address, where the status is complete.
+func (c *Core) Status(now time.Time) (Status, string) {
+	s := Status{Version: c.version.number, Hash: c.version.hash.String(), Complete: c.isRoot(), HeadAgeMillis: -1}
+	if !c.watch.headReadAt.IsZero() {
+		s.HeadAgeMillis = now.Sub(c.watch.headReadAt).Milliseconds()
+	}
+	s.Held = c.crashes.heldRequests()
 	known := make(map[string]bool)
-	for _, name := range h.summaryNames() {
-		d := h.report.domains[name]
+	for _, name := range c.summaryNames() {
+		d := c.reports.domains[name]
 		known[name] = true
-		out := DomainStatus{Domain: name, Region: d.Region, Members: d.Members, Counts: d.Counts, Laggard: d.Laggard}
-		if silent := now.Sub(d.at); silent > summaryEvery+staleAfter {
-			out.Silent = silent.Milliseconds()
+		out := DomainStatus{Domain: name, Region: d.Region, Members: d.Members, Counts: d.Counts, Laggards: d.Laggards}
+		if silent := now.Sub(d.at); silent > summaryInterval+domainStaleAfter {
+			out.SilentMillis = silent.Milliseconds()
 		}
 		s.Domains = append(s.Domains, out)
 	}
-	for _, name := range h.table.names() {
+	for _, name := range c.table.names() {
 		if !known[name] {
-			d := h.table.domains[name]
+			d := c.table.domains[name]
 			s.Domains = append(s.Domains, DomainStatus{Domain: name, Region: d.region, Members: d.count})
 		}
 	}
 	sort.Slice(s.Domains, func(i, j int) bool { return s.Domains[i].Domain < s.Domains[j].Domain })
-	if r := h.root(); r != nil && !s.Whole {
-		return s, r.Peer
+	if r := c.root(); r != nil && !s.Complete {
+		return s, r.PeerAddr
 	}
 	return s, ""
 }
--- a/briarrockd/peer/rules_test.go
+++ b/briarrockd/peer/rules_test.go
@@ -12,35 +12,35 @@
 )
 
 func member(host string) Member {
-	return Member{Host: host, Domain: "erie-a", Region: "erie", Peer: host + ":1", Call: host + ":2", Incarnation: 1}
+	return Member{Host: host, Domain: "erie-a", Region: "erie", PeerAddr: host + ":1", CallAddr: host + ":2", Incarnation: 1}
 }
 
-// lone is a Core with one link, to a peer of its domain.
-func lone(c *qt.C) (*Core, time.Time) {
+// linkedCore returns a Core with one link, to a peer of its domain, and the time.
+func linkedCore(c *qt.C) (*Core, time.Time) {
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	c.Assert(h.Links(), qt.Equals, 1)
-	return h, now
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
+	c.Assert(core.Links(), qt.Equals, 1)
+	return core, now
 }
 
-func bytesOf(c *qt.C, n int) ([]byte, snapshot.Hash) {
+func encodeSample(c *qt.C, n int) ([]byte, snapshot.Hash) {
 	b, err := snapshot.Encode(sample(n))
 	c.Assert(err, qt.IsNil)
 	return b, snapshot.Sum(b)
 }
 
-func content(c *qt.C, version uint64, n int) Content {
-	b, hash := bytesOf(c, n)
+func fullContent(c *qt.C, version uint64, n int) Content {
+	b, hash := encodeSample(c, n)
 	p, err := snapshot.Pack(nil, b)
 	c.Assert(err, qt.IsNil)
 	return Content{Version: version, Hash: hash, Packed: p}
 }
 
-func used(cmds []Cmd) []uint64 {
+func servedVersions(cmds []Cmd) []uint64 {
 	var out []uint64
 	for _, c := range cmds {
-		if u, ok := c.(Use); ok {
+		if u, ok := c.(ServeVersion); ok {
 			out = append(out, u.Version)
 		}
 	}
@@ -56,90 +56,90 @@
 	return false
 }
 
-// serving is a Core that serves version 5.
-func serving(c *qt.C) (*Core, time.Time) {
-	h, now := lone(c)
-	b, hash := bytesOf(c, 5)
-	cmds := h.Step(now, Committed{Version: 5, Hash: hash, Content: b})
-	now = now.Add(confirmWithin)
-	cmds = append(cmds, h.Step(now, Tick{})...)
-	c.Assert(used(cmds), qt.DeepEquals, []uint64{5})
-	return h, now
+// servingCore returns a Core with one link that serves version 5, and the time.
+func servingCore(c *qt.C) (*Core, time.Time) {
+	core, now := linkedCore(c)
+	b, hash := encodeSample(c, 5)
+	cmds := core.Step(now, Committed{Version: 5, Hash: hash, Content: b})
+	now = now.Add(confirmTimeout)
+	cmds = append(cmds, core.Step(now, Tick{})...)
+	c.Assert(servedVersions(cmds), qt.DeepEquals, []uint64{5})
+	return core, now
 }
 
-// TestOlder offers an older version in every way that one can come: as a
-// notice, a push, an answer that was asked for, the head of a store that has
-// lost its memory, and this node's own commit that took long.
+// TestOlderVersionIgnored offers an older version in every way that one can arrive: as
+// a notice, an answer to a fetch, a push, the head of a store that has lost data, an
+// object read, and this node's own commit that took long.
 //
-// A proxy that took one would undo an accepted change. It goes on with what
-// it has.
-func TestOlder(t *testing.T) {
+// A proxy that used one would undo a committed change. It must keep the version in use.
+func TestOlderVersionIgnored(t *testing.T) {
 	c := qt.New(t)
-	h, now := serving(c)
-	old := content(c, 4, 4)
-	oldBytes, oldHash := bytesOf(c, 4)
+	core, now := servingCore(c)
+	old := fullContent(c, 4, 4)
+	oldBytes, oldHash := encodeSample(c, 4)
 	push := old
 	push.Push = true
 	for _, m := range []Msg{
-		Received{1, Notice{Version: 4, Hash: oldHash}},
+		Received{1, VersionNotice{Version: 4, Hash: oldHash}},
 		Received{1, old},
 		Received{1, push},
 		HeadRead{Version: 4, Hash: oldHash},
 		ObjectRead{Hash: oldHash, Content: oldBytes},
 		Committed{Version: 4, Hash: oldHash, Content: oldBytes},
 	} {
-		cmds := h.Step(now, m)
-		cmds = append(cmds, h.Step(now.Add(time.Second), Tick{})...)
+		cmds := core.Step(now, m)
+		cmds = append(cmds, core.Step(now.Add(time.Second), Tick{})...)
 		now = now.Add(time.Second)
-		c.Check(used(cmds), qt.HasLen, 0, qt.Commentf("%T", m))
-		n, _ := h.Version()
+		c.Check(servedVersions(cmds), qt.HasLen, 0, qt.Commentf("%T", m))
+		n, _ := core.Version()
 		c.Check(n, qt.Equals, uint64(5), qt.Commentf("%T", m))
 	}
 }
 
-// TestDamaged offers version 6 cut short, corrupted and with a wrong base: it
-// is dropped whole, logged, and asked for again; the sound one is then used.
-func TestDamaged(t *testing.T) {
+// TestDamagedContent offers version 6 truncated, corrupted and with an unknown base. Each
+// time the content must be dropped as a whole and fetched again, and damaged content must
+// be logged. The valid content that follows must be used.
+func TestDamagedContent(t *testing.T) {
 	c := qt.New(t)
-	h, now := serving(c)
-	good := content(c, 6, 6)
-	h.Step(now, Received{1, Notice{Version: 6, Hash: good.Hash}})
-	short, flipped := good, good
-	short.Packed = good.Packed[:len(good.Packed)-3]
-	flipped.Packed = append([]byte(nil), good.Packed...)
-	flipped.Packed[len(flipped.Packed)/2] ^= 0x40
-	for _, bad := range []Content{short, flipped} {
-		cmds := h.Step(now, Received{1, bad})
-		c.Check(used(cmds), qt.HasLen, 0)
+	core, now := servingCore(c)
+	good := fullContent(c, 6, 6)
+	core.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
+	truncated, corrupted := good, good
+	truncated.Packed = good.Packed[:len(good.Packed)-3]
+	corrupted.Packed = append([]byte(nil), good.Packed...)
+	corrupted.Packed[len(corrupted.Packed)/2] ^= 0x40
+	for _, bad := range []Content{truncated, corrupted} {
+		cmds := core.Step(now, Received{1, bad})
+		c.Check(servedVersions(cmds), qt.HasLen, 0)
 		c.Check(logged(cmds, event.VersionRefused), qt.IsTrue)
-		n, _ := h.Version()
+		n, _ := core.Version()
 		c.Check(n, qt.Equals, uint64(5))
 	}
-	strange := good
-	strange.Base = snapshot.Sum([]byte("unheard of"))
-	c.Check(used(h.Step(now, Received{1, strange})), qt.HasLen, 0)
-	c.Check(used(h.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
+	unknownBase := good
+	unknownBase.Base = snapshot.Sum([]byte("unheard of"))
+	c.Check(servedVersions(core.Step(now, Received{1, unknownBase})), qt.HasLen, 0)
+	c.Check(servedVersions(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
-// TestFalseNotice tells of a version that does not exist.
+// TestNoticeOfMissingVersion announces a version that does not exist.
 //
-// The node asks for it in vain. It must not keep the node from the true next
-// version, whose number is lower.
-func TestFalseNotice(t *testing.T) {
+// The node can't fetch it. The failed fetch must not block the real next version, whose
+// number is lower.
+func TestNoticeOfMissingVersion(t *testing.T) {
 	c := qt.New(t)
-	h, now := serving(c)
-	h.Step(now, Received{1, Notice{Version: 900, Hash: snapshot.Sum([]byte("nothing"))}})
+	core, now := servingCore(c)
+	core.Step(now, Received{1, VersionNotice{Version: 900, Hash: snapshot.Sum([]byte("nothing"))}})
 	for range 600 {
-		now = now.Add(TickEvery)
-		h.Step(now, Received{1, Beat{Version: 5}})
-		h.Step(now, Tick{})
+		now = now.Add(TickInterval)
+		core.Step(now, Received{1, Heartbeat{Version: 5}})
+		core.Step(now, Tick{})
 	}
-	good := content(c, 6, 6)
-	h.Step(now, Received{1, Notice{Version: 6, Hash: good.Hash}})
-	c.Check(used(h.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
+	good := fullContent(c, 6, 6)
+	core.Step(now, Received{1, VersionNotice{Version: 6, Hash: good.Hash}})
+	c.Check(servedVersions(core.Step(now, Received{1, good})), qt.DeepEquals, []uint64{6})
 }
 
-// TestRank orders records as every node must.
+// TestRank checks the order by which all nodes decide between two records of a host.
 func TestRank(t *testing.T) {
 	c := qt.New(t)
 	order := []rank{
@@ -154,112 +154,116 @@
 	}
 	for i, a := range order {
 		for j, b := range order {
-			c.Check(a.above(b), qt.Equals, i > j, qt.Commentf("%v above %v", a, b))
+			c.Check(a.supersedes(b), qt.Equals, i > j, qt.Commentf("%v supersedes %v", a, b))
 		}
 	}
 }
 
-// TestClockBack starts a process whose host's clock has gone back: its peers
-// remember a later incarnation, and it must go above that to be believed.
-func TestClockBack(t *testing.T) {
+// TestClockStepsBack starts a process on a host whose clock has stepped back. Its peers
+// hold a record of a later incarnation, so it must choose a higher one, or they would
+// ignore its record.
+func TestClockStepsBack(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), Known: 900}, Addr: "b:1"})
-	c.Check(h.self.Incarnation, qt.Equals, uint64(901))
-	// Hearing of itself as of later still does the same.
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b"), KnownIncarnation: 900}, Addr: "b:1"})
+	c.Check(core.self.Incarnation, qt.Equals, uint64(901))
+	// A record of itself with a still later incarnation has the same effect.
 	m := member("a")
 	m.Incarnation = 2000
-	h.Step(now, Received{1, Records{[]Member{m}}})
-	c.Check(h.self.Incarnation, qt.Equals, uint64(2001))
+	core.Step(now, Received{1, Records{[]Member{m}}})
+	c.Check(core.self.Incarnation, qt.Equals, uint64(2001))
 }
 
-// TestAlone is a node that reaches nobody: it never serves anything.
-func TestAlone(t *testing.T) {
+// TestIsolatedNode checks that a node which reaches neither a peer nor the store never
+// serves a version.
+func TestIsolatedNode(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), Contacts: []string{"b:1"}}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a"), Contacts: []string{"b:1"}}, rand.New(rand.NewPCG(1, 1)), now)
 	for range 600 {
-		now = now.Add(TickEvery)
-		for _, cmd := range h.Step(now, Tick{}) {
+		now = now.Add(TickInterval)
+		for _, cmd := range core.Step(now, Tick{}) {
 			switch cmd := cmd.(type) {
 			case Dial:
-				h.Step(now, DialFailed{Addr: cmd.Addr, Refused: true})
+				core.Step(now, DialFailed{Addr: cmd.Addr, Refused: true})
 			case ReadHead:
-				h.Step(now, HeadRead{Err: errDown})
-			case Use:
-				t.Fatal("serves something")
+				core.Step(now, HeadRead{Err: errStoreDown})
+			case ServeVersion:
+				t.Fatal("an isolated node serves a version")
 			}
 		}
 	}
-	c.Check(h.Ready(), qt.IsFalse)
+	c.Check(core.Ready(), qt.IsFalse)
 }
 
-// TestContacts starts a node whose settings name hosts that are all replaced.
+// TestContacts starts a node whose configured contacts have all been replaced.
 //
-// It would stay by itself for good. After a while without any link it takes
-// the addresses that the domains have left in the table.
+// It would stay isolated forever. After some time without any link it must read the
+// addresses that the domains have written to the platform's table, at a limited rate.
+// A node with a link must write addresses only if it is the root of its domain, and
+// once.
 func TestContacts(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a"), Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
-	asked, dialed := 0, false
+	core := New(Config{Self: member("a"), Contacts: []string{"gone:1"}}, rand.New(rand.NewPCG(1, 1)), now)
+	reads, dialed := 0, false
 	for range 300 {
-		now = now.Add(TickEvery)
-		for _, cmd := range h.Step(now, Tick{}) {
+		now = now.Add(TickInterval)
+		for _, cmd := range core.Step(now, Tick{}) {
 			switch cmd := cmd.(type) {
 			case Dial:
 				dialed = dialed || cmd.Addr == "new:1"
-				h.Step(now, DialFailed{Addr: cmd.Addr})
+				core.Step(now, DialFailed{Addr: cmd.Addr})
 			case ReadContacts:
-				asked++
-				h.Step(now, ContactsRead{Addrs: []string{"new:1"}})
+				reads++
+				core.Step(now, ContactsRead{Addrs: []string{"new:1"}})
 			}
 		}
 	}
 	c.Check(dialed, qt.IsTrue)
-	c.Check(asked <= 3, qt.IsTrue, qt.Commentf("asked %d times in 30 s", asked))
+	c.Check(reads <= 3, qt.IsTrue, qt.Commentf("%d reads in 30 s", reads))
 
-	h, now = lone(c)
-	var left []string
+	core, now = linkedCore(c)
+	var written []string
 	for range 100 {
-		now = now.Add(TickEvery)
-		h.Step(now, Received{1, Beat{}})
-		for _, cmd := range h.Step(now, Tick{}) {
+		now = now.Add(TickInterval)
+		core.Step(now, Received{1, Heartbeat{}})
+		for _, cmd := range core.Step(now, Tick{}) {
 			if w, ok := cmd.(WriteContacts); ok {
-				c.Check(left, qt.IsNil)
-				left = w.Addrs
+				c.Check(written, qt.IsNil)
+				written = w.Addrs
 			}
 		}
 	}
-	if h.isRoot() {
-		c.Check(left, qt.HasLen, 2)
+	if core.isRoot() {
+		c.Check(written, qt.HasLen, 2)
 	} else {
-		c.Check(left, qt.IsNil)
+		c.Check(written, qt.IsNil)
 	}
 }
 
 // TestRestart restarts a host next to a peer that is behind.
 //
-// The host served version 5 before, keeps nothing, and the first peer that it
-// meets holds version 4 and has never heard of it. While the store may still
-// answer, the node must wait for it; only when it does not answer may it serve
-// what its peers hold.
+// The host served version 5 before and stores nothing on disk. The first peer that it
+// links to holds version 4 and has received no newer one. While the store may still
+// answer, the node must wait for it. Only after a failed read may it serve the version
+// that its peers hold.
 func TestRestart(t *testing.T) {
 	c := qt.New(t)
 	for _, storeUp := range []bool{true, false} {
 		now := time.Unix(1000, 0)
-		h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-		old, next := content(c, 4, 4), content(c, 5, 5)
+		core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+		old, next := fullContent(c, 4, 4), fullContent(c, 5, 5)
 		var served []uint64
 		step := func(m Msg) {
-			served = append(served, used(h.Step(now, m))...)
+			served = append(served, servedVersions(core.Step(now, m))...)
 		}
 		step(Tick{})
 		step(LinkUp{Link: 1, Hello: Hello{Member: member("b"), Version: 4, Hash: old.Hash}, Addr: "b:1"})
 		step(Received{1, old})
 		for range 20 {
-			now = now.Add(TickEvery)
+			now = now.Add(TickInterval)
 			step(Tick{})
 		}
 		c.Check(served, qt.HasLen, 0)
@@ -267,11 +271,11 @@
 			step(HeadRead{Version: 5, Hash: next.Hash})
 			step(Received{1, next})
 		} else {
-			step(HeadRead{Err: errDown})
+			step(HeadRead{Err: errStoreDown})
 		}
 		for range 20 {
-			now = now.Add(TickEvery)
-			step(Received{1, Beat{Version: 4}})
+			now = now.Add(TickInterval)
+			step(Received{1, Heartbeat{Version: 4}})
 			step(Tick{})
 		}
 		want := []uint64{4}
@@ -282,102 +286,102 @@
 	}
 }
 
-// TestForgetful restarts a host whose settings name no contact that knows
-// anybody. It can't know that it should dial its neighbour; the neighbour must
-// find it before declaring it dead.
-func TestForgetful(t *testing.T) {
+// TestNeighbourRedials ends the link to a host that has restarted without a usable
+// contact. That host doesn't know its neighbour and can't dial it, so the neighbour must
+// dial it before declaring it dead.
+func TestNeighbourRedials(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	other := "b"
 	for score(other) < score("a") {
-		other += "b" // the neighbour comes after us, and so is the one to dial
+		other += "b" // a neighbour later in the order, which normally dials this node
 	}
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member(other)}})
-	c.Assert(h.isRoot(), qt.IsTrue)
-	h.Step(now, LinkDown{1})
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member(other)}})
+	c.Assert(core.isRoot(), qt.IsTrue)
+	core.Step(now, LinkDown{1})
 	dialed := time.Duration(0)
 	for range 40 {
-		now = now.Add(TickEvery)
-		for _, cmd := range h.Step(now, Tick{}) {
+		now = now.Add(TickInterval)
+		for _, cmd := range core.Step(now, Tick{}) {
 			if d, ok := cmd.(Dial); ok && d.Addr == other+":1" && dialed == 0 {
 				dialed = now.Sub(time.Unix(1000, 0))
 			}
 		}
 	}
-	c.Check(dialed > 0 && dialed < suspectAfter, qt.IsTrue, qt.Commentf("after %v", dialed))
+	c.Check(dialed > 0 && dialed < suspectDelay, qt.IsTrue, qt.Commentf("after %v", dialed))
 }
 
-// TestLostDomain loses a whole domain for good.
+// TestLostDomain loses all nodes of a domain permanently.
 //
-// Nobody is left in it to say that its members are dead. While it may only be
-// cut off they are kept; after hours of silence they are forgotten, and one
-// that comes back all the same is believed.
+// No node is left there to declare its members dead. They must be kept while the domain
+// may only be partitioned, and be declared dead after domainForgetAfter without a
+// summary. A member that returns after that must be accepted.
 func TestLostDomain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
 	far := member("z")
 	far.Domain = "superior-a"
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: far}, Addr: "z:1"})
-	h.Step(now, Received{1, Summary{Domain: "superior-a", Region: "superior", At: 1, Members: 1}})
-	h.Step(now, LinkDown{1})
-	now = now.Add(forgetDomain - time.Minute)
-	h.Step(now, Tick{})
-	c.Check(h.Members(), qt.Equals, 2)
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: far}, Addr: "z:1"})
+	core.Step(now, Received{1, Summary{Domain: "superior-a", Region: "superior", At: 1, Members: 1}})
+	core.Step(now, LinkDown{1})
+	now = now.Add(domainForgetAfter - time.Minute)
+	core.Step(now, Tick{})
+	c.Check(core.Members(), qt.Equals, 2)
 	now = now.Add(2 * time.Minute)
-	h.Step(now, Tick{})
-	c.Check(h.Members(), qt.Equals, 1)
+	core.Step(now, Tick{})
+	c.Check(core.Members(), qt.Equals, 1)
 	far.Seq = 1
-	h.Step(now, LinkUp{Link: 2, Hello: Hello{Member: far}})
-	c.Check(h.Members(), qt.Equals, 2)
+	core.Step(now, LinkUp{Link: 2, Hello: Hello{Member: far}})
+	c.Check(core.Members(), qt.Equals, 2)
 }
 
-// TestFrames checks that each frame comes back as it was sent, and that
-// nothing else passes for one.
+// TestFrames checks that each type of frame is decoded as the type that was encoded, and
+// that invalid bytes are rejected.
 func TestFrames(t *testing.T) {
 	c := qt.New(t)
 	for _, f := range []Frame{
 		Hello{Member: member("a"), Version: 3},
-		Beat{Root: 1},
+		Heartbeat{Root: 1},
 		Digests{},
 		Listing{Domain: "a"},
-		Wants{},
+		RecordRequest{},
 		Records{[]Member{member("a")}},
-		Notice{Version: 9},
+		VersionNotice{Version: 9},
 		Fetch{},
 		Content{Packed: []byte("x")},
 		Report{},
 		Summary{Domain: "a"},
-		Hold{Print: 4},
-		Known{2},
-		Have{3},
+		CrashReport{Print: 4},
+		FloorNotice{2},
+		VersionAck{3},
 	} {
 		b, err := EncodeFrame(f)
 		c.Assert(err, qt.IsNil)
-		back, err := DecodeFrame(b)
+		decoded, err := DecodeFrame(b)
 		c.Assert(err, qt.IsNil)
-		c.Check(back.code(), qt.Equals, f.code())
+		c.Check(decoded.code(), qt.Equals, f.code())
 	}
-	for _, b := range [][]byte{nil, {0}, {200}, {codeBeat}, {codeBeat, 0xff}, {codeRecords, 0xa1, 1, 0x81, 0xa0}} {
+	for _, b := range [][]byte{nil, {0}, {200}, {codeHeartbeat}, {codeHeartbeat, 0xff}, {codeRecords, 0xa1, 1, 0x81, 0xa0}} {
 		_, err := DecodeFrame(b)
 		c.Check(err, qt.Equals, ErrFrame)
 	}
 }
 
-// FuzzFrame sends bytes as a peer could: they are a frame within its bounds,
-// or an error, and a Core takes any frame without ending the process.
+// FuzzFrame decodes arbitrary bytes as a peer could send them. The result must be an
+// error or a frame within its bounds, and a Core must handle that frame without a panic.
 func FuzzFrame(f *testing.F) {
 	for _, x := range []Frame{
 		Hello{Member: member("a")},
-		Beat{Root: 1, Version: 4},
+		Heartbeat{Root: 1, Version: 4},
 		Records{[]Member{member("c")}},
 		Listing{Domain: "erie-a", Entries: []Entry{{"c", 1, 0, Dead}}},
-		Notice{Version: 9},
+		VersionNotice{Version: 9},
 		Content{Version: 9, Packed: []byte{1}},
-		Report{Counts: []Count{{1, 2}}},
+		Report{Counts: []VersionCount{{1, 2}}},
 		Summary{Domain: "x", At: 5},
-		Hold{Print: 1, Service: "s"},
+		CrashReport{Print: 1, Service: "s"},
 		Fetch{Version: 5},
 	} {
 		b, err := EncodeFrame(x)
@@ -391,131 +395,131 @@
 		if err != nil {
 			return
 		}
-		h, now := lone(qt.New(t))
-		h.Step(now, Received{1, frame})
-		h.Step(now.Add(time.Second), Tick{})
+		core, now := linkedCore(qt.New(t))
+		core.Step(now, Received{1, frame})
+		core.Step(now.Add(time.Second), Tick{})
 	})
 }
 
-// TestOtherHost has another host answer at the address of one that was replaced.
+// TestAddressReuse replaces a host by another one with the same address.
 //
-// The old one's record lives on for some seconds. Each link to its address comes
-// up as one to the new host; if that counted as a success the address would be
-// dialed at each tick, and each new link would replace the last one: nodes would
-// do nothing else, and serve an old configuration meanwhile.
-func TestOtherHost(t *testing.T) {
+// The old host's record stays in the table for some seconds, and each link to its
+// address connects to the new host. If that counted as a success, the address would be
+// dialed at each tick and each new link would replace the last one. The nodes would do
+// nothing else, and would serve an old configuration meanwhile.
+func TestAddressReuse(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	h := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
-	old, fresh := member("old"), member("new")
-	fresh.Peer = old.Peer
-	h.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
-	h.Step(now, Received{1, Records{[]Member{old, fresh}}})
+	core := New(Config{Self: member("a")}, rand.New(rand.NewPCG(1, 1)), now)
+	old, successor := member("old"), member("new")
+	successor.PeerAddr = old.PeerAddr
+	core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: member("b")}, Addr: "b:1"})
+	core.Step(now, Received{1, Records{[]Member{old, successor}}})
 	dials, id := 0, LinkID(1)
 	for range 30 {
-		now = now.Add(TickEvery)
-		for _, cmd := range h.Step(now, Tick{}) {
-			if d, ok := cmd.(Dial); ok && d.Addr == old.Peer {
+		now = now.Add(TickInterval)
+		for _, cmd := range core.Step(now, Tick{}) {
+			if d, ok := cmd.(Dial); ok && d.Addr == old.PeerAddr {
 				dials++
 				id++
-				h.Step(now, LinkUp{Link: id, Hello: Hello{Member: fresh}, Addr: old.Peer})
+				core.Step(now, LinkUp{Link: id, Hello: Hello{Member: successor}, Addr: old.PeerAddr})
 			}
 		}
 	}
 	c.Check(dials <= 2, qt.IsTrue, qt.Commentf("%d dials in three seconds", dials))
-	c.Check(h.byHost["new"], qt.Not(qt.IsNil))
+	c.Check(core.linkByHost["new"], qt.Not(qt.IsNil))
 }
 
-// TestHoldClear lets word of crashes and word that the request has run to its end
-// go round a ring of five nodes at the same time, in many orders.
+// TestCrashReportClear floods crash reports, and the reports that clear them, through a
+// ring of five nodes at the same time and in many orders.
 //
-// The second follows the first closely: a node that has forgotten the crash hears
-// of it again by the other way round. If it took that for news, the two would
-// chase each other round the ring for good, at the full speed of every node, and
-// calls and configurations would come late everywhere with no error to say why.
-func TestHoldClear(t *testing.T) {
+// The clear closely follows the crash. A node that has cleared the crash receives the
+// crash report again from the other direction of the ring. If it handled that as new,
+// the two reports would circulate forever at full speed, and calls and configurations
+// would be late on all nodes without any error.
+func TestCrashReportClear(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(300) {
 		r := newRing(5)
 		rng := rand.New(rand.NewPCG(seed, 1))
 		for range 3 {
-			r.happens(rng.IntN(5), Crashed{Print: 7, Service: "posting"})
-			r.pass(rng, rng.IntN(8))
-			r.happens(rng.IntN(5), Crashed{Print: 7, Service: "posting", Clear: true})
-			r.pass(rng, rng.IntN(8))
+			r.deliver(rng.IntN(5), Crashed{Print: 7, Service: "posting"})
+			r.deliverFrames(rng, rng.IntN(8))
+			r.deliver(rng.IntN(5), Crashed{Print: 7, Service: "posting", Clear: true})
+			r.deliverFrames(rng, rng.IntN(8))
 		}
-		c.Assert(r.pass(rng, 1000) < 200, qt.IsTrue, qt.Commentf("seed %d goes on", seed))
+		c.Assert(r.deliverFrames(rng, 1000) < 200, qt.IsTrue, qt.Commentf("seed %d: reports still circulate", seed))
 
-		// A request that goes on crashing targets is held back all the same.
+		// A request that crashes targets again must still be held back.
 		for _, i := range []int{1, 3} {
-			r.happens(i, Crashed{Print: 7, Service: "posting"})
+			r.deliver(i, Crashed{Print: 7, Service: "posting"})
 		}
-		r.pass(rng, 1000)
-		for _, h := range r.hearts {
-			c.Assert(h.holds.list(), qt.HasLen, 1, qt.Commentf("seed %d", seed))
+		r.deliverFrames(rng, 1000)
+		for _, core := range r.cores {
+			c.Assert(core.crashes.heldRequests(), qt.HasLen, 1, qt.Commentf("seed %d", seed))
 		}
 	}
 }
 
-// ring is some Cores, each linked to the next and the last one, and the frames
-// about crashes that are on their way.
+// ring is a number of Cores in a ring, each linked to the next and the previous one, and
+// the crash reports in transit.
 type ring struct {
-	now    time.Time
-	hearts []*Core
-	way    []ringFrame
+	now      time.Time
+	cores    []*Core
+	inFlight []ringFrame
 }
 
-// ringFrame is a frame on its way to a node over one of its two links.
+// ringFrame is a crash report in transit to a node over one of its two links.
 type ringFrame struct {
 	to   int
 	link LinkID
-	f    Hold
+	f    CrashReport
 }
 
 func newRing(n int) *ring {
 	r := &ring{now: time.Unix(1000, 0)}
 	name := func(i int) string { return string(rune('a' + (i+n)%n)) }
 	for i := range n {
-		h := New(Config{Self: member(name(i))}, rand.New(rand.NewPCG(uint64(i), 1)), r.now)
+		core := New(Config{Self: member(name(i))}, rand.New(rand.NewPCG(uint64(i), 1)), r.now)
 		for link, j := range []int{i + 1, i - 1} {
-			h.Step(r.now, LinkUp{Link: LinkID(link + 1), Hello: Hello{Member: member(name(j))}, Addr: name(j) + ":1"})
+			core.Step(r.now, LinkUp{Link: LinkID(link + 1), Hello: Hello{Member: member(name(j))}, Addr: name(j) + ":1"})
 		}
-		r.hearts = append(r.hearts, h)
+		r.cores = append(r.cores, core)
 	}
 	return r
 }
 
-// happens gives a node a message and puts what it sends on the way.
-func (r *ring) happens(i int, m Msg) {
-	n := len(r.hearts)
-	for _, x := range r.hearts[i].Step(r.now, m) {
+// deliver steps node i with a message and queues the crash reports that it sends.
+func (r *ring) deliver(i int, m Msg) {
+	n := len(r.cores)
+	for _, x := range r.cores[i].Step(r.now, m) {
 		s, _ := x.(Send)
-		f, ok := s.Frame.(Hold)
+		f, ok := s.Frame.(CrashReport)
 		switch {
 		case !ok:
 		case s.Link == 1:
-			r.way = append(r.way, ringFrame{(i + 1) % n, 2, f})
+			r.inFlight = append(r.inFlight, ringFrame{(i + 1) % n, 2, f})
 		default:
-			r.way = append(r.way, ringFrame{(i + n - 1) % n, 1, f})
+			r.inFlight = append(r.inFlight, ringFrame{(i + n - 1) % n, 1, f})
 		}
 	}
 }
 
-// pass delivers up to most frames, those of one link in their order, and returns
-// how many there were.
-func (r *ring) pass(rng *rand.Rand, most int) int {
+// deliverFrames delivers up to limit frames in random order, but those of one link in the
+// order sent. It returns the number of frames delivered.
+func (r *ring) deliverFrames(rng *rand.Rand, limit int) int {
 	n := 0
-	for ; n < most && len(r.way) > 0; n++ {
-		at := rng.IntN(len(r.way))
-		for i, x := range r.way[:at] {
-			if x.to == r.way[at].to && x.link == r.way[at].link {
+	for ; n < limit && len(r.inFlight) > 0; n++ {
+		at := rng.IntN(len(r.inFlight))
+		for i, x := range r.inFlight[:at] {
+			if x.to == r.inFlight[at].to && x.link == r.inFlight[at].link {
 				at = i
 				break
 			}
 		}
-		x := r.way[at]
-		r.way = append(r.way[:at], r.way[at+1:]...)
-		r.happens(x.to, Received{x.link, x.f})
+		x := r.inFlight[at]
+		r.inFlight = append(r.inFlight[:at], r.inFlight[at+1:]...)
+		r.deliver(x.to, Received{x.link, x.f})
 	}
 	return n
 }
--- a/briarrockd/peer/traffic.go
+++ b/briarrockd/peer/traffic.go
@@ -7,15 +7,16 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// The metric of control bytes, by how far they go and in which direction.
+// trafficMetric counts control bytes, by distance (far) and direction (way).
 const trafficMetric = "briarrock_control_bytes_total"
 
-// traffic counts the bytes of links, TLS included.
+// traffic counts the bytes of links, including the overhead of TLS. In each pair the
+// first counter is of written bytes, the second of read bytes.
 type traffic struct {
-	self   Member
-	domain [2]*metrics.Counter // written, read; within the failure domain
-	region [2]*metrics.Counter // within the region
-	paid   [2]*metrics.Counter // between regions
+	self        Member
+	domain      [2]*metrics.Counter // within the failure domain
+	region      [2]*metrics.Counter // within the region, between failure domains
+	interRegion [2]*metrics.Counter // between regions
 }
 
 func newTraffic(set *metrics.Set, self Member) *traffic {
@@ -26,69 +27,70 @@
 			set.GetOrCreateCounter(name + `"in"}`),
 		}
 	}
-	return &traffic{self: self, domain: pair("domain"), region: pair("region"), paid: pair("paid")}
+	return &traffic{self: self, domain: pair("domain"), region: pair("region"), interRegion: pair("paid")}
 }
 
-// countedConn counts its bytes. What passes before the other side is known is
-// counted once it is.
+// countedConn counts the bytes of a connection. Bytes that pass before the peer is
+// known are added to the counters once setPeer is called.
 type countedConn struct {
 	net.Conn
-	t     *traffic
-	pair  atomic.Pointer[[2]*metrics.Counter]
-	early [2]atomic.Int64
+	traffic   *traffic
+	counters  atomic.Pointer[[2]*metrics.Counter]
+	uncounted [2]atomic.Int64
 }
 
-func (t *traffic) wrap(c net.Conn) *countedConn { return &countedConn{Conn: c, t: t} }
+func (t *traffic) wrap(c net.Conn) *countedConn { return &countedConn{Conn: c, traffic: t} }
 
-// far says who is at the other side.
-func (c *countedConn) far(m Member) {
-	pair := &c.t.paid
+// setPeer selects the counters by the domain and region of the peer.
+func (c *countedConn) setPeer(m Member) {
+	pair := &c.traffic.interRegion
 	switch {
-	case m.Domain == c.t.self.Domain:
-		pair = &c.t.domain
-	case m.Region == c.t.self.Region:
-		pair = &c.t.region
+	case m.Domain == c.traffic.self.Domain:
+		pair = &c.traffic.domain
+	case m.Region == c.traffic.self.Region:
+		pair = &c.traffic.region
 	}
-	c.pair.Store(pair)
-	for way := range c.early {
-		pair[way].Add(int(c.early[way].Swap(0)))
+	c.counters.Store(pair)
+	for dir := range c.uncounted {
+		pair[dir].Add(int(c.uncounted[dir].Swap(0)))
 	}
 }
 
-func (c *countedConn) count(way, n int) {
-	if pair := c.pair.Load(); pair != nil {
-		pair[way].Add(n)
+// add counts n bytes; dir is 0 for written bytes, 1 for read bytes.
+func (c *countedConn) add(dir, n int) {
+	if pair := c.counters.Load(); pair != nil {
+		pair[dir].Add(n)
 		return
 	}
-	c.early[way].Add(int64(n))
+	c.uncounted[dir].Add(int64(n))
 }
 
 // Write implements net.Conn.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.count(0, n)
+	c.add(0, n)
 	return n, err
 }
 
 // Read implements net.Conn.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.count(1, n)
+	c.add(1, n)
 	return n, err
 }
 
-// Traffic is the control bytes of a node so far, both directions added up.
+// Traffic is the control bytes of a node since its start, both directions added up.
 type Traffic struct {
-	Domain uint64 `json:"domain"`
-	Region uint64 `json:"region"`
-	Paid   uint64 `json:"paid"`
-	// PaidOut is the part of Paid that this node wrote, so that adding up
-	// over the nodes counts each byte of the paid link once.
-	PaidOut uint64 `json:"paidout"`
+	Domain      uint64 `json:"domain"`
+	Region      uint64 `json:"region"`
+	InterRegion uint64 `json:"paid"`
+	// InterRegionOut is the part of InterRegion that this node wrote. Its sum over all
+	// nodes counts each byte on the paid inter-region links once.
+	InterRegionOut uint64 `json:"paidout"`
 }
 
-// Traffic returns the control bytes so far.
-func (s *Links) Traffic() Traffic {
+// Traffic returns the control bytes since the start.
+func (t *Transport) Traffic() Traffic {
 	sum := func(p [2]*metrics.Counter) uint64 { return p[0].Get() + p[1].Get() }
-	return Traffic{sum(s.traffic.domain), sum(s.traffic.region), sum(s.traffic.paid), s.traffic.paid[0].Get()}
+	return Traffic{sum(t.traffic.domain), sum(t.traffic.region), sum(t.traffic.interRegion), t.traffic.interRegion[0].Get()}
 }
