--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -15,8 +15,9 @@
 
 const (
 	// admitAfterAnnouncements is the number of announcements after which a target gets calls
-	// although its health check fails. A failing health check can be wrong, and an announcement
-	// that was delayed since before the target deregistered is never followed by two more.
+	// although its health check fails. A failing health check can be wrong. Fewer announcements are
+	// no proof: one that was sent before the target deregistered may arrive late, but is never
+	// followed by two more.
 	admitAfterAnnouncements = 3
 	// acceptEarlierStartAfter is the number of consecutive announcements with an earlier process
 	// start after which they are accepted. The host's clock was then set back between two
@@ -82,7 +83,8 @@
 }
 
 // isStale reports whether an announcement is older than what is already known of the target. It
-// counts announcements with an earlier process start in x.earlierStarts.
+// counts announcements with an earlier process start in x.earlierStarts. Those are accepted only if
+// the known process has not announced itself for half of AnnouncementTimeout.
 func (t *Targets) isStale(x *target, a Announcement) bool {
 	if startMillis, ok := t.departed[a.ID]; ok && a.ID != "" && a.StartMillis <= startMillis && a.State != StateDraining {
 		return true
@@ -132,9 +134,9 @@
 	}
 }
 
-// admit lets calls pass to a target that needs no health check or has sent
-// admitAfterAnnouncements announcements. It reports whether the target was admitted by this
-// call.
+// admit lets calls pass to a target that needs no health check or has sent admitAfterAnnouncements
+// announcements, once the node has a configuration. It reports whether the target was admitted by
+// this call.
 func (t *Targets) admit(x *target) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,8 +162,8 @@
 // late announcement could present the target as up. The health check shows the target's present
 // state.
 //
-// Before the node has a configuration no call passes: a target's own outgoing calls go through
-// this node, which would refuse all of them.
+// Before the node has a configuration no call passes: the target's nested calls go through this
+// node, which would refuse all of them.
 func (t *Targets) awaitHealthy(x *target) {
 	select {
 	case <-t.done:
@@ -223,7 +225,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// Deregister removes the target with an ID after it has announced that it stops.
+// Deregister removes the target with this ID, which has reported that it stops for good.
 //
 // A node process that has just started may not know the target yet. A delayed announcement would
 // then look like one of a new target and bring calls to a process that has stopped. The start
--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -203,8 +203,8 @@
 }
 
 // TestNoConfiguration guards against calls to a target while its restarted node has no
-// configuration. The target's own outgoing calls go through the node, which has to refuse them,
-// so the caller would get the run's failure. Calls pass as soon as the first configuration is
+// configuration. The target's nested calls go through the node, which has to refuse them, so the
+// caller would get the failure of the outer call. Calls pass as soon as the first configuration is
 // applied.
 func TestNoConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/briarrockd/target/bodies_test.go
+++ b/briarrockd/target/bodies_test.go
@@ -116,8 +116,8 @@
 func TestUploads(t *testing.T) {
 	c := qt.New(t)
 	const (
-		link    = 7e6 / 8
-		mean    = 60e3
+		link    = 7e6 / 8 // bytes a second
+		mean    = 60e3    // bytes of an upload
 		seconds = 60
 		aim     = 1500 * time.Millisecond
 	)
--- a/briarrockd/target/broken_test.go
+++ b/briarrockd/target/broken_test.go
@@ -33,5 +33,5 @@
 	defer ts.Close()
 	defer func() { c.Check(recover(), qt.Equals, http.ErrAbortHandler) }()
 	send(ts)
-	c.Error("exchange ended as if the truncated answer were complete")
+	c.Error("exchange ended as if the truncated response were complete")
 }
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -77,7 +77,8 @@
 }
 
 // Load returns the utilization of the target at now: 1 if every slot is in use and no call is
-// queued.
+// queued. If the utilization of the host's link or of the target's rate is higher, Load returns
+// that.
 //
 // Refusals are fast, so a target that sheds load would look idle and attract more calls. Its
 // load is therefore raised by shedLoad for shedWindow after a refusal.
@@ -90,7 +91,8 @@
 	return load
 }
 
-// shedLoad is added to the load of a target for shedWindow after it refused a call.
+// shedLoad is added to the utilization that Load returns, for shedWindow after the target refused a
+// call.
 const (
 	shedWindow = time.Second
 	shedLoad   = 3
@@ -127,8 +129,8 @@
 	g.cmds = append(g.cmds, r)
 }
 
-// shortageKind returns the resource that a call is refused for now: the target's rate or its
-// slots.
+// shortageKind returns why a call is refused for lack of capacity: kind.Rate while the target's
+// rate limit is used up, kind.Full otherwise.
 func (g *Gate) shortageKind() kind.Kind {
 	if !g.pacer.ready(g.now) {
 		return kind.Rate
@@ -144,9 +146,9 @@
 	g.refuseWithRetry(a.ID, k, g.retryAfter(a))
 }
 
-// retryAfter returns when a retry is useful for a call that is refused for lack of capacity. It
-// grows with the share of refused calls, up to all of the call's slack: callers that retry at
-// once meet the same overload.
+// retryAfter returns the time until a retry is useful for a call that is refused for lack of
+// capacity. The time grows with the share of refused calls, up to all of the call's slack: callers
+// that retry at once meet the same overload.
 func (g *Gate) retryAfter(a *Arrival) time.Duration {
 	wait := max(g.slotWait(0, snapshot.MaxPriority), minRetryAfter, g.pacer.retryAfter(g.now, len(g.queue)))
 	if a.Aim.IsZero() {
@@ -160,8 +162,8 @@
 func (g *Gate) MeanDuration() time.Duration { return g.limit.durations.mean }
 
 // slotWait returns the expected time until a slot is free for a call behind n others. Slots that
-// more urgent calls usually use don't count, since more urgent calls that are still to arrive go
-// before it too.
+// more urgent calls usually use don't count: such calls go before this one even if they arrive
+// later.
 func (g *Gate) slotWait(n int, priority snapshot.Priority) time.Duration {
 	left := max(1, float64(g.concurrencyLimit())-g.reserve.meanHigherPriority(priority))
 	return time.Duration(float64(g.limit.durations.overall()) * float64(n+1) / left)
--- a/briarrockd/target/held_test.go
+++ b/briarrockd/target/held_test.go
@@ -65,7 +65,7 @@
 	return x
 }
 
-// sendHeld sends a request whose body of five bytes was held back by the caller's node.
+// sendHeld sends a request whose body of five bytes was withheld by the caller's node.
 func sendHeld(x *Targets, body io.Reader) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "/", body)
 	r.ContentLength = 5
@@ -77,8 +77,8 @@
 	return w
 }
 
-// TestHeldBodyTimeout guards against a slot that stays taken by a caller's node which was cut
-// off after its held-back body had been requested.
+// TestHeldBodyTimeout guards against a slot that stays in use for a caller's node that was cut off
+// after its withheld body had been requested.
 func TestHeldBodyTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -87,7 +87,7 @@
 		defer x.Close()
 		began := time.Now()
 		w := sendHeld(x, blockedBody{make(chan struct{})})
-		c.Check(time.Since(began), qt.Equals, heldBodyTimeout)
+		c.Check(time.Since(began), qt.Equals, withheldBodyTimeout)
 		c.Check(kind.ParseRan(w.Header().Get(kind.HeaderRan)), qt.Equals, kind.RanNo)
 		c.Check(sendHeld(x, strings.NewReader("order")).Body.String(), qt.Equals, "order")
 		c.Check(tr.requests, qt.Equals, 1)
@@ -95,8 +95,7 @@
 }
 
 // TestHeldBodyReadFirst guards against a request that runs although the response to its caller's
-// node says that it did not. A held-back body must be read before anything is sent to the
-// target.
+// node says that it did not. A withheld body must be read before anything is sent to the target.
 func TestHeldBodyReadFirst(t *testing.T) {
 	c := qt.New(t)
 	tr := new(echoTransport)
--- a/briarrockd/target/limiter.go
+++ b/briarrockd/target/limiter.go
@@ -16,16 +16,16 @@
 	// minLimitShareSlow is that share where calls have only become slow: the cause may be the
 	// work itself, which fewer slots would not make faster.
 	minLimitShareSlow = 0.75
-	// maxSlowdown is how many times its mean duration at low load a call has to take, on
-	// average, for a limit that is reached to be decreased. If a target announces more slots
-	// than it has, its calls slow each other down.
+	// maxSlowdown is the mean slowness of calls above which a limit that is reached is decreased.
+	// The slowness of a call is its duration divided by its route's mean duration at low load. If a
+	// target announces more slots than it has, its calls slow each other down.
 	maxSlowdown = 4
 	// recoveryDelay is the time after a decrease from which on successful calls raise the limit
 	// even if it is not reached. Calls that are only sent where slots are free, such as those
 	// from other regions, would otherwise never find one again.
 	recoveryDelay = time.Second
-	// lowLoadShare is the share of the limit, or for shed calls of the slots, up to which load
-	// counts as low.
+	// lowLoadShare is the share up to which load counts as low: of the limit for call durations,
+	// and of the slots for the shares of shed calls.
 	lowLoadShare = 0.5
 	// shedWeight is the weight of the newest call in the shares of shed calls. Load counts as
 	// the cause of shedding if the share at high load is at least minShedRatio times the share
@@ -46,8 +46,7 @@
 type limiter struct {
 	limit     float64
 	durations callDurations
-	// slowness is the moving average of a call's duration divided by its route's mean duration
-	// at low load; 0 if unknown.
+	// slowness is the moving average of the slowness of calls; 0 if unknown.
 	slowness    float64
 	decreasedAt time.Time
 	// shedLowLoad and shedHighLoad are the shares of calls that the target itself refuses at low
--- a/briarrockd/target/load_test.go
+++ b/briarrockd/target/load_test.go
@@ -75,11 +75,11 @@
 	return out
 }
 
-// TestShortBehindLong sends more reports of 180 ms than a target can run, and lookups of 12 ms
-// with an aim of 60 ms, which runs at other targets wait for.
+// TestShortBehindLong sends more reports of 180 ms than a target can run, and lookups of 12 ms with
+// an aim of 60 ms, which outer calls at other targets wait for.
 //
-// A lookup that finds all slots taken by reports fails the run that needs it. Reports cause the
-// overload, so reports must be refused and lookups not, while the slots stay in use.
+// A lookup that finds all slots taken by reports fails the outer call that needs it. Reports cause
+// the overload, so reports must be refused and lookups not, while the slots stay in use.
 func TestShortBehindLong(t *testing.T) {
 	c := qt.New(t)
 	const slots, last = 15, 10 * time.Second
--- a/briarrockd/target/message.go
+++ b/briarrockd/target/message.go
@@ -53,6 +53,7 @@
 
 // Limits are the limits that the target announces and the operator configures.
 type Limits struct {
+	// Slots is how many calls may run at once, Queue how many may be queued.
 	Slots int
 	Queue int
 	// LinkBandwidth is the bandwidth of the host's link in bytes a second; 0 if unknown.
--- a/briarrockd/target/nested.go
+++ b/briarrockd/target/nested.go
@@ -2,7 +2,8 @@
 
 import "strings"
 
-// IsRunning reports whether a target of this host is running a call with the given trace ID.
+// IsRunning reports whether a target of this host is running a call with the given trace ID. Calls
+// that a target makes while it runs another call, the outer one, are nested calls.
 func (t *Targets) IsRunning(trace string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -23,12 +24,12 @@
 	}
 }
 
-// traceSeparator separates the trace ID of a call from the suffix that names an outgoing call of
-// its run.
+// traceSeparator separates the trace ID of an outer call from the suffix that names one of its
+// nested calls.
 const traceSeparator = "."
 
-// ParentTrace returns the trace ID of the call whose run made the call with the given trace ID,
-// and false if that ID is not one of an outgoing call of a run.
+// ParentTrace returns the trace ID of the outer call of the nested call with the given trace ID. It
+// returns false if that ID is not one of a nested call.
 func ParentTrace(trace string) (string, bool) {
 	i := strings.LastIndex(trace, traceSeparator)
 	if i <= 0 {
--- a/briarrockd/target/nested_test.go
+++ b/briarrockd/target/nested_test.go
@@ -6,9 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestIsRunning guards against outgoing calls of runs that are not recognized as such, and
-// against callers that forge a trace ID of such a call: only the trace ID of a running call
-// counts.
+// TestIsRunning guards against nested calls that are not recognized as such, and against callers
+// that forge the trace ID of a nested call: only one with a running outer call counts.
 func TestIsRunning(t *testing.T) {
 	c := qt.New(t)
 	x := &Targets{traces: make(map[string]int)}
--- a/briarrockd/target/notice.go
+++ b/briarrockd/target/notice.go
@@ -8,9 +8,9 @@
 )
 
 // HeaderNotice carries the rates and drain states that targets have reported in their responses,
-// one Notice for each value. The target's node sends them in its responses, and the nodes of the
-// callers send them back to it in their requests. So a process that replaces the target's node
-// receives them before it admits the first request to which they apply.
+// one Notice in each header value. The target's node sends them in its responses, and the nodes of
+// the callers send them back to it in their requests. So a process that replaces the target's node
+// receives them before it admits the first request that they limit.
 const HeaderNotice = "Briarrock-Notice"
 
 // maxNotices bounds the notices in one header.
--- a/briarrockd/target/observe.go
+++ b/briarrockd/target/observe.go
@@ -13,7 +13,7 @@
 	// HeaderRate is the rate limit that the target advertises, in requests a second from all
 	// callers together. Without it there is no limit.
 	HeaderRate = "Briarrock-Rate"
-	// HeaderLeaving is set once the target is about to stop.
+	// HeaderLeaving is a boolean: true once the target is about to stop.
 	HeaderLeaving = "Briarrock-Leaving"
 )
 
--- a/briarrockd/target/pacer.go
+++ b/briarrockd/target/pacer.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// burstWindow is the time whose requests may be started at once after a pause.
+	// burstWindow sets the size of a burst: after a pause, as many requests may start at once as
+	// the rate allows in this time.
 	burstWindow = 500 * time.Millisecond
 	// minRate and maxRate bound the enforced rate, in requests a second. Only a response can
 	// raise or end a rate limit, so some requests have to pass at any rate.
--- a/briarrockd/target/queue.go
+++ b/briarrockd/target/queue.go
@@ -33,8 +33,9 @@
 	minWorkShare = 0.5
 )
 
-// expectedInTime reports whether a call is expected to end in time: within its aim, if it has
-// one that has not passed.
+// expectedInTime reports whether an arriving call is expected to be in time. A call without an aim
+// must start before its deadline. A call with an aim must end within it, or by its deadline if it
+// gets one of the next slots. A call whose aim has passed is not in time.
 func (g *Gate) expectedInTime(m Arrival) bool {
 	ahead, wait := g.expectedWait(m)
 	switch {
@@ -91,7 +92,8 @@
 	return n
 }
 
-// worthStarting reports whether a queued call has enough time left to be started.
+// worthStarting reports whether a queued call has enough time left to be started. A call without an
+// aim always has.
 func (g *Gate) worthStarting(w queuedCall) bool {
 	minWork := time.Duration(minWorkShare * float64(g.limit.durations.ofRoute(w.Route)))
 	return w.Aim.IsZero() || !g.now.Add(minWork).After(w.Deadline)
@@ -136,9 +138,9 @@
 	}
 }
 
-// expire refuses queued calls whose deadline has passed. It also refuses calls whose aim has
-// passed since they were queued, unless they get the next slots before lower-priority calls.
-// They did not run, and their callers still have time to try another target.
+// expire refuses queued calls whose deadline has passed. It also refuses calls whose aim has passed
+// since they were queued, unless they get the next slots before lower-priority calls. Such calls
+// did not run, and their callers still have time to try another target.
 func (g *Gate) expire() {
 	kept := g.queue[:0]
 	for _, w := range g.queue {
@@ -168,9 +170,9 @@
 	return best
 }
 
-// before reports whether call a goes before call b, which arrived earlier. The higher priority
-// goes first, then the caller with fewer started calls, then the earlier aim if it can still be
-// met. Outgoing calls of targets' runs have the shortest aims, and whole requests wait for them.
+// before reports whether call a goes before call b, which arrived earlier. The higher priority goes
+// first, then the caller with fewer started calls, then the earlier aim if it can still be met.
+// Nested calls have the shortest aims, and whole outer calls wait for them.
 func (g *Gate) before(a, b *queuedCall) bool {
 	switch {
 	case a.Priority != b.Priority:
--- a/briarrockd/target/rate.go
+++ b/briarrockd/target/rate.go
@@ -66,8 +66,9 @@
 	n.known = n.known || r.bounded
 }
 
-// updateFromReport applies a rate that another node has received. It holds until the first
-// response arrives here: this process receives all of the target's responses from then on.
+// updateFromReport applies a rate that another node has received, if it is stricter than the known
+// one. It holds until the first response arrives here: this process receives all of the target's
+// responses from then on.
 func (n *advertisedRate) updateFromReport(r Rate) {
 	if n.updatedAt.IsZero() && r.stricter(n.rate) {
 		n.rate, n.known = r, true
--- a/briarrockd/target/reserve.go
+++ b/briarrockd/target/reserve.go
@@ -18,9 +18,9 @@
 // reserve keeps slots free for urgent calls that can't wait until a long call ends.
 //
 // Running calls are not preempted. If long calls of low priority could take all slots, a short
-// urgent call would be late whatever its place in the queue, and the run at another target that
-// waits for it would fail. So long calls leave free as many slots as more urgent calls usually
-// use, unless those have enough slack to wait for a slot.
+// urgent call would be late whatever its place in the queue. The outer call that waits for it at
+// another target would then fail. So long calls leave free as many slots as more urgent calls
+// usually use, unless those have enough slack to wait for a slot.
 type reserve struct {
 	// running is the number of running calls of each priority, meanRunning its moving average.
 	running     [priorities]int
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -22,12 +22,12 @@
 const (
 	HeaderService     = "Briarrock-Service"
 	HeaderDeadline    = "Briarrock-Deadline" // milliseconds left
-	HeaderAim         = "Briarrock-Aim"      // milliseconds until the latency objective of the call
+	HeaderAim         = "Briarrock-Aim"      // milliseconds until the call's aim, negative after it
 	HeaderCaller      = "Briarrock-Caller"
 	HeaderPriority    = "Briarrock-Priority"
 	HeaderFingerprint = "Briarrock-Print" // fingerprint of the request
 	HeaderRoute       = "Briarrock-Route" // name of the route
-	HeaderAtMostOnce  = "Briarrock-Once"  // set if it may run at most once
+	HeaderAtMostOnce  = "Briarrock-Once"  // set if the request may run at most once
 	HeaderCrossRegion = "Briarrock-Far"   // set if the call comes from another region
 	// HeaderLoad reports to the caller's node the utilization of the target, and
 	// HeaderMeanDuration the mean duration of its calls in milliseconds.
@@ -111,7 +111,7 @@
 		t.refuse(w, c, x, refuse)
 		return
 	}
-	if !t.readHeldBody(w, r, x, id, c) {
+	if !t.readWithheldBody(w, r, x, id, c) {
 		return
 	}
 	c.queuedFor = time.Since(now)
@@ -119,19 +119,19 @@
 	t.forward(w, r, x, id, c)
 }
 
-// heldBodyTimeout bounds the time in which a short body has to arrive once it has been
+// withheldBodyTimeout bounds the time in which a short withheld body has to arrive once it has been
 // requested.
-const heldBodyTimeout = 500 * time.Millisecond
+const withheldBodyTimeout = 500 * time.Millisecond
 
-// readHeldBody reads a short body that the caller's node has held back, before anything of the
-// request is sent to the target: if the body does not arrive, the request has not run. It
-// returns false then.
-func (t *Targets) readHeldBody(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) bool {
+// readWithheldBody reads a short body that the caller's node has withheld, before anything of the
+// request is sent to the target. If the body does not arrive, the request has not run: it is
+// refused, and readWithheldBody returns false.
+func (t *Targets) readWithheldBody(w http.ResponseWriter, r *http.Request, x *target, id CallID, c call) bool {
 	if r.Header.Get(http1.HeaderHeld) == "" || relay.IsStreamed(r) {
 		return true
 	}
 	// If the caller's node has been cut off meanwhile, it must not keep the slot.
-	b, err := relay.ReadBody(r, min(heldBodyTimeout, time.Until(c.deadline)))
+	b, err := relay.ReadBody(r, min(withheldBodyTimeout, time.Until(c.deadline)))
 	if err != nil {
 		x.step(Completed{ID: id, Route: c.route})
 		t.refuse(w, c, x, Refuse{Kind: kind.Cancel})
@@ -216,8 +216,8 @@
 	sent := time.Now()
 	ctx := r.Context()
 	if c.atMostOnce {
-		// A call that may run at most once is not cut off either: its caller could not tell how
-		// far it got.
+		// A call that may run at most once continues if its caller disconnects. Otherwise the
+		// caller could not tell how far it got.
 		ctx = context.WithoutCancel(ctx)
 	}
 	res, out := relay.Send(ctx, relay.Call{
@@ -245,7 +245,7 @@
 		return
 	}
 	if completed.Shed = isShed(res); completed.Shed {
-		x.step(completed) // before writeLoad, so that this response includes the refusal
+		x.step(completed) // before writeLoad, so that the load in this response includes the refusal
 	}
 	completed.Failed = res.StatusCode >= http.StatusInternalServerError
 	t.logCall(c, x, completed.Duration, strconv.Itoa(res.StatusCode), nil)
@@ -260,12 +260,12 @@
 	}
 }
 
-// handleNotRun handles a target's response that it did not run a request: it has no capacity, or
-// it is not the target that the request was for.
+// handleNotRun handles a target's response that it did not run a request. Either the target has no
+// capacity, or it is not the target that the request was for.
 func (t *Targets) handleNotRun(w http.ResponseWriter, x *target, c call, res *http.Response, completed *Completed) {
-	// Once the response has been read to its end, the connection can be reused. A target that
-	// sheds load would otherwise cost its node a new connection for each request, which takes up
-	// the processor of a small host.
+	// Once the response has been read to its end, the connection can be reused. A target that sheds
+	// load would otherwise cost its node a new connection for each request, which uses up the CPU
+	// of a small host.
 	_, _ = io.CopyN(io.Discard, res.Body, maxRefusalBytes)
 	_ = res.Body.Close()
 	if res.StatusCode == http.StatusMisdirectedRequest {
@@ -281,8 +281,8 @@
 // maxRefusalBytes bounds how much of the body of a refusal is read.
 const maxRefusalBytes = 4 << 10
 
-// shedRetryAfter is the retry time after a target itself refused a request: some calls of usual
-// duration have ended by then.
+// shedRetryAfter is the delay before a retry after a target itself refused a request: some calls of
+// usual duration have ended by then.
 const shedRetryAfter = 50 * time.Millisecond
 
 // logCall writes the log line of a call that was sent to a target.
@@ -299,7 +299,8 @@
 	t.deps.Log.Call(event.RunEnded, f, success)
 }
 
-// requestBody returns a request's body, nil for none. onEnd is called when it has been read.
+// requestBody returns a request's body, nil for none. onEnd is called once the body has been read
+// to its end or a read has failed.
 func requestBody(r *http.Request, onEnd func()) io.Reader {
 	if r.ContentLength == 0 {
 		return nil
@@ -307,7 +308,8 @@
 	return &notifyingBody{r.Body, onEnd}
 }
 
-// notifyingBody is a body that calls onEnd when it has been read.
+// notifyingBody is a body that calls onEnd once, when it has been read to its end or a read has
+// failed.
 type notifyingBody struct {
 	io.Reader
 	onEnd func()
@@ -328,8 +330,8 @@
 	return res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
 }
 
-// targetHeaders returns the headers that a target may use: the caller, the time left, and the
-// trace ID.
+// targetHeaders returns the headers that a target may use: its own ID, which the request is for,
+// the caller, the time left, and the trace ID.
 func (t *Targets) targetHeaders(r *http.Request, x *target, c call) http.Header {
 	h := make(http.Header, 4)
 	if id := t.lastAnnouncement(x).ID; id != "" {
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -116,7 +116,7 @@
 	// configured is closed when the first configuration arrives.
 	configured chan struct{}
 
-	// traces counts the running calls of each trace ID.
+	// traces counts the running calls by trace ID.
 	traces map[string]int
 	// departed maps the IDs of targets that drain or have deregistered to the start time, in
 	// Unix milliseconds, of the latest process known to have done so.
@@ -128,9 +128,9 @@
 	waited   *metrics.Histogram
 }
 
-// target is one target with its gate and its connections. service and addr never change. The
-// fields from announcement to earlierStarts are guarded by the mutex of Targets, the gate and
-// its state by mu.
+// target is one target with its gate and its connections. service, addr, process, url, pool and
+// transport never change. The fields from announcement to earlierStarts are guarded by the mutex of
+// Targets, the gate and its state by mu.
 type target struct {
 	service string
 	addr    string
@@ -239,7 +239,8 @@
 	}
 }
 
-// limits returns the lower of the limits that the target announces and the operator configures.
+// limits returns the limits of a target: the lower of the slots that it announces and the operator
+// configures, and the configured queue length, by default twice the announced slots.
 func (t *Targets) limits(a Announcement) Limits {
 	l := Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBandwidth: t.deps.LinkBandwidth}
 	t.mu.Lock()
@@ -256,7 +257,7 @@
 	return l
 }
 
-// Drain refuses all new calls, since the node is about to stop.
+// Drain refuses all new and queued calls, since the node is about to stop.
 func (t *Targets) Drain() {
 	t.mu.Lock()
 	t.draining = true
