--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -15,7 +15,7 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// deadlineSlack is how much longer than a call's deadline a node waits for the target's
+// deadlineSlack is how long after a call's deadline a node still waits for the target's
 // node. The target's node reports an expired deadline itself, because it knows whether
 // the request was sent to the target.
 const deadlineSlack = 50 * time.Millisecond
@@ -35,18 +35,18 @@
 	// reachedTarget is set when the request reached the target, whatever the outcome.
 	reachedTarget bool
 	cancel        context.CancelFunc
-	// err is why there is no answer. It is only logged.
+	// err is why there is no response. It is only logged.
 	err error
 }
 
-// targetFailed returns whether the target itself answered with a 5xx status.
+// targetFailed reports whether the target itself answered with a 5xx status.
 func (a *attempt) targetFailed() bool {
 	return a.kind == kind.None && a.res != nil && a.res.StatusCode >= http.StatusInternalServerError
 }
 
-// sendAttempt sends a call to one upstream. If no answer arrives, res is nil and kind is
-// set. If the target's node answers with a failure, both are set and the body of res is
-// unread.
+// sendAttempt sends a call to one upstream. If no response arrives, res is nil and kind
+// is set. If the target's node answers with a failure, both are set and the body of res
+// is unread.
 func (p *Proxy) sendAttempt(ctx context.Context, c *call, u upstream) attempt {
 	p.attempts.Inc()
 	body, length := c.payload()
@@ -78,9 +78,9 @@
 	return a
 }
 
-// readResponse reads the head of an answer, and its body if that is short. The answer to
-// a streamed request may begin before the request has ended, so its body is streamed as
-// well.
+// readResponse reads the headers of a response, and its body if that is short. The
+// response to a streamed request may begin before the request has ended, so its body is
+// streamed as well.
 func (a *attempt) readResponse(res *http.Response, streamed bool) {
 	a.ran = kind.ParseRan(res.Header.Get(kind.HeaderRan))
 	a.kind = kind.Kind(res.Header.Get(kind.HeaderKind))
@@ -121,7 +121,7 @@
 // estimates how long a call takes from earlier calls with the same name.
 func (c *call) routeName() string { return cmp.Or(c.entryName, c.route.Name()) }
 
-// withholdsBody returns whether a call's body is withheld until the target's node
+// withholdsBody reports whether a call's body is withheld until the target's node
 // requests it. In an overload a body of any length is withheld: most calls are refused,
 // and their bodies would use up the bandwidth between the nodes.
 func (c *call) withholdsBody(u upstream) bool {
--- a/briarrockd/caller/attempts.go
+++ b/briarrockd/caller/attempts.go
@@ -22,7 +22,7 @@
 		p.fail(w, c, a.kind, a.ran, a.retryAfter)
 		return
 	}
-	p.writeAnswer(w, c, a, nil)
+	p.writeResponse(w, c, a, nil)
 }
 
 // attempts holds the state of all attempts of one call.
@@ -97,8 +97,8 @@
 	x.c.decisions.add(what, u.host, kind.None)
 	x.inFlight++
 	// The attempt is cancelled when the caller's request is, but not when another attempt
-	// is answered: its target may be processing the request, and cancelling would waste
-	// that work.
+	// is answered: its target may be running the request, and cancelling would waste that
+	// work.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(x.c.r.Context()))
 	stop := context.AfterFunc(x.c.r.Context(), cancel)
 	go func() {
@@ -109,7 +109,7 @@
 	return refusal{}, true
 }
 
-// handleResult processes a finished attempt and returns whether its result is that of the
+// handleResult handles a finished attempt and reports whether its result is that of the
 // call. If not, another attempt is in flight.
 func (x *attempts) handleResult(a *attempt) bool {
 	c := x.c
@@ -123,7 +123,7 @@
 		c.decisions.cause = a.err
 	}
 	if a.kind == kind.None && a.res != nil && !a.targetFailed() {
-		x.drainRemaining()
+		x.discardRemaining()
 		return true
 	}
 	if a.retryAfter > 0 && (x.minRetryAfter == 0 || a.retryAfter < x.minRetryAfter) {
@@ -149,9 +149,9 @@
 	return true
 }
 
-// drainRemaining lets the attempts that are still in flight run to their end, and
-// discards their answers.
-func (x *attempts) drainRemaining() {
+// discardRemaining lets the attempts that are still in flight end by themselves, and
+// discards their responses.
+func (x *attempts) discardRemaining() {
 	if x.inFlight == 0 {
 		return
 	}
@@ -181,8 +181,8 @@
 	}
 }
 
-// shouldRetry returns whether another attempt is to follow one that failed. If that takes
-// a retry from the budget, it has been taken.
+// shouldRetry reports whether another attempt is to follow one that failed. If that
+// attempt counts against the retry budget, shouldRetry has taken a retry from it.
 func (x *attempts) shouldRetry(a *attempt) bool {
 	c := x.c
 	if time.Until(c.deadline) < minTimeLeft || c.route.Retries == 0 || c.r.Context().Err() != nil || !x.belowRunLimit() {
@@ -196,8 +196,8 @@
 	}
 	if a.reachedTarget && a.ran == kind.RanNo && !c.nested {
 		// The caller can retry a call that did not run, so the node's retry is optional.
-		// A nested call is excluded: the request that made it can't be retried without
-		// repeating its work.
+		// A nested call is excluded: the outer call can't be retried without repeating
+		// its work.
 		return x.p.deps.Budget.takeOptional(x.c.service.Name)
 	}
 	if a.reachedTarget {
@@ -208,7 +208,7 @@
 	return x.reroutes <= maxReroutes
 }
 
-// belowRunLimit returns whether one more target may get the request. Attempts in flight
+// belowRunLimit reports whether one more target may get the request. Attempts in flight
 // count as if they had reached a target, because it isn't known yet whether they have.
 // Otherwise the request could run at more targets than its route allows.
 func (x *attempts) belowRunLimit() bool { return x.reachedTarget+x.inFlight <= x.c.route.Retries }
@@ -216,8 +216,8 @@
 // takeRetryToken takes one retry from the service's budget; false if none is left.
 func (x *attempts) takeRetryToken() bool { return x.p.deps.Budget.takeRetry(x.c.service.Name) }
 
-// combinedRan returns whether a call ran, given the last attempt's value: a call did not
-// run only if it ran in none of its attempts.
+// combinedRan returns whether a call ran, given the value of its last attempt: a call did
+// not run only if it ran in none of its attempts.
 func (x *attempts) combinedRan(last kind.Ran) kind.Ran {
 	if x.mayHaveRun && last == kind.RanNo {
 		return kind.RanUnknown
@@ -227,8 +227,8 @@
 
 // hedgeAimFraction is the part of the route's aim after which a hedged request is sent to
 // a second target; hedgeDeadlineFraction is the part of its deadline if it has no aim.
-// Most requests end well before. If an answer is lost or a target has stopped, the caller
-// waits this long instead of until its deadline.
+// Most requests end well before. If a response is lost or a target has stopped, the
+// caller waits this long instead of until its deadline.
 const (
 	hedgeAimFraction      = 0.6
 	hedgeDeadlineFraction = 0.4
@@ -266,7 +266,7 @@
 	x.startAttempt("hedge")
 }
 
-// maxDiscardBytes bounds how much of a failed answer's body is read so that its
+// maxDiscardBytes bounds how much of the body of a discarded response is read so that its
 // connection can be reused.
 const maxDiscardBytes = 64 << 10
 
@@ -278,9 +278,9 @@
 	_ = res.Body.Close()
 }
 
-// writeAnswer passes a target's answer to the caller. If rec is not nil it records the
-// answer.
-func (p *Proxy) writeAnswer(w http.ResponseWriter, c *call, a attempt, rec *answerRecorder) {
+// writeResponse passes a target's response to the caller. If rec is not nil it records
+// the response.
+func (p *Proxy) writeResponse(w http.ResponseWriter, c *call, a attempt, rec *responseRecorder) {
 	p.logCall(c, kind.None, a.ran, a.res.StatusCode, 0)
 	if c.callerRetry {
 		p.counters.callerRetryEnded(kind.None, a.ran)
--- a/briarrockd/caller/budget.go
+++ b/briarrockd/caller/budget.go
@@ -3,10 +3,10 @@
 import "sync"
 
 const (
-	// tokensPerCall is what each call adds to the retry budget of its service: one retry
-	// for ten calls.
+	// tokensPerCall is what each call adds to the retry budget of its service. A retry
+	// takes one token, so there is one retry for ten calls.
 	tokensPerCall = 0.1
-	// maxTokens bounds the saved retries, so that a long time without failures does not
+	// maxTokens bounds the saved tokens, so that a long time without failures does not
 	// allow a burst of retries.
 	maxTokens = 10.0
 	// maxServices bounds the table of budgets; a full table is cleared.
@@ -25,9 +25,9 @@
 // NewBudget returns a budget that allows each service one retry at the start.
 func NewBudget() *Budget { return &Budget{tokens: make(map[string]float64), maxTokens: maxTokens} }
 
-// SetNodeShare limits the saved retries to this node's part of meshTokens, which is the
-// most that all nodes of the mesh may save in total. So all nodes together stay within
-// it, even if they spend their budgets at once.
+// SetNodeShare limits the saved tokens to this node's part of meshTokens, the most that
+// all nodes of the mesh may save in total. So all nodes together stay within meshTokens,
+// even if they spend their budgets at once.
 func (b *Budget) SetNodeShare(meshTokens float64, nodes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -6,7 +6,7 @@
 //	p.SetTable(table)      // replaces the routing table atomically
 //	http.Serve(listener, p)
 //
-// A request names its service in the Host header. The answer is the target's, or one of
+// A request names its service in the Host header. The response is the target's, or one of
 // the failures listed in package kind, each of which states whether the request ran.
 //
 // The rules for retries are in one place, retry.go. They depend on three facts: whether
@@ -39,7 +39,7 @@
 // HeaderKey carries the idempotency key (draft-ietf-httpapi-idempotency-key-header).
 const HeaderKey = "Idempotency-Key"
 
-// HeaderReplay marks a recorded answer to an earlier request with the same idempotency
+// HeaderReplay marks a recorded response to an earlier request with the same idempotency
 // key.
 const HeaderReplay = "Briarrock-Replay"
 
@@ -55,8 +55,8 @@
 	// CrashCount returns how often a request with this fingerprint was in flight when a
 	// target crashed.
 	CrashCount func(fingerprint uint64) int
-	// IsRunning returns whether a target of this host is processing the call with this
-	// trace ID. It is nil for a node without targets.
+	// IsRunning reports whether a target of this host is running the call with this trace
+	// ID. It is nil for a node without targets.
 	IsRunning func(trace string) bool
 	// Authenticate returns the caller's name by the request's headers; false if the
 	// request is not from a permitted caller.
@@ -64,7 +64,7 @@
 	Log          *event.Log
 	Metrics      *metrics.Set
 	// StallTimeout is the longest time without any byte transferred after which a request
-	// or an answer is aborted.
+	// or a response is aborted.
 	StallTimeout time.Duration
 	// Hedge enables hedged requests: a request that may be repeated is also sent to a
 	// second target when the first attempt takes unusually long.
@@ -76,7 +76,8 @@
 	deps     Deps
 	table    atomic.Pointer[Table]
 	draining atomic.Bool
-	// shutdownAt is when the node ends, in Unix nanoseconds; 0 if that is not planned.
+	// shutdownAt is when the node's process ends, in Unix nanoseconds; 0 if that is not
+	// planned.
 	shutdownAt atomic.Int64
 	inFlight   atomic.Int64
 	timeouts   callerTimeouts
@@ -126,9 +127,9 @@
 // Drain makes the proxy refuse all new calls, because the node is about to stop.
 func (p *Proxy) Drain() { p.draining.Store(true) }
 
-// SetShutdownTime makes the proxy refuse calls whose deadline is later than t, when the
-// node ends and cuts off the calls in flight. Calls that local targets make for requests
-// in progress have short deadlines and are still accepted.
+// SetShutdownTime sets the time at which the node's process ends and cuts off the calls
+// in flight. The proxy refuses calls whose deadline is later than t. Nested calls of
+// local targets have short deadlines and are still accepted.
 func (p *Proxy) SetShutdownTime(t time.Time) { p.shutdownAt.Store(t.UnixNano()) }
 
 // call is a request in progress and the decisions made about it.
@@ -142,11 +143,11 @@
 	caller    string
 	startedAt time.Time
 	deadline  time.Time
-	// aim is the time until which an answer has its full value; a later one has little.
-	// It is zero if the route has no aim.
+	// aim is the call's latency objective as a point in time: a response after it has
+	// lost most of its value. Zero if the route has no aim.
 	aim time.Time
-	// nested is set for a call that a target of this host makes while it processes
-	// another call.
+	// nested is set for a call that a target of this host makes while it runs another
+	// call, the outer one.
 	nested bool
 	// callerRetry is set if the caller appears to retry after a refusal.
 	callerRetry bool
@@ -253,8 +254,8 @@
 }
 
 // promoteNested gives the highest priority to a call that a target of this host makes
-// while it processes another call: if the nested call is refused, all work for the outer
-// call is lost. A trace ID alone does not qualify: the outer call that it names must be
+// while it runs another call: if the nested call is refused, all work for the outer call
+// is lost. A trace ID alone does not qualify: the outer call that it names must be
 // running on this host now.
 func (p *Proxy) promoteNested(c *call) {
 	parent, ok := target.ParentTrace(c.trace)
@@ -351,7 +352,7 @@
 // Read implements io.Reader.
 func (b *streamedBody) Read(p []byte) (int, error) {
 	b.started.Store(true)
-	return b.ReadCloser.Read(p) //nolint:wrapcheck // io.EOF must pass as it is
+	return b.ReadCloser.Read(p) //nolint:wrapcheck // io.EOF must not be wrapped
 }
 
 // payload returns the body for one attempt and its length.
@@ -369,7 +370,7 @@
 // traceID returns the trace ID that the caller sent, or a random one if there is none or
 // it is too long.
 func traceID(r *http.Request) string {
-	const maxLen = 64
+	const maxLen = 64 // bytes
 	if t := r.Header.Get(target.HeaderTrace); t != "" && len(t) <= maxLen {
 		return t
 	}
--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -138,7 +138,7 @@
 		if !sleep(req.Context(), chainNearDelay) {
 			return nil, req.Context().Err()
 		}
-		return answerOf(req, http.StatusServiceUnavailable, kind.RanNo), nil
+		return newResponse(req, http.StatusServiceUnavailable, kind.RanNo), nil
 	}
 	r := chainRouteByName(strings.Trim(req.URL.Path, "/"))
 	x.h.addRunning(1)
@@ -150,9 +150,9 @@
 		return nil, req.Context().Err()
 	}
 	if !ok {
-		return answerOf(req, http.StatusInternalServerError, kind.RanYes), nil
+		return newResponse(req, http.StatusInternalServerError, kind.RanYes), nil
 	}
-	return answerOf(req, http.StatusOK, kind.RanYes), nil
+	return newResponse(req, http.StatusOK, kind.RanYes), nil
 }
 
 func (h *chainHost) addRunning(n int) {
--- a/briarrockd/caller/chain_test.go
+++ b/briarrockd/caller/chain_test.go
@@ -36,13 +36,13 @@
 	aim       time.Duration
 	deadline  time.Duration // of the route
 	timeout   time.Duration // of the caller
-	value     float64       // of an answer within the aim
+	value     float64       // of a response within the aim
 	calls     string        // the route that its targets call, if any
 	callCount int
 	callShare float64
 }
 
-const chainLateValue = 0.3 // share of its value that a late answer has
+const chainLateValue = 0.3 // share of its value that a late response has
 
 var chainRoutes = []chainRoute{
 	{
--- a/briarrockd/caller/choose.go
+++ b/briarrockd/caller/choose.go
@@ -49,17 +49,19 @@
 	// ejectAfterFailures is the number of consecutive failures after which an upstream is
 	// ejected.
 	ejectAfterFailures = 3
-	minEjection        = time.Second
-	maxEjection        = 30 * time.Second
+	// minEjection is how long an upstream is ejected for the first time. The time doubles
+	// with each consecutive ejection, up to maxEjection.
+	minEjection = time.Second
+	maxEjection = 30 * time.Second
 	// unreachableTTL is how long an upstream is not picked after a connection to its node
 	// failed: about the time in which a killed process is back.
 	unreachableTTL = 500 * time.Millisecond
 	// minHealthyDivisor bounds ejection: it is ignored if less than 1/minHealthyDivisor
 	// of a set would be left. The fault is then likely not the targets'.
 	minHealthyDivisor = 2
-	// A full upstream is not picked for about the time until one of its slots comes free,
-	// within these bounds. So a caller is refused at once, with most of its time left,
-	// and not after attempts at one full target after another.
+	// minFullTTL and maxFullTTL bound how long a full upstream is not picked: about the
+	// time until one of its slots becomes free. So a caller is refused at once, with most
+	// of its time left, and not after attempts at one full target after another.
 	minFullTTL = 2 * time.Millisecond
 	maxFullTTL = 20 * time.Millisecond
 	// maxOtherRegionFullTTL is the upper bound for an upstream in another region, which
@@ -78,9 +80,9 @@
 
 // Balancer picks upstreams. It samples a few at random from each of the own domain, the
 // own region and the other regions, and picks the one with the lowest cost. The cost
-// depends on the load that answers carry, the target's typical latency, its distance, the
-// attempts in flight to it from this node, and the outcome of earlier attempts. Announced
-// health is not used: only failures of attempts count.
+// depends on the load that responses report, the target's typical latency, its distance,
+// the attempts in flight to it from this node, and the outcome of earlier attempts.
+// Announced health is not used: only failures of attempts count.
 //
 // It is a pure data structure with a lock; the time is an argument of its methods.
 type Balancer struct {
@@ -352,7 +354,8 @@
 	return b
 }
 
-// overloaded returns whether an upstream of a set was full within overloadWindow.
+// overloaded reports whether an upstream of a set was full within overloadWindow, other
+// than by its target's rate limit.
 func (b *Balancer) overloaded(now time.Time, service string, set []upstream) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/briarrockd/caller/choose_test.go
+++ b/briarrockd/caller/choose_test.go
@@ -170,6 +170,6 @@
 	}
 	c.Check(mayRetry(kind.Full, kind.RanNo, snapshot.Once, true), qt.IsTrue)
 	c.Check(mayRetry(kind.Broken, kind.RanUnknown, snapshot.Repeatable, true), qt.IsTrue)
-	// A target's own answer is final, whatever its status.
+	// A target's own response is final, whatever its status.
 	c.Check(mayRetry(kind.None, kind.RanYes, snapshot.Repeatable, true), qt.IsFalse)
 }
--- a/briarrockd/caller/counts.go
+++ b/briarrockd/caller/counts.go
@@ -45,7 +45,7 @@
 	c.set.GetOrCreateCounter(`briarrock_refused_total{route="` + c.label(route) + `",kind="` + string(k) + `"}`).Inc()
 }
 
-// crossedRegions counts an attempt in another region and the bytes of its answer.
+// crossedRegions counts an attempt in another region and the bytes of its response.
 func (c *routeCounters) crossedRegions(route string, bytes int64) {
 	labelValue := c.label(route)
 	c.set.GetOrCreateCounter(`briarrock_crossings_total{route="` + labelValue + `"}`).Inc()
--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -228,7 +228,7 @@
 	f.step(s, target.Arrival{ID: id, Route: "view", Priority: snapshot.Normal, Deadline: c.began.Add(fleetTimeout), Aim: c.began.Add(fleetAim), CrossRegion: u.otherRegion})
 }
 
-// step passes a message to a Gate and executes the commands that it returns.
+// step passes a message to a Gate, and each command that it returns to its call.
 func (f *fleet) step(s *server, m target.Msg) {
 	for _, cmd := range s.gate.Step(f.now, m) {
 		id := target.CallID(0)
--- a/briarrockd/caller/full_test.go
+++ b/briarrockd/caller/full_test.go
@@ -25,7 +25,7 @@
 		tr.GotConn(httptrace.GotConnInfo{})
 	}
 	time.Sleep(200 * time.Microsecond)
-	res := answerOf(req, http.StatusServiceUnavailable, kind.RanNo)
+	res := newResponse(req, http.StatusServiceUnavailable, kind.RanNo)
 	res.Header.Set(kind.HeaderKind, string(kind.Full))
 	res.Header.Set(target.HeaderMeanDuration, "5")
 	return res, nil
--- a/briarrockd/caller/header_test.go
+++ b/briarrockd/caller/header_test.go
@@ -63,7 +63,7 @@
 }
 
 // TestHeaderFilter checks that headers which only nodes may set are removed from callers'
-// requests and targets' answers, and that headers of one connection are not forwarded.
+// requests and targets' responses, and that headers of one connection are not forwarded.
 func TestHeaderFilter(t *testing.T) {
 	c := qt.New(t)
 	got := make(chan http.Header, 1)
--- a/briarrockd/caller/once.go
+++ b/briarrockd/caller/once.go
@@ -42,8 +42,8 @@
 		p.fail(w, c, a.kind, a.ran, a.retryAfter)
 		return
 	}
-	rec := &answerRecorder{status: a.res.StatusCode, contentType: a.res.Header.Get("Content-Type")}
-	p.writeAnswer(w, c, a, rec)
+	rec := &responseRecorder{status: a.res.StatusCode, contentType: a.res.Header.Get("Content-Type")}
+	p.writeResponse(w, c, a, rec)
 	p.deps.Claims.Finish(c.claim, rec.outcome())
 }
 
@@ -59,22 +59,22 @@
 	_, _ = w.Write(o.Body)
 }
 
-// answerRecorder copies an answer while it is sent to the caller, up to the size limit of
-// replays.
-type answerRecorder struct {
+// responseRecorder copies a response while it is sent to the caller, up to the size limit
+// of replays.
+type responseRecorder struct {
 	status      int
 	contentType string
 	body        []byte
 	truncated   bool
 }
 
-// recordedBody is an answer's body that an answerRecorder copies as it is read.
+// recordedBody is a response's body that a responseRecorder copies as it is read.
 type recordedBody struct {
 	io.ReadCloser
-	rec *answerRecorder
+	rec *responseRecorder
 }
 
-func (rec *answerRecorder) wrap(b io.ReadCloser) io.ReadCloser { return &recordedBody{b, rec} }
+func (rec *responseRecorder) wrap(b io.ReadCloser) io.ReadCloser { return &recordedBody{b, rec} }
 
 // Read implements io.Reader.
 func (b *recordedBody) Read(p []byte) (int, error) {
@@ -86,9 +86,9 @@
 	if !b.rec.truncated {
 		b.rec.body = append(b.rec.body, p[:n]...)
 	}
-	return n, err //nolint:wrapcheck // io.EOF must pass as it is
+	return n, err //nolint:wrapcheck // io.EOF must not be wrapped
 }
 
-func (rec *answerRecorder) outcome() claim.Outcome {
+func (rec *responseRecorder) outcome() claim.Outcome {
 	return claim.Outcome{Status: rec.status, ContentType: rec.contentType, Body: rec.body, BodyOmitted: rec.truncated}
 }
--- a/briarrockd/caller/overload_test.go
+++ b/briarrockd/caller/overload_test.go
@@ -130,9 +130,9 @@
 // TestRestartedNode restarts a node, as all nodes are after a power loss.
 //
 // Calls reach the new process before its target's announcement has arrived, and it
-// answers that it has no target. It must be picked again as soon as its member record
-// says that the target is open. If it were avoided for seconds, as a leaving one is, a
-// whole service would count as empty although all of its targets are back.
+// reports that it has no target. It must be picked again as soon as its member record
+// says that the target takes calls. If it were avoided for seconds, as a leaving one is,
+// a whole service would count as empty although all of its targets are back.
 func TestRestartedNode(t *testing.T) {
 	c := qt.New(t)
 	ms := members()
--- a/briarrockd/caller/patience.go
+++ b/briarrockd/caller/patience.go
@@ -20,7 +20,7 @@
 	longest map[string]time.Duration
 }
 
-// observe records the timeout that a caller sent for an entry, and returns whether the
+// observe records the timeout that a caller sent for an entry, and reports whether the
 // request appears to be a retry.
 func (t *callerTimeouts) observe(entry string, timeout time.Duration) bool {
 	t.mu.Lock()
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -24,10 +24,10 @@
 // scriptedResult is the result of one attempt, after a delay.
 type scriptedResult struct {
 	after  time.Duration
-	status int       // of a target's answer; 0 if it gives none
+	status int       // of a target's response; 0 if it gives none
 	kind   kind.Kind // of a failure that the target's node reports
 	ran    kind.Ran
-	err    error // of the transport, instead of an answer
+	err    error // of the transport, instead of a response
 }
 
 // scriptedTransport is a transport that gives each attempt its result, in the order of
@@ -65,15 +65,15 @@
 		return nil, x.err
 	}
 	if x.kind == kind.None {
-		return answerOf(req, x.status, kind.RanYes), nil
+		return newResponse(req, x.status, kind.RanYes), nil
 	}
-	res := answerOf(req, x.kind.Answer().Status, x.ran)
+	res := newResponse(req, x.kind.Answer().Status, x.ran)
 	res.Header.Set(kind.HeaderKind, string(x.kind))
 	return res, nil
 }
 
-// answerOf returns an answer to a request, of a target or of its node.
-func answerOf(req *http.Request, status int, ran kind.Ran) *http.Response {
+// newResponse returns a response to a request, of a target or of its node.
+func newResponse(req *http.Request, status int, ran kind.Ran) *http.Response {
 	res := &http.Response{
 		StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Header: make(http.Header),
 		Body: io.NopCloser(strings.NewReader("answer")), ContentLength: 6, Request: req,
@@ -88,7 +88,7 @@
 )
 
 // sendScripted sends one request by a route through a Proxy whose attempts have the given
-// results. It returns the answer and the transport.
+// results. It returns the response and the transport.
 func sendScripted(route snapshot.Route, results ...scriptedResult) (*httptest.ResponseRecorder, *scriptedTransport) {
 	s := &snapshot.Snapshot{
 		Services: []snapshot.Service{{Name: "orderdesk", Slots: 6}},
@@ -127,7 +127,7 @@
 // TestRunsBounded has a slow first attempt and a second one that fails.
 //
 // The request is hedged because the first attempt is slow, and the second target answers
-// with a failure. The first target may still be processing the request: a third attempt
+// with a failure. The first target may still be running the request: a third attempt
 // would run it at more targets than its route allows.
 func TestRunsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -138,10 +138,10 @@
 	})
 }
 
-// TestHedge loses the answer of the first attempt.
+// TestHedge loses the response of the first attempt.
 //
 // Without hedging the caller would wait until its deadline. A second target must get the
-// request after a part of the route's aim, and its answer must be passed on at once.
+// request after a part of the route's aim, and its response must be passed on at once.
 func TestHedge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -167,8 +167,8 @@
 	})
 }
 
-// TestOutcomes checks the number of attempts and the caller's answer for each result that
-// attempts can have.
+// TestOutcomes checks the number of attempts and the caller's response for each result
+// that attempts can have.
 func TestOutcomes(t *testing.T) {
 	once := snapshot.Route{Path: "/orders/", Mode: snapshot.Once, Deadline: time.Second, Retries: 1}
 	full := scriptedResult{kind: kind.Full, ran: kind.RanNo}
@@ -203,7 +203,7 @@
 	}
 }
 
-// TestTruncatedAnswer has an answer that ends before its declared length.
+// TestTruncatedAnswer has a response that ends before its declared length.
 //
 // If it were passed on as it arrives it would break the caller's connection, or worse,
 // look complete. It must be detected before any of it is sent to the caller, so that the
--- a/briarrockd/caller/start.go
+++ b/briarrockd/caller/start.go
@@ -10,8 +10,8 @@
 	// startupPeriod is how long after its start a node may lack a configuration or
 	// targets because they have not arrived yet.
 	startupPeriod = 3 * time.Second
-	// A call waits for them for at most maxStartupWait, and for at most
-	// 1/startupWaitDivisor of its time left.
+	// maxStartupWait and startupWaitDivisor bound how long a call waits for them: for at
+	// most maxStartupWait, and for at most 1/startupWaitDivisor of its time left.
 	maxStartupWait     = 600 * time.Millisecond
 	startupWaitDivisor = 4
 	// startupRetryAfter is the retry delay for callers whose call has waited at a
@@ -32,8 +32,8 @@
 	return &startup{startedAt: time.Now(), tableSet: make(chan struct{})}
 }
 
-// finished returns whether the node has been up for so long that a missing configuration
-// or target is not just late.
+// finished reports whether startupPeriod is over: a configuration or target that is still
+// missing is then not just late.
 func (s *startup) finished() bool { return time.Since(s.startedAt) >= startupPeriod }
 
 // notify wakes the calls that wait for a table.
--- a/briarrockd/caller/start_test.go
+++ b/briarrockd/caller/start_test.go
@@ -12,7 +12,7 @@
 	"briarrock.example/mesh/kind"
 )
 
-// sendRequest sends a request to a Proxy. It returns the time until the answer and the
+// sendRequest sends a request to a Proxy. It returns the time until the response and the
 // kind of failure.
 func sendRequest(p *Proxy) (time.Duration, kind.Kind) {
 	r := httptest.NewRequest(http.MethodGet, "http://orderdesk/", nil)
--- a/briarrockd/caller/state.go
+++ b/briarrockd/caller/state.go
@@ -7,27 +7,28 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// Detection of stalled upstreams: attempts are in flight, and no answer arrives.
+// Detection of stalled upstreams: attempts are in flight, and no response arrives.
 const (
-	// stallFactor is the time without an answer after which an upstream counts as
+	// stallFactor is the time without a response after which an upstream counts as
 	// stalled, as a multiple of its typical latency.
 	stallFactor = 4
 	// minStall is the lower bound of that time. It is longer than a round trip to another
 	// region and the work of most requests.
-	minStall  = 250 * time.Millisecond
+	minStall = 250 * time.Millisecond
+	// stallCost is the cost of a stalled upstream, in the unit of the Balancer's costs.
 	stallCost = 5.0
 )
 
 // Feedback is what one attempt showed about an upstream.
 type Feedback struct {
-	// Load is the load that the target's node reported, 1 if all slots are in use and
-	// none waits; negative if it reported none.
+	// Load is the load that the target's node reported, 1 if all slots are in use and no
+	// call is queued; negative if it reported none.
 	Load float64
 	// TypicalLatency is the moving average of how long the target's calls take, as its
 	// node reported; 0 if it reported none.
 	TypicalLatency time.Duration
-	// Failed is set when no answer of the target arrived, whether its node did not answer
-	// or reported a failed connection or a missed deadline.
+	// Failed is set when no response of the target arrived: its node did not answer, or
+	// reported a failed connection or a missed deadline.
 	Failed bool
 	// Unreachable is set when the connection to the target's node failed.
 	Unreachable bool
@@ -43,20 +44,20 @@
 	Priority          snapshot.Priority
 	RetryAfter        time.Duration
 	// Notices are the rate limits and the leaving that the node's targets have reported
-	// in their answers.
+	// in their responses.
 	Notices []target.Notice
 }
 
 // state is the recorded state of one upstream.
 type state struct {
 	inFlight int
-	load     float64
+	load     float64 // last reported load, received at loadAt
 	loadAt   time.Time
 	// picksSinceReport counts the picks since the load was last reported.
 	picksSinceReport int
 	typicalLatency   time.Duration
-	// stalledSince is the time since which attempts have been in flight without an
-	// answer.
+	// stalledSince is the time since which attempts have been in flight without a
+	// response.
 	stalledSince        time.Time
 	failureRate         float64 // moving average of failed attempts, at failureRateAt
 	failureRateAt       time.Time
@@ -95,18 +96,19 @@
 	return max(own, reported)
 }
 
-// stalled returns whether several attempts have been in flight for long without an
-// answer. The node or its target has then stopped or can't be reached, and no connection
-// error shows it.
+// stalled reports whether several attempts have been in flight for long without a
+// response. The node or its target has then stopped or can't be reached, and no
+// connection error shows it.
 func (s *state) stalled(now time.Time) bool {
 	const attempts = 2 // a single one may just take long
 	return s.inFlight >= attempts && now.Sub(s.stalledSince) > max(minStall, stallFactor*s.typicalLatency)
 }
 
-// isLeaving returns whether an upstream is avoided because it reported that it is
+// isLeaving reports whether an upstream is avoided because it reported that it is
 // leaving. The report counts only for the process that made it. A node that has just
-// started also reports leaving, until its target's announcement has arrived; its first
-// member record, with a new incarnation, shows that it has.
+// started also reports leaving, until its target's announcement has arrived. The first
+// member record of its process shows that it has arrived: the record has a new
+// incarnation, so the report no longer counts.
 func (s *state) isLeaving(now time.Time, u *upstream) bool {
 	return s.leavingUntil.After(now) && s.leavingIncarnation == u.incarnation
 }
@@ -120,7 +122,7 @@
 	s.fullAt, s.fullPriority, s.retryAfter, s.rateLimited = now, priority, f.RetryAfter, f.RateLimited
 }
 
-// isFull returns whether the upstream is known to be full for calls of a priority.
+// isFull reports whether the upstream is known to be full for calls of a priority.
 func (s *state) isFull(now time.Time, priority snapshot.Priority) bool {
 	return priority <= s.fullPriority && now.Sub(s.fullAt) < s.fullTTL()
 }
--- a/briarrockd/caller/table.go
+++ b/briarrockd/caller/table.go
@@ -76,8 +76,8 @@
 func (t *Table) Limits() snapshot.Limits { return t.limits }
 
 // NewTable builds a table from a version of the configuration and the members. A target
-// of a service that the version doesn't list is left out. A listed service without open
-// targets gets an empty set.
+// of a service that the version doesn't list is left out. A listed service of which no
+// target takes calls gets an empty set.
 func NewTable(version uint64, s *snapshot.Snapshot, members []peer.Member) *Table {
 	return newRouting(version, s).tableFor(members)
 }
@@ -159,8 +159,8 @@
 	return nil, known
 }
 
-// canServe returns whether a request's services have targets, or whether it would be
-// refused with any targets.
+// canServe reports whether the services of a request have targets. It also returns true
+// if the request would be refused whatever targets there are.
 func (t *Table) canServe(r *http.Request) bool {
 	e, known := t.entry(hostName(r.Host), r.URL.Path)
 	if e == nil {
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -22,7 +22,7 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// A simulation of a mesh whose targets report rate limits and leaving in their answers.
+// A simulation of a mesh whose targets report rate limits and leaving in their responses.
 // It uses the real Proxies and Targets of all hosts on the clock of testing/synctest. The
 // network and the targets' work are simulated.
 const (
@@ -75,7 +75,7 @@
 	rates       []noticeRate
 	arrivals    []noticeArrival
 	// leavingSeenAt and rateSeenAt are the times at which each entry node first passed on
-	// an answer that reported leaving or a rate.
+	// a response that reported leaving or a rate.
 	leavingSeenAt, rateSeenAt map[int]time.Time
 }
 
@@ -242,7 +242,7 @@
 	if !ok {
 		return nil, req.Context().Err()
 	}
-	res := answerOf(req, http.StatusOK, kind.RanYes)
+	res := newResponse(req, http.StatusOK, kind.RanYes)
 	text := fmt.Sprintf("%d %d %s %v", x.h.n, app.startMillis, app.rate, app.leaving)
 	res.Body, res.ContentLength = io.NopCloser(strings.NewReader(text)), int64(len(text))
 	if app.rate != "" {
@@ -277,7 +277,7 @@
 	return m.rng.Float64()
 }
 
-// sendRequest sends one request to the node of the host and records what its answer
+// sendRequest sends one request to the node of the host and records what its response
 // reports.
 func (h *noticeHost) sendRequest() {
 	req := httptest.NewRequest(http.MethodGet, "http://told.example/", nil)
@@ -292,13 +292,13 @@
 	}
 	h.m.mu.Unlock()
 	if w.Code == http.StatusOK {
-		h.recordAnswer(strings.Split(w.Body.String(), " "))
+		h.recordResponse(strings.Split(w.Body.String(), " "))
 	}
 }
 
-// recordAnswer records when the host's node first passed on a rate or leaving. words are
-// the answer's target, its process, its rate and whether it is leaving.
-func (h *noticeHost) recordAnswer(words []string) {
+// recordResponse records when the host's node first passed on a rate or leaving. words
+// are the response's target, its process, its rate and whether it is leaving.
+func (h *noticeHost) recordResponse(words []string) {
 	n, _ := strconv.Atoi(words[0])
 	server := h.m.hosts[n]
 	server.mu.Lock()
--- a/briarrockd/caller/told_test.go
+++ b/briarrockd/caller/told_test.go
@@ -19,16 +19,16 @@
 	noticeRateGrace    = 3 * time.Second
 	noticeRateWindow   = 4 * time.Second
 	noticeRateFactor   = 1.5
-	noticeRateSlack    = 5
+	noticeRateSlack    = 5 // requests in a window
 	noticeNodeGrace    = 500 * time.Millisecond
 	noticeLeavingGrace = 2500 * time.Millisecond
 	// noticeMaxAttempts bounds the attempts at targets' nodes for a hundred calls.
 	noticeMaxAttempts = 130
 )
 
-// run sends load requests per second for some seconds, while it executes the steps of a
-// script. Each line of the script has the second, the action, the number of the target,
-// and a value.
+// run sends load requests per second for some seconds, while it applies the steps of a
+// script. Each line of the script has the second, the action, the number of the target's
+// host, and a value.
 func (m *noticeMesh) run(c *qt.C, load, seconds int, script string) {
 	began := time.Now()
 	for line := range strings.Lines(script) {
@@ -142,7 +142,7 @@
 }
 
 // TestNamedRate guards against a target that gets more requests per second, summed over
-// all nodes, than the rate limit in its answers, also while its own node is killed or
+// all nodes, than the rate limit in its responses, also while its own node is killed or
 // frozen. It also guards against other targets that stay idle meanwhile.
 func TestNamedRate(t *testing.T) {
 	datadriven.RunTest(t, "testdata/rate", func(t *testing.T, d *datadriven.TestData) string {
@@ -186,10 +186,10 @@
 	return n
 }
 
-// TestLeavingNotice guards against requests for a target that has reported in its answers
-// that it is leaving, also while its announcements still say that it is up and its node
-// has been replaced since. It also guards against a leaving report that is applied to the
-// next process at the target's address.
+// TestLeavingNotice guards against requests for a target that has reported in its
+// responses that it is leaving, also while its announcements still say that it is up and
+// its node has been replaced since. It also guards against a leaving report that is
+// applied to the next process at the target's address.
 func TestLeavingNotice(t *testing.T) {
 	datadriven.RunTest(t, "testdata/leaving", func(t *testing.T, d *datadriven.TestData) string {
 		c := qt.New(t)
--- a/briarrockd/caller/trace.go
+++ b/briarrockd/caller/trace.go
@@ -8,10 +8,10 @@
 	"briarrock.example/mesh/kind"
 )
 
-// callDecisions are the decisions made for a call, for its log entry.
+// callDecisions are the decisions made for a call, for its log line.
 type callDecisions struct {
 	list []string
-	// cause is the error of the last attempt that failed without an answer.
+	// cause is the error of the last attempt that failed without a response.
 	cause error
 }
 
@@ -24,9 +24,9 @@
 	s.list = append(s.list, line)
 }
 
-// logCall writes the log entry of a call: its trace ID, the routing table that it used
-// and the age of that, and the outcome. Entries of calls that were answered by the first
-// attempt are dropped first when there are too many.
+// logCall writes the log line of a call: its trace ID, the version and age of the routing
+// table that it used, and the outcome. When there are too many lines, those of calls that
+// the first attempt served are dropped first.
 func (p *Proxy) logCall(c *call, k kind.Kind, ran kind.Ran, status int, retryAfter time.Duration) {
 	f := event.Fields{"trace": c.trace, "status": status, "ms": time.Since(c.startedAt).Milliseconds()}
 	if c.table != nil {
