--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -42,8 +42,8 @@
 // has maxTargets targets.
 //
 // Announcements can arrive late. One that was sent before the target started to drain must not
-// bring calls back to it, and one of an earlier process at the same address must not replace
-// that of a later process.
+// bring calls back to it. One of an earlier process at the same address must not replace that of a
+// later process.
 func (t *Targets) HandleAnnouncement(a Announcement) bool {
 	now := time.Now()
 	t.mu.Lock()
--- a/briarrockd/target/bodies.go
+++ b/briarrockd/target/bodies.go
@@ -22,12 +22,12 @@
 
 // bodyLimiter limits how many long request bodies the host receives at once.
 //
-// The link of a small host needs a tenth of a second for one upload. If all uploads are admitted
-// at once, they fill the queues in front of the link, and everything else that the host receives
-// waits behind them for seconds: short calls, responses to its own target's calls, and
-// heartbeats of its peers. Nothing fails then, but everything is late. With few uploads at a
-// time, the others wait at the node that received them from the caller, without a byte in
-// transit, and short messages pass.
+// The link of a small host needs a tenth of a second for one upload. If all uploads are admitted at
+// once, they fill the queues in front of the link. Everything else that the host receives then
+// waits behind them for seconds: short calls, responses to its own target's calls, and heartbeats
+// of its peers. Nothing fails, but everything is late. With few uploads at a time, the others wait
+// at the node that received them from the caller, without a byte in transit, and short messages
+// pass.
 type bodyLimiter struct {
 	bandwidth float64          // bytes a second; 0 for no bound
 	inFlight  map[CallID]int64 // lengths of the bodies in transit
--- a/briarrockd/target/bodies_test.go
+++ b/briarrockd/target/bodies_test.go
@@ -107,12 +107,12 @@
 // TestUploads sends uploads and short calls to a target behind a slow link, at 0.5, 0.9 and 2
 // times the link's bandwidth.
 //
-// The load is that of many small hosts, whose slots are not the limit: a link of 7 Mbit/s,
-// uploads of 60 KB on average that run for 370 ms, and calls of other targets without a body.
+// The load is that of many small hosts. Their slots are not the limit, but their link of 7 Mbit/s.
+// Uploads have 60 KB on average and run for 370 ms, and the calls of other targets have no body.
 // Twenty uploads at once would put two seconds of bytes before everything else that the host
-// receives. The test checks that at most one upload is in transit, that short calls never wait
-// for uploads, that uploads which can't be received in time are refused while their callers can
-// still try another target, and that the link stays in use.
+// receives. The test checks that at most 400 KB of uploads are in transit, that short calls never
+// wait for uploads, that few uploads are late, and that the link stays in use. Uploads that can't
+// be received in time must be refused while their callers can still try another target.
 func TestUploads(t *testing.T) {
 	c := qt.New(t)
 	const (
--- a/briarrockd/target/limiter.go
+++ b/briarrockd/target/limiter.go
@@ -54,9 +54,9 @@
 	shedLowLoad, shedHighLoad movingShare
 }
 
-// reset sets the limit to all slots. That includes a target that has just started and is slow
-// for a while: it has as many slots as ever, and after the restart of a whole service there is
-// no other target to wait for.
+// reset sets the limit to all slots. That includes a target that has just started and is slow for a
+// while: it has as many slots as ever. After the restart of a whole service there is no other
+// target to wait for.
 func (l *limiter) reset(slots int) { l.limit = float64(slots) }
 
 func (l *limiter) value() int { return int(l.limit) }
--- a/briarrockd/target/load_test.go
+++ b/briarrockd/target/load_test.go
@@ -76,7 +76,7 @@
 }
 
 // TestShortBehindLong sends more reports of 180 ms than a target can run, and lookups of 12 ms with
-// an aim of 60 ms, which outer calls at other targets wait for.
+// an aim of 60 ms. Outer calls at other targets wait for the lookups.
 //
 // A lookup that finds all slots taken by reports fails the outer call that needs it. Reports cause
 // the overload, so reports must be refused and lookups not, while the slots stay in use.
@@ -98,9 +98,9 @@
 // TestTwiceTheCapacity sends twice as many calls of one kind as a target can run, with urgent
 // ones among them.
 //
-// Calls that can't run must be refused at once. All urgent calls run in time, the slots are
-// never idle, and nearly all other calls that run are in time too: a long queue would make them
-// late without running more of them.
+// Calls that can't run must be refused at once. All urgent calls run in time, the slots are never
+// idle, and nearly all other calls that run are in time too. A long queue would make them late
+// without running more of them.
 func TestTwiceTheCapacity(t *testing.T) {
 	c := qt.New(t)
 	const slots, last = 15, 10 * time.Second
--- a/briarrockd/target/nested_test.go
+++ b/briarrockd/target/nested_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestIsRunning guards against nested calls that are not recognized as such, and against callers
-// that forge the trace ID of a nested call: only one with a running outer call counts.
+// that forge the trace ID of a nested call. Only one with a running outer call counts.
 func TestIsRunning(t *testing.T) {
 	c := qt.New(t)
 	x := &Targets{traces: make(map[string]int)}
--- a/briarrockd/target/observe.go
+++ b/briarrockd/target/observe.go
@@ -143,8 +143,8 @@
 	return n
 }
 
-// addRateFields adds the rate in force to the fields of a call's log line, with the number of
-// calls that it lets start now (tokens) and the age of the rate in milliseconds (rateage).
+// addRateFields adds the rate in force to the fields of a call's log line. tokens is the number of
+// calls that the rate lets start now, rateage the age of the rate in milliseconds.
 func (x *target) addRateFields(f event.Fields) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/briarrockd/target/observe_test.go
+++ b/briarrockd/target/observe_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestRateInHealthCheck guards against calls above the rate that a new target has advertised in
-// a health check, before its first response to a request; and against a health check without a
-// rate that ends the limit.
+// TestRateInHealthCheck guards against calls above the rate that a new target has advertised in a
+// health check, before its first response to a request. It also guards against a health check
+// without a rate that ends the limit.
 func TestRateInHealthCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -113,9 +113,9 @@
 	})
 }
 
-// TestLeavingInAnswer guards against calls to a target that has reported in a response or a
-// health check that it is about to stop, against announcements that revert that, and against a
-// header value that is not a boolean.
+// TestLeavingInAnswer guards against calls to a target that has reported in a response or a health
+// check that it is about to stop. It also guards against announcements that revert that, and
+// against a header value that is not a boolean.
 func TestLeavingInAnswer(t *testing.T) {
 	up := Announcement{Service: "posting", Addr: address, Slots: 1, State: StateUp, ID: "i-1", StartMillis: 7, Seq: 9}
 	for _, x := range []struct {
--- a/briarrockd/target/queue.go
+++ b/briarrockd/target/queue.go
@@ -61,8 +61,8 @@
 }
 
 // expectedWait returns how many queued calls go before an arriving call, and how long it is
-// expected to queue: for a slot if none is free, for a token at the target's rate, and for the
-// link if its body has to wait for others.
+// expected to queue. It may wait for a slot if none is free, for a token at the target's rate, and
+// for the link if its body has to wait for others.
 func (g *Gate) expectedWait(m Arrival) (ahead int, wait time.Duration) {
 	call := queuedCall{m, g.now}
 	for i := range g.queue {
@@ -156,10 +156,10 @@
 	g.queue = kept
 }
 
-// nextStartable returns the index of the queued call to start, -1 if there is none: the first in
-// order among those that have a slot, a token and room on the link for their body. So short
-// calls don't wait for a link that they hardly use, nor urgent calls for the slots that are
-// reserved for them.
+// nextStartable returns the index of the queued call to start, -1 if there is none. It is the first
+// in order among the calls for which there are a slot, a token and room on the link for the body.
+// So short calls don't wait for a link that they hardly use, nor urgent calls for the slots that
+// are reserved for them.
 func (g *Gate) nextStartable() int {
 	best := -1
 	for i := range g.queue {
@@ -184,8 +184,8 @@
 	}
 }
 
-// dueTime returns by when a queued call should have ended: its aim, or if that is unknown or
-// can't be met, the time at which it would have ended had it started on arrival.
+// dueTime returns by when a queued call should have ended: its aim, if that can still be met.
+// Otherwise it is the time at which the call would have ended had it started on arrival.
 func (w *queuedCall) dueTime(g *Gate) time.Time {
 	soonest := w.queuedAt.Add(g.limit.durations.overall())
 	if w.Aim.After(soonest) {
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -330,8 +330,8 @@
 	return res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests
 }
 
-// targetHeaders returns the headers that a target may use: its own ID, which the request is for,
-// the caller, the time left, and the trace ID.
+// targetHeaders returns the headers that a target may use: the ID of the target that the request is
+// for, the caller, the time left, and the trace ID.
 func (t *Targets) targetHeaders(r *http.Request, x *target, c call) http.Header {
 	h := make(http.Header, 4)
 	if id := t.lastAnnouncement(x).ID; id != "" {
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -239,8 +239,9 @@
 	}
 }
 
-// limits returns the limits of a target: the lower of the slots that it announces and the operator
-// configures, and the configured queue length, by default twice the announced slots.
+// limits returns the limits of a target. The slots are the lower of those that it announces and
+// those that the operator configures. The queue length is the configured one, by default twice the
+// announced slots.
 func (t *Targets) limits(a Announcement) Limits {
 	l := Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBandwidth: t.deps.LinkBandwidth}
 	t.mu.Lock()
--- a/briarrockd/target/work.go
+++ b/briarrockd/target/work.go
@@ -16,9 +16,9 @@
 	initialMean = 5 * time.Millisecond
 )
 
-// callDurations holds the mean durations of a target's calls, overall and by route. A lookup of
-// a few milliseconds and a report of a quarter of a second run in the same slots: with a single
-// mean no short call would seem to be in time, and no long one late.
+// callDurations holds the mean durations of a target's calls, overall and by route. A lookup of a
+// few milliseconds and a report of a quarter of a second run in the same slots. With a single mean
+// no short call would seem to be in time, and no long one late.
 type callDurations struct {
 	mean    time.Duration
 	byRoute map[string]*routeDurations
