--- a/briarrockd/caller/attempts.go
+++ b/briarrockd/caller/attempts.go
@@ -96,9 +96,9 @@
 	x.tried = append(x.tried, u.host)
 	x.c.decisions.add(what, u.host, kind.None)
 	x.inFlight++
-	// The attempt is cancelled when the caller's request is, but not when another attempt
-	// is answered: its target may be running the request, and cancelling would waste that
-	// work.
+	// The attempt is cancelled when the caller's request is. It is not cancelled when
+	// another attempt is answered: its target may be running the request, and that work
+	// would be wasted.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(x.c.r.Context()))
 	stop := context.AfterFunc(x.c.r.Context(), cancel)
 	go func() {
@@ -226,9 +226,9 @@
 }
 
 // hedgeAimFraction is the part of the route's aim after which a hedged request is sent to
-// a second target; hedgeDeadlineFraction is the part of its deadline if it has no aim.
-// Most requests end well before. If a response is lost or a target has stopped, the
-// caller waits this long instead of until its deadline.
+// a second target. For a route without an aim it is hedgeDeadlineFraction of the
+// deadline. Most requests end well before. If a response is lost or a target has stopped,
+// the caller waits this long instead of until its deadline.
 const (
 	hedgeAimFraction      = 0.6
 	hedgeDeadlineFraction = 0.4
--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -253,10 +253,9 @@
 	return c, refusal{}
 }
 
-// promoteNested gives the highest priority to a call that a target of this host makes
-// while it runs another call: if the nested call is refused, all work for the outer call
-// is lost. A trace ID alone does not qualify: the outer call that it names must be
-// running on this host now.
+// promoteNested gives the highest priority to a nested call of a target of this host. If
+// it is refused, all work for the outer call is lost. A trace ID alone does not qualify:
+// the outer call that it names must be running on this host now.
 func (p *Proxy) promoteNested(c *call) {
 	parent, ok := target.ParentTrace(c.trace)
 	if !ok || p.deps.IsRunning == nil || !p.deps.IsRunning(parent) {
--- a/briarrockd/caller/chain_test.go
+++ b/briarrockd/caller/chain_test.go
@@ -338,9 +338,9 @@
 	return before, during, after, overSlots
 }
 
-// TestChain guards against a chain of services whose goodput falls when load rises: work
-// is wasted when a nested call is refused, capacity is given up where targets refuse at
-// any load, or an overload lasts after its cause has ended.
+// TestChain guards against a chain of services whose goodput falls when load rises. Work
+// may be wasted when a nested call is refused, capacity may be given up where targets
+// refuse at any load, or an overload may last after its cause has ended.
 func TestChain(t *testing.T) {
 	datadriven.RunTest(t, "testdata/chain", func(t *testing.T, d *datadriven.TestData) string {
 		c := qt.New(t)
--- a/briarrockd/caller/choose.go
+++ b/briarrockd/caller/choose.go
@@ -15,8 +15,8 @@
 const (
 	// otherDomainCost and otherRegionCost are the costs of an upstream in another domain
 	// of the own region, and in another region. Bytes between domains and regions are
-	// billed, so a call leaves the own domain only for a target that is about half a
-	// request sooner, and the region only for one that is more than two requests sooner.
+	// billed. So a call leaves the own domain only for a target that is sooner by about
+	// half a request, and the region only for one that is sooner by more than two.
 	otherDomainCost = 0.5
 	otherRegionCost = 2.5
 	// normalSamples is how many upstreams of each tier are compared if none was full
--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -298,10 +298,10 @@
 	}
 }
 
-// TestFleet guards against outdated load information in a large fleet: a few targets get
-// more than their slots can process, or more than one call in a hundred is refused while
-// a tenth of the slots are free. A Balancer with complete and current information is
-// simulated for comparison.
+// TestFleet guards against outdated load information in a large fleet. A few targets
+// would get more calls than their slots can run, or more than one call in a hundred would
+// be refused while a tenth of the slots are free. A Balancer with complete and current
+// information is simulated for comparison.
 func TestFleet(t *testing.T) {
 	datadriven.RunTest(t, "testdata/fleet", func(t *testing.T, d *datadriven.TestData) string {
 		c := qt.New(t)
--- a/briarrockd/caller/overload_test.go
+++ b/briarrockd/caller/overload_test.go
@@ -13,7 +13,7 @@
 // TestBothRegionsFull has full targets in both regions.
 //
 // A call must be refused at once. Attempts in the other region for each call would cost
-// two trips between the regions, and take capacity from that region's own callers, which
+// two trips between the regions and take capacity from that region's own callers. Those
 // would then send their calls here. No more calls would be served. So a refusal from
 // another region is remembered for long, and one from the own region for a moment.
 func TestBothRegionsFull(t *testing.T) {
--- a/briarrockd/caller/retry.go
+++ b/briarrockd/caller/retry.go
@@ -21,7 +21,7 @@
 //
 // A request that certainly did not run may always be sent again. One that may have run
 // may be sent again only if its route allows repeats. A target's own response is not
-// retried, whatever its status: the request ran, and in a chain of services the retries
+// retried, whatever its status, since the request ran. In a chain of services the retries
 // of each service would multiply with those of the next. If the operator allows such
 // retries on a route, mayRepeat decides.
 func mayRetry(k kind.Kind, ran kind.Ran, mode snapshot.Mode, replayable bool) bool {
--- a/briarrockd/caller/state.go
+++ b/briarrockd/caller/state.go
@@ -87,7 +87,7 @@
 }
 
 // expectedLoad returns an upstream's expected load: the last reported one, decayed by its
-// age, plus the picks since; at least the load by attempts in flight from this node.
+// age, plus the picks since. It is at least the load by this node's attempts in flight.
 func (s *state) expectedLoad(now time.Time, slots int) float64 {
 	slots = max(slots, 1)
 	halfLives := float64(now.Sub(s.loadAt)) / float64(loadHalfLife)
--- a/briarrockd/caller/told_test.go
+++ b/briarrockd/caller/told_test.go
@@ -142,8 +142,9 @@
 }
 
 // TestNamedRate guards against a target that gets more requests per second, summed over
-// all nodes, than the rate limit in its responses, also while its own node is killed or
-// frozen. It also guards against other targets that stay idle meanwhile.
+// all nodes, than the rate limit in its responses. The limit must hold also while the
+// target's own node is killed or frozen. It also guards against other targets that stay
+// idle meanwhile.
 func TestNamedRate(t *testing.T) {
 	datadriven.RunTest(t, "testdata/rate", func(t *testing.T, d *datadriven.TestData) string {
 		c := qt.New(t)
@@ -187,9 +188,10 @@
 }
 
 // TestLeavingNotice guards against requests for a target that has reported in its
-// responses that it is leaving, also while its announcements still say that it is up and
-// its node has been replaced since. It also guards against a leaving report that is
-// applied to the next process at the target's address.
+// responses that it is leaving. None may be sent after noticeLeavingGrace, even while its
+// announcements still say that it is up, or after its node has been replaced. It also
+// guards against a leaving report that is applied to the next process at the target's
+// address.
 func TestLeavingNotice(t *testing.T) {
 	datadriven.RunTest(t, "testdata/leaving", func(t *testing.T, d *datadriven.TestData) string {
 		c := qt.New(t)
