--- a/briarrockd/caller/overload_test.go
+++ b/briarrockd/caller/overload_test.go
@@ -13,7 +13,7 @@
 // TestBothRegionsFull has full targets in both regions.
 //
 // A call must be refused at once. Attempts in the other region for each call would cost
-// two trips between the regions, and take capacity from that region's own callers, which
+// two trips between the regions and take capacity from that region's own callers. Those
 // would then send their calls here. No more calls would be served. So a refusal from
 // another region is remembered for long, and one from the own region for a moment.
 func TestBothRegionsFull(t *testing.T) {
@@ -130,9 +130,9 @@
 // TestRestartedNode restarts a node, as all nodes are after a power loss.
 //
 // Calls reach the new process before its target's announcement has arrived, and it
-// answers that it has no target. It must be picked again as soon as its member record
-// says that the target is open. If it were avoided for seconds, as a leaving one is, a
-// whole service would count as empty although all of its targets are back.
+// reports that it has no target. It must be picked again as soon as its member record
+// says that the target takes calls. If it were avoided for seconds, as a leaving one is,
+// a whole service would count as empty although all of its targets are back.
 func TestRestartedNode(t *testing.T) {
 	c := qt.New(t)
 	ms := members()
--- a/briarrockd/target/queue.go
+++ b/briarrockd/target/queue.go
@@ -33,8 +33,9 @@
 	minWorkShare = 0.5
 )
 
-// expectedInTime reports whether a call is expected to end in time: within its aim, if it has
-// one that has not passed.
+// expectedInTime reports whether an arriving call is expected to be in time. A call without an aim
+// must start before its deadline. A call with an aim must end within it, or by its deadline if it
+// gets one of the next slots. A call whose aim has passed is not in time.
 func (g *Gate) expectedInTime(m Arrival) bool {
 	ahead, wait := g.expectedWait(m)
 	switch {
@@ -60,8 +61,8 @@
 }
 
 // expectedWait returns how many queued calls go before an arriving call, and how long it is
-// expected to queue: for a slot if none is free, for a token at the target's rate, and for the
-// link if its body has to wait for others.
+// expected to queue. It may wait for a slot if none is free, for a token at the target's rate, and
+// for the link if its body has to wait for others.
 func (g *Gate) expectedWait(m Arrival) (ahead int, wait time.Duration) {
 	call := queuedCall{m, g.now}
 	for i := range g.queue {
@@ -91,7 +92,8 @@
 	return n
 }
 
-// worthStarting reports whether a queued call has enough time left to be started.
+// worthStarting reports whether a queued call has enough time left to be started. A call without an
+// aim always has.
 func (g *Gate) worthStarting(w queuedCall) bool {
 	minWork := time.Duration(minWorkShare * float64(g.limit.durations.ofRoute(w.Route)))
 	return w.Aim.IsZero() || !g.now.Add(minWork).After(w.Deadline)
@@ -136,9 +138,9 @@
 	}
 }
 
-// expire refuses queued calls whose deadline has passed. It also refuses calls whose aim has
-// passed since they were queued, unless they get the next slots before lower-priority calls.
-// They did not run, and their callers still have time to try another target.
+// expire refuses queued calls whose deadline has passed. It also refuses calls whose aim has passed
+// since they were queued, unless they get the next slots before lower-priority calls. Such calls
+// did not run, and their callers still have time to try another target.
 func (g *Gate) expire() {
 	kept := g.queue[:0]
 	for _, w := range g.queue {
@@ -154,10 +156,10 @@
 	g.queue = kept
 }
 
-// nextStartable returns the index of the queued call to start, -1 if there is none: the first in
-// order among those that have a slot, a token and room on the link for their body. So short
-// calls don't wait for a link that they hardly use, nor urgent calls for the slots that are
-// reserved for them.
+// nextStartable returns the index of the queued call to start, -1 if there is none. It is the first
+// in order among the calls for which there are a slot, a token and room on the link for the body.
+// So short calls don't wait for a link that they hardly use, nor urgent calls for the slots that
+// are reserved for them.
 func (g *Gate) nextStartable() int {
 	best := -1
 	for i := range g.queue {
@@ -168,9 +170,9 @@
 	return best
 }
 
-// before reports whether call a goes before call b, which arrived earlier. The higher priority
-// goes first, then the caller with fewer started calls, then the earlier aim if it can still be
-// met. Outgoing calls of targets' runs have the shortest aims, and whole requests wait for them.
+// before reports whether call a goes before call b, which arrived earlier. The higher priority goes
+// first, then the caller with fewer started calls, then the earlier aim if it can still be met.
+// Nested calls have the shortest aims, and whole outer calls wait for them.
 func (g *Gate) before(a, b *queuedCall) bool {
 	switch {
 	case a.Priority != b.Priority:
@@ -182,8 +184,8 @@
 	}
 }
 
-// dueTime returns by when a queued call should have ended: its aim, or if that is unknown or
-// can't be met, the time at which it would have ended had it started on arrival.
+// dueTime returns by when a queued call should have ended: its aim, if that can still be met.
+// Otherwise it is the time at which the call would have ended had it started on arrival.
 func (w *queuedCall) dueTime(g *Gate) time.Time {
 	soonest := w.queuedAt.Add(g.limit.durations.overall())
 	if w.Aim.After(soonest) {
