--- a/briarrockd/peer/claims.go
+++ b/briarrockd/peer/claims.go
@@ -9,13 +9,14 @@
 	"storj.io/drpc/drpcconn"
 )
 
-// minForwardingDomain is the size of a domain from which on its nodes forward their
-// claims to the root, which commits them in batches. In a smaller domain the nodes' own
-// transactions are few enough, and saving a hop is worth more.
+// minForwardingDomain is the number of members of a domain from which on they forward
+// their claims (see package claim) to the root, which commits them in batches. In a
+// smaller domain the nodes' own transactions are few enough, and saving a hop is worth
+// more.
 const minForwardingDomain = 8
 
 // ErrNotForwarded reports that no claims were sent, because this node commits its own
-// claims or because the connection to the root failed. The caller is to commit them.
+// claims or because the connection to the root failed. This node then has to commit them.
 var ErrNotForwarded = errors.New("peer: claims not forwarded to the root of the domain")
 
 // claimsConn is a long-lived connection to the root of the domain. A drpc connection
--- a/briarrockd/peer/contact.go
+++ b/briarrockd/peer/contact.go
@@ -40,10 +40,10 @@
 
 // contactRows is the state of reading and writing the rows of contacts.
 type contactRows struct {
-	written   []string
-	nextWrite time.Time
+	written   []string  // addresses that this node last wrote
+	nextWrite time.Time // earliest time of the next write
 	lastRead  time.Time
-	addrs     []string
+	addrs     []string // addresses from the rows
 	// readAfter is the earliest time at which a node without links reads the rows; zero
 	// while it has links.
 	readAfter time.Time
--- a/briarrockd/peer/contact_test.go
+++ b/briarrockd/peer/contact_test.go
@@ -69,10 +69,10 @@
 // not answer.
 //
 // Until the node serves, its callers are refused and its target gets no calls. It must
-// not serve an older version than before the restart. All peers that remember the
-// version have sent it half a second after the node has linked to them all, so it must
-// not wait any longer than that. As long as the store may still answer, the node must
-// wait for the answer.
+// not serve an older version than before the restart. linkSettleTime after the node has
+// linked to all peers that recorded its version, each has sent it. The node must not
+// wait any longer than that. As long as the store may still answer, the node must wait
+// for the answer.
 func TestRestartInOutage(t *testing.T) {
 	c := qt.New(t)
 	for _, failed := range []bool{true, false} {
--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -83,7 +83,7 @@
 // simEvent is a function to call at a given time.
 type simEvent struct {
 	at    time.Time
-	order int
+	order int // decides between events at the same time
 	do    func()
 }
 
@@ -412,6 +412,7 @@
 	return out
 }
 
+// stepName returns the name that testdata/matrix.yaml has for the sending of a frame.
 func stepName(fr Frame) string {
 	return [...]string{
 		"", "hello", "beat", "digests", "listing", "wants", "records", "notice", "fetch", "content", "report", "summary", "hold", "known", "have", "fresh",
--- a/briarrockd/peer/floor.go
+++ b/briarrockd/peer/floor.go
@@ -24,7 +24,9 @@
 }
 
 // noteRemoteVersion raises the remote floor to a version that a peer of another
-// domain holds: that peer has recorded that this domain uses the version.
+// domain holds: that peer has recorded that this domain uses the version. The peer
+// may hold a version that this node does not use yet, so the floor is not raised
+// above the version in use.
 func (c *Core) noteRemoteVersion(l *link, version uint64) {
 	if l.domain == c.self.Domain || version == 0 {
 		return
--- a/briarrockd/peer/frame.go
+++ b/briarrockd/peer/frame.go
@@ -31,8 +31,8 @@
 	// DomainFloor is the highest version that the sender has recorded as used by the
 	// receiver's domain.
 	DomainFloor uint64 `cbor:"8,keyasint,omitempty"`
-	// Lazy marks this link as a backup: the receiver announces versions on it only
-	// after a delay, and sends no summaries or poll notices.
+	// Lazy marks this link as a backup: versions are announced on it only after a
+	// delay, and changed records, summaries and poll notices are not flooded on it.
 	Lazy bool `cbor:"7,keyasint,omitempty"`
 	// Cursor is the position in the platform's change feed up to which the sender's
 	// version is the newest; 0 if unknown.
@@ -75,7 +75,7 @@
 type DomainDigest struct {
 	Name   string `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"`
-	Count  int    `cbor:"3,keyasint"`
+	Count  int    `cbor:"3,keyasint"` // number of live members
 }
 
 // Digests is sent when the table digests in heartbeats differ, to find the domains
@@ -137,8 +137,9 @@
 	Base    snapshot.Hash `cbor:"3,keyasint"`
 }
 
-// Content answers a Fetch, or pushes a version. Packed is compressed against Base, or
-// by itself when Base is zero. Packed is empty if the sender doesn't hold the version.
+// Content answers a Fetch, or pushes a version. Packed is a delta against Base, or the
+// compressed full snapshot if Base is zero. Packed is empty if the sender doesn't hold
+// the version.
 type Content struct {
 	Version uint64        `cbor:"1,keyasint"`
 	Hash    snapshot.Hash `cbor:"2,keyasint"`
@@ -178,7 +179,7 @@
 type CrashReport struct {
 	Print   uint64 `cbor:"1,keyasint"` // fingerprint of the request
 	Service string `cbor:"2,keyasint"`
-	Crashes int    `cbor:"3,keyasint"`
+	Crashes int    `cbor:"3,keyasint"` // always 1; receivers count the reports
 	// Clear withdraws the suspicion: the request has completed.
 	Clear bool `cbor:"4,keyasint,omitempty"`
 	// ID distinguishes two reports of the same print.
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -185,10 +185,10 @@
 	return f
 }
 
-// onDigests compares the peer's digests with the local table, domain by domain. A
-// domain that only this node has is sent whole. For any other domain that differs this
-// node sends a Listing, which is much smaller than the records; for a domain that it
-// does not have the Listing is empty, so that the peer sends all of its records.
+// onDigests compares the peer's digests with the local table, domain by domain. It sends
+// all records of a domain that only this node has. For any other domain that differs it
+// sends a Listing, which is much smaller than the records. For a domain that only the
+// peer has, the Listing is empty, and the peer answers with all of its records.
 func (c *Core) onDigests(l *link, f Digests) {
 	if c.introductionOnly(l) {
 		return
@@ -229,7 +229,7 @@
 	return f
 }
 
-// onListing sends the records that the peer lacks or has in an older state, and
+// onListing sends the records that the peer lacks or has in an older revision, and
 // requests those that are newer on the peer's side.
 func (c *Core) onListing(l *link, f Listing) {
 	listed := make(map[string]bool, len(f.Entries))
@@ -260,7 +260,7 @@
 func (c *Core) onRecordRequest(l *link, f RecordRequest) { c.sendRecords(l, f.Hosts, false) }
 
 // tickMembers suspects neighbours that have no link, declares suspected members dead,
-// and deletes expired tombstones and dial states.
+// and deletes expired tombstones and the states of dials that have not been repeated.
 func (c *Core) tickMembers() {
 	c.checkNeighbours()
 	c.declareDead()
--- a/briarrockd/peer/introduce.go
+++ b/briarrockd/peer/introduce.go
@@ -6,7 +6,7 @@
 // hosts introduce it to members of its own domain and region, from which it gets all
 // other records. If the few hosts that the settings name sent the whole table to each
 // of many starting nodes, the traffic would grow with the square of the number of
-// hosts, much of it over the billed link between regions.
+// hosts, much of it over the paid inter-region link.
 const (
 	// maxNewcomerMembers is the maximum number of members that a node may know to count
 	// as a newcomer.
@@ -39,8 +39,8 @@
 // introductionOnly reports whether a link is still used for an introduction only.
 func (c *Core) introductionOnly(l *link) bool { return c.now.Before(l.introductionUntil) }
 
-// introduce sends a newcomer the records of its domain's members and of the bridges of
-// its region's other domains.
+// introduce sends a newcomer the records of its domain's members and of the bridge nodes
+// of its region's other domains.
 func (c *Core) introduce(l *link) {
 	for _, name := range c.table.names() {
 		hosts := c.hostsOf(name)
--- a/briarrockd/peer/introduce_test.go
+++ b/briarrockd/peer/introduce_test.go
@@ -47,7 +47,7 @@
 	fresh := place("superior-b", "superior", 30)
 	cmds := core.Step(now, LinkUp{Link: 1, Hello: Hello{Member: fresh, Members: 1}})
 	sent := sentRecords(cmds, 1)
-	c.Check(len(sent), qt.Equals, 21+bridgesPerDomain) // its domain with itself, and the bridges of the other
+	c.Check(len(sent), qt.Equals, 21+bridgesPerDomain) // its domain with itself, and the bridge nodes of the other
 	c.Check(sent["superior-b-07"], qt.IsTrue)
 	c.Check(sent["erie-b-07"], qt.IsFalse)
 
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -23,8 +23,8 @@
 )
 
 // The remote procedures of a node. Link is a long-lived bidirectional stream of frames.
-// Status returns the status of the mesh. Claims forwards claims to the root of the
-// domain.
+// Status returns the status of the mesh. Claims forwards claims (see package claim) to
+// the root of the domain.
 const (
 	rpcLink   = "/peer/Link"
 	rpcStatus = "/peer/Status"
@@ -54,7 +54,7 @@
 	ServeVersion   func(ServeVersion)
 	PublishMembers func(PublishMembers)
 	HeldRequest    func(HeldRequest)
-	// Watch may be nil if the Core reads the head itself.
+	// Watch may be nil if the Core reads the head itself, without DelegatePolling.
 	Watch func(Watch)
 }
 
@@ -276,8 +276,9 @@
 	t.Post(m)
 }
 
-// writeContacts writes the row unconditionally: if several roots of a domain write it,
-// any of them writes addresses of members.
+// writeContacts writes the row unconditionally. Several nodes may be the root of the
+// domain in their own tables for a moment, but whichever writes last, the row has
+// addresses of members.
 func (t *Transport) writeContacts(addrs []string) {
 	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
--- a/briarrockd/peer/matrix_test.go
+++ b/briarrockd/peer/matrix_test.go
@@ -25,8 +25,8 @@
 type fault struct {
 	Name  string `yaml:"name"`
 	Kind  string `yaml:"kind"`
-	Nodes int    `yaml:"nodes"`
-	For   int    `yaml:"for"`
+	Nodes int    `yaml:"nodes"` // hosts that a "kill" fault ends
+	For   int    `yaml:"for"`   // duration in seconds
 }
 
 // cell is one run: a path with one or two faults, each injected at a step of the path.
@@ -94,7 +94,7 @@
 	{Domain: "superior-b", Region: "superior"},
 }
 
-const perDomain = 3
+const perDomain = 3 // hosts
 
 // TestMatrix injects each fault of testdata/matrix.yaml at each step of applying,
 // distributing, joining, restarting and leaving, singly and in pairs.
--- a/briarrockd/peer/member.go
+++ b/briarrockd/peer/member.go
@@ -39,7 +39,8 @@
 
 // Limits of a member's record.
 const (
-	maxTargets  = 16
+	maxTargets = 16
+	// maxNameSize bounds each name and address, in bytes.
 	maxNameSize = 128
 	// MaxMembers is the maximum number of records in the table, tombstones included.
 	MaxMembers = 8192
@@ -48,8 +49,8 @@
 // Target describes one target that a node serves.
 type Target struct {
 	Service  string `cbor:"1,keyasint"`
-	Slots    int    `cbor:"2,keyasint"`
-	Draining bool   `cbor:"3,keyasint,omitempty"`
+	Slots    int    `cbor:"2,keyasint"`           // calls that it runs at the same time
+	Draining bool   `cbor:"3,keyasint,omitempty"` // takes no new calls
 }
 
 // Member is the record of a node: its identity, location and targets.
@@ -72,7 +73,7 @@
 // one that is dead or leaving is not.
 func (m *Member) live() bool { return m.State == Alive || m.State == Suspect }
 
-// valid checks the limits of a record received from a peer.
+// valid reports whether a record received from a peer is complete and within its limits.
 func (m *Member) valid() bool {
 	for _, s := range []string{m.Host, m.Domain, m.Region, m.PeerAddr, m.CallAddr} {
 		if s == "" || len(s) > maxNameSize {
@@ -133,17 +134,17 @@
 type record struct {
 	Member
 	since time.Time // when this node recorded the current state
-	score uint64    // position in the order of the domain
+	score uint64    // sort key in the order of the domain; see score
 }
 
 // domain is the part of the table for one failure domain.
 type domain struct {
 	name         string
 	region       string
-	digest       uint64
-	count        int
+	digest       uint64    // XOR of the digests of its records
+	count        int       // number of live members
 	order        []*record // live members by score; nil if it must be rebuilt
-	lastReceived time.Time
+	lastReceived time.Time // when a frame last arrived over a link to the domain
 }
 
 // table holds the records of all known members, by host and by domain. Two tables can
@@ -151,8 +152,8 @@
 type table struct {
 	byHost    map[string]*record
 	domains   map[string]*domain
-	root      uint64
-	rootValid bool
+	root      uint64 // cached rootDigest
+	rootValid bool   // false if root must be recomputed
 }
 
 func newTable() *table {
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -41,11 +41,11 @@
 	Frame Frame
 }
 
-// TargetsChanged has the targets that this node currently serves.
+// TargetsChanged carries the targets that this node currently serves.
 type TargetsChanged struct{ Targets []Target }
 
-// HeadRead is the result of ReadHead. Err is set if the platform did not answer.
-// Version is 0 and Err nil if there is no version yet.
+// HeadRead is the result of ReadHead. Err is set if the platform did not answer or the
+// row is malformed. Version is 0 and Err nil if there is no version yet.
 type HeadRead struct {
 	Version uint64
 	Hash    snapshot.Hash
@@ -98,7 +98,7 @@
 // Crashed reports that a request was in flight when a target of this node crashed. With
 // Clear it reports that a suspected request has completed.
 type Crashed struct {
-	Print   uint64
+	Print   uint64 // fingerprint of the request
 	Service string
 	Clear   bool
 }
@@ -157,8 +157,8 @@
 	Cursor uint64
 	// Wait is how long one poll waits for a change; 0 for an immediate answer.
 	Wait time.Duration
-	// Fallback is set if this node polls only because it has received no recent notice
-	// of a poll by another node.
+	// Fallback is set if this node is a fallback node: it polls only because it has
+	// received no poll notice for at least pollNoticeTimeout.
 	Fallback bool
 }
 
@@ -185,9 +185,9 @@
 
 // HeldRequest is a request that was in flight when targets crashed, identified by its
 // fingerprint. Requests with this fingerprint are held back once Crashes has reached
-// HoldThreshold.
+// HoldThreshold. Crashes is 0 if the request is no longer suspected.
 type HeldRequest struct {
-	Print   uint64
+	Print   uint64 // fingerprint of the request
 	Service string
 	Crashes int
 }
--- a/briarrockd/peer/peer.go
+++ b/briarrockd/peer/peer.go
@@ -18,10 +18,10 @@
 // of a failure domain are ordered by a hash of the host name, so all of them compute
 // the same order. This order defines a tree of degree four and a chain: each node dials
 // its parent in the tree and its predecessor in the chain. The first member in the
-// order is the root of the domain. The first two members, the bridges, also link to the
-// bridges of the other domains in their region. Between regions only two members of
-// each region, its gateways, keep links. Those of the second gateway are lazy: they
-// carry a version only if the first gateway's link has failed to deliver it.
+// order is the root of the domain. The first two members, the bridge nodes, also link to
+// the bridge nodes of the other domains in their region. Between regions only two members
+// of each region, its gateway nodes, keep links. Those of the second gateway node are
+// lazy: they carry a version only if the first one's link has failed to deliver it.
 //
 // # Members
 //
@@ -88,8 +88,8 @@
 	// Contacts are addresses of some peers, used to join the mesh.
 	Contacts []string
 	// StoreRegion is the region of the platform's store, if known. Nodes of this region
-	// do the regular reads of the head, so that these don't use the billed link between
-	// regions.
+	// do the regular reads of the head, so that these don't use the paid inter-region
+	// link.
 	StoreRegion string
 	// ExpectedHosts is the approximate number of nodes in the mesh. A node that starts
 	// at the same time as all the others can't determine it.
@@ -116,7 +116,7 @@
 	links map[LinkID]*link
 	// linkByHost has the link in use for each linked host.
 	linkByHost map[string]*link
-	dials      map[string]*dialState
+	dials      map[string]*dialState // by address
 
 	missingSince   map[string]time.Time // since when a neighbour has had no link
 	pendingUpdates map[string]bool      // hosts whose records are still to be sent
--- a/briarrockd/peer/topology.go
+++ b/briarrockd/peer/topology.go
@@ -12,8 +12,8 @@
 const (
 	// treeDegree is the number of children of a node in the tree of its domain.
 	treeDegree = 4
-	// bridgesPerDomain is the number of members of a domain that link to other domains,
-	// and of gateways per region.
+	// bridgesPerDomain is the number of bridge nodes of a domain, the members that link
+	// to other domains of the region, and the number of gateway nodes of a region.
 	bridgesPerDomain = 2
 	// maxLinks is the maximum number of links of a node, inbound ones included.
 	maxLinks = 512
@@ -95,9 +95,9 @@
 	return append(out, c.interRegionLinks()...)
 }
 
-// interDomainLinks returns the links from bridge i of this domain to bridge i of each
-// domain of the region whose name sorts after this one's. Domains that sort before it
-// dial this one.
+// interDomainLinks returns the links from bridge node i of this domain to bridge node i
+// of each domain of the region whose name sorts after this one's. Domains that sort
+// before it dial this one.
 func (c *Core) interDomainLinks(i int) []desiredLink {
 	var out []desiredLink
 	for _, name := range c.table.names() {
@@ -111,9 +111,9 @@
 	return out
 }
 
-// interRegionLinks returns the links from the gateways of this region to those of each
-// region whose name sorts after this one's. The second gateway's links are lazy: they
-// carry a version only if the first gateway's link has not delivered it.
+// interRegionLinks returns the links from the gateway nodes of this region to those of
+// each region whose name sorts after this one's. The second gateway node's links are
+// lazy: they carry a version only if the first one's link has not delivered it.
 func (c *Core) interRegionLinks() []desiredLink {
 	own := c.gateways(c.self.Region)
 	i := slices.IndexFunc(own, func(r *record) bool { return r.Host == c.self.Host })
@@ -135,10 +135,10 @@
 	return out
 }
 
-// gateways returns the members, at most two, that keep a region's links to other
-// regions: the first members of the region's first two domains, or the first two
-// members if it has only one domain. A stale domain provides a gateway only if the
-// others don't provide two.
+// gateways returns a region's gateway nodes: the members, at most two, that keep its
+// links to other regions. They are the first members of the region's first two domains,
+// or the first two members if it has only one domain. A stale domain provides a gateway
+// node only if the others don't provide two.
 func (c *Core) gateways(region string) []*record {
 	var out []*record
 	for pass := range 2 {
--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -39,8 +39,8 @@
 	// startServeDelay is how long a restarted node waits for a head read that is
 	// newer than its start before it serves the version of its peers.
 	startServeDelay = 3 * time.Second
-	// linkSettleTime is how long after a link opens the version floors known to
-	// its peer are taken to have arrived over it.
+	// linkSettleTime is the time after the opening of a link by which the version
+	// floors known to its peer have arrived over it.
 	linkSettleTime = 500 * time.Millisecond
 )
 
@@ -49,8 +49,8 @@
 type versions struct {
 	number       uint64
 	hash         snapshot.Hash
-	content      map[snapshot.Hash][]byte
-	contentOrder []snapshot.Hash // the keys of content, oldest first
+	content      map[snapshot.Hash][]byte // cached encoded snapshots
+	contentOrder []snapshot.Hash          // the keys of content, oldest first
 	// previousHash and previousNumber identify the version in use before this one.
 	previousHash   snapshot.Hash
 	previousNumber uint64
@@ -91,7 +91,7 @@
 	sources     []LinkID // links whose peers hold it, preferred last
 	requested   bool
 	requestedAt time.Time
-	tries       int
+	tries       int // attempts so far
 	// fullOnly is set after a delta could not be applied: the next fetch requests
 	// the full snapshot.
 	fullOnly bool
--- a/briarrockd/peer/watch.go
+++ b/briarrockd/peer/watch.go
@@ -49,10 +49,10 @@
 	// holds all changes; 0 if it is unknown or not used.
 	cursor   uint64
 	role     pollRole
-	nextRead time.Time
-	reading  bool
-	lastRead time.Time
-	failures int
+	nextRead time.Time // earliest time of the next read by this node
+	reading  bool      // a ReadHead has not been answered yet
+	lastRead time.Time // when this node last sent a ReadHead
+	failures int       // consecutive failed reads or polls by this node
 }
 
 func newWatch(now time.Time, firstDelay time.Duration) headWatch {
@@ -152,7 +152,8 @@
 	return first == c.self.Domain
 }
 
-// tickWatch reads the head if no recent read by another node is known.
+// tickWatch reads the head if the last known read, by any node, is older than this node's
+// threshold. A node that is not ready reads it in any case.
 func (c *Core) tickWatch() {
 	w := &c.watch
 	if c.cfg.DelegatePolling || w.reading || c.now.Before(w.nextRead) || c.self.State == Leaving {
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -63,8 +63,8 @@
 	// domain where all members poll doesn't wait.
 	startReadDelay = 500 * time.Millisecond
 	// gatewayStartReadDelay is the same for a gateway node: its links may lead only to
-	// nodes that have started at the same time. startReadStep is added, per position
-	// in the domain's order, for any other node that has a link.
+	// nodes that have started at the same time. For any other node that has a link,
+	// startReadStep is added to startReadDelay per position in the domain's order.
 	gatewayStartReadDelay = 100 * time.Millisecond
 	startReadStep         = 100 * time.Millisecond
 	// bootstrapReadDelay is the same at the first start of the whole mesh. The gateway
@@ -91,8 +91,8 @@
 	emitted bool
 	// pollUntil is when this node stops polling as a fallback.
 	pollUntil time.Time
-	// noticedAt is when the newest poll notice arrived, ownPollAt the time of this
-	// node's own newest poll.
+	// noticedAt is when the newest poll notice arrived, or when this node became ready
+	// if that was later. ownPollAt is the time of this node's own newest poll.
 	noticedAt time.Time
 	ownPollAt time.Time
 	// lastSerial counts this node's own poll notices; the newest was sent at
@@ -261,9 +261,9 @@
 }
 
 // broadcastPoll floods a poll notice of this node's own poll, if it polls for other
-// nodes. Nodes that start together also poll, each for itself, and each computes that it
-// is a gateway until it knows the other members. Notices of those polls would grow with
-// the square of the number of hosts, so none are sent.
+// nodes. Nodes that start together also poll, each for itself, and each takes itself for
+// a gateway node until it knows the other members. The number of notices of those polls
+// would grow with the square of the number of hosts, so none are sent.
 func (c *Core) broadcastPoll(at time.Time) {
 	r := &c.watch.role
 	forOthers := r.current.Fallback || (r.current.Wait > 0 && c.now.Sub(c.watch.startedAt) >= pollNoticeStartDelay)
