--- a/briarrockd/peer/contact.go
+++ b/briarrockd/peer/contact.go
@@ -10,9 +10,9 @@
 // contacts in the settings may be left when a node starts long after they were written.
 // Without the rows that node would stay isolated.
 const (
-	// contactsPerDomain is how many addresses a domain publishes: one more than the
-	// size of a domain in which all members poll the platform, so that a starting node
-	// can tell whether its domain is one of these.
+	// contactsPerDomain is how many addresses a domain publishes at most. It is one more
+	// than the size of a domain in which all members poll the platform, so that a
+	// starting node can tell whether its domain is one of these.
 	contactsPerDomain = smallDomainSize + 1
 	// contactsInterval is the interval at which the root of a domain checks whether its
 	// row still has the right addresses. It writes the row if not.
@@ -31,8 +31,8 @@
 	// the row as well, and read again.
 	bootstrapJitter = time.Second
 	// rootSettleTime is how long a node must have been the root of its domain before it
-	// writes the row: a node that has just started may be the root of its own table for
-	// a moment, until it knows the other members.
+	// writes the row. Until a starting node knows the other members, it may take itself
+	// for the root.
 	rootSettleTime = 2 * time.Second
 	// maxContacts is the maximum number of addresses that are taken from the rows.
 	maxContacts = 256
--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -584,9 +584,9 @@
 	h.serving = u.Version
 }
 
-// heldByAny reports whether any running process holds a version. If all processes that
-// ever held it died within the round trips in which it was first confirmed, and the
-// store is unreachable, no node can know that it was served; docs/design/floor.md
+// heldByAny reports whether any running process holds a version. All processes that ever
+// held it may have died within the round trips in which it was first confirmed. If the
+// store is unreachable too, no node can know that it was served; docs/design/floor.md
 // describes this limit. The test log names these cells.
 func (sim *simMesh) heldByAny(version uint64) bool {
 	for _, h := range sim.nodes {
--- a/briarrockd/peer/floor.go
+++ b/briarrockd/peer/floor.go
@@ -140,9 +140,10 @@
 }
 
 // linkedToAll reports whether polls of the platform fail, and this node has had links
-// for linkSettleTime to all peers that could have recorded the versions it served:
-// its neighbours in the domain and, if it is a bridge node, one member of each other
-// domain of the region. A version is served only once one of these peers holds it.
+// for linkSettleTime to all peers that could have recorded the versions it served.
+// These are its neighbours in the domain and, if it is a bridge node, one member of
+// each other domain of the region. A version is served only once one of these peers
+// holds it.
 func (c *Core) linkedToAll() bool {
 	if len(c.links) == 0 || c.watch.failures == 0 {
 		return false
@@ -178,9 +179,9 @@
 // host. A head read after this process started is at least as new as any version
 // the host has served, since a version is served only after it is the head. If the
 // store is unreachable, the node waits for the peers of its domain, and never serves
-// a version below the floor they report: after a failed poll it waits until it is
-// linked to all peers that could have recorded one (linkedToAll), or else for
-// startServeDelay.
+// a version below the floor they report. After a failed poll it waits until it is
+// linked to all peers that could have recorded such a version (linkedToAll), or else
+// for startServeDelay.
 func (c *Core) becomeReady() {
 	v := &c.version
 	if v.ready || v.number == 0 || v.number < v.floor {
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -349,9 +349,9 @@
 }
 
 // declareDead declares suspected members of this node's domain dead. Members of other
-// domains are left to their own domain, which detects a failure first: otherwise a
-// domain that is cut off as a whole would be declared dead by the other domains and all
-// of its records would be lost there.
+// domains are left to their own domain, which detects a failure first. Otherwise the
+// other domains would declare a domain dead that is only cut off as a whole, and would
+// lose all of its records.
 func (c *Core) declareDead() {
 	for _, r := range c.table.members(c.self.Domain) {
 		if r.State != Suspect || c.now.Sub(r.since) < suspicionTimeout || r.Host == c.self.Host {
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -276,9 +276,9 @@
 	t.Post(m)
 }
 
-// writeContacts writes the row unconditionally. Several nodes may be the root of the
-// domain in their own tables for a moment, but whichever writes last, the row has
-// addresses of members.
+// writeContacts writes the row unconditionally. Several nodes may take themselves for the
+// root of the domain for a moment, but whichever writes last, the row has addresses of
+// members.
 func (t *Transport) writeContacts(addrs []string) {
 	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
--- a/briarrockd/peer/message.go
+++ b/briarrockd/peer/message.go
@@ -70,8 +70,8 @@
 // PollFailed reports that a poll of the platform by this node failed.
 type PollFailed struct{}
 
-// Committed reports that the head names a version: either this node has committed it or
-// a poll has found it.
+// Committed reports that the head names a version: either this node has committed it, or
+// its poll has found it.
 type Committed struct {
 	Version uint64
 	Hash    snapshot.Hash
@@ -146,7 +146,7 @@
 	Frame Frame
 }
 
-// ReadHead reads the head row. The result is HeadRead.
+// ReadHead reads the head. The result is HeadRead.
 type ReadHead struct{}
 
 // Watch sets whether, and how, this node polls the platform from now on.
--- a/briarrockd/peer/report.go
+++ b/briarrockd/peer/report.go
@@ -102,8 +102,8 @@
 	return t.report(c.self.Host, c.version.number)
 }
 
-// report converts a tally to a Report of bounded size: the newest versions, with older
-// ones added to the last of them, and the names of some hosts with an older version.
+// report converts a tally to a Report of bounded size. It has the newest versions, with
+// the counts of older ones added to the last of them, and some hosts with an older version.
 // host and own are this node and the version it uses.
 func (t *tally) report(host string, own uint64) Report {
 	var r Report
@@ -204,8 +204,8 @@
 }
 
 // relaySummary forwards a summary over all links that carry summaries, except the one
-// it came from: to the bridge nodes of other domains, and to the other bridge node of
-// this domain, which may become the root. A from of 0 excludes no link.
+// it came from; a from of 0 excludes no link. They lead to the bridge nodes of other
+// domains, and to the other bridge node of this domain, which may become the root.
 func (c *Core) relaySummary(from LinkID, s Summary) {
 	for _, l := range c.sortedLinks() {
 		if l.id == from || l.lazy || l.domain == s.Domain || !c.carriesSummaries(l) || c.introductionOnly(l) {
--- a/briarrockd/peer/topology.go
+++ b/briarrockd/peer/topology.go
@@ -253,9 +253,10 @@
 	}
 }
 
-// rejoin dials addresses beyond the desired links: contacts that are not known as
-// members, or any contact while this node has no link, and dead members of its own
-// domain, which may have declared this node dead as well.
+// rejoin dials random addresses beyond the desired links: one per rejoinInterval, or
+// isolatedDials per tick while this node has no link. They are contacts that are not known
+// as members (any contact while this node has no link) and dead members of its own domain.
+// The latter may have declared this node dead as well.
 func (c *Core) rejoin() {
 	isolated := len(c.links) == 0
 	if !isolated && c.now.Before(c.nextRejoin) {
--- a/briarrockd/peer/watch.go
+++ b/briarrockd/peer/watch.go
@@ -7,9 +7,9 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// The head is the platform's row that names the version in force. A node reads it
+// The head is the platform's row that names the newest accepted version. A node reads it
 // when the last known read, by any node, is older than the node's threshold below.
-// Normally only the leader reads. The other nodes take over when its last read gets too
+// Normally only the leader reads. Any other node takes over when the last read gets too
 // old, so the role needs no handover. The thresholds are for the leader, the roots of
 // the other domains, the second bridge node of each domain, and all other nodes; see
 // readThreshold.
@@ -37,9 +37,9 @@
 type headWatch struct {
 	startedAt time.Time
 	// headReadAt is the time of the last known read of the head, by any node.
-	// This node's version is never below the head of that time: a read is recorded
-	// only once the version it found has arrived, both here and at each node that
-	// forwards the time of the read.
+	// This node's version is never below the head of that time: this node, and each
+	// node that forwards the time of the read, records it only once it holds the
+	// version that the read found.
 	headReadAt time.Time
 	// ownPollCounted is set once a read by this node itself has been recorded.
 	ownPollCounted bool
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -16,8 +16,8 @@
 // crosses between two regions once, as a delta.
 //
 // The other nodes receive versions from their peers, and poll notices (PollNotice) with
-// the time of the last poll. A node polls itself, as a fallback, once its newest poll
-// notice is older than pollNoticeTimeout, so the role needs no handover: the loss of all
+// the time of the last poll. Once its newest poll notice is older than pollNoticeTimeout,
+// a node polls itself, as a fallback node. So the role needs no handover: the loss of all
 // polling nodes delays a change by pollNoticeTimeout, well within the time in which a
 // change must be in force.
 const (
@@ -44,8 +44,8 @@
 	maxNoticedPollAge = shortPollWait + time.Second
 	// pollNoticeTimeout is the age of the newest poll notice above which a node polls
 	// itself. It covers one pollNoticeInterval and the transit through the tree.
-	// pollNoticeTimeoutSpread is added in proportion to the node's position in its
-	// domain's order, so that the first nodes to poll make the polls of the others
+	// Up to pollNoticeTimeoutSpread is added, in proportion to the node's position in
+	// its domain's order: the first nodes to poll make the polls of the others
 	// unnecessary.
 	pollNoticeTimeout       = 1500 * time.Millisecond
 	pollNoticeTimeoutSpread = 600 * time.Millisecond
