--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -83,7 +83,7 @@
 // simEvent is a function to call at a given time.
 type simEvent struct {
 	at    time.Time
-	order int
+	order int // decides between events at the same time
 	do    func()
 }
 
@@ -412,6 +412,7 @@
 	return out
 }
 
+// stepName returns the name that testdata/matrix.yaml has for the sending of a frame.
 func stepName(fr Frame) string {
 	return [...]string{
 		"", "hello", "beat", "digests", "listing", "wants", "records", "notice", "fetch", "content", "report", "summary", "hold", "known", "have", "fresh",
@@ -583,9 +584,9 @@
 	h.serving = u.Version
 }
 
-// heldByAny reports whether any running process holds a version. If all processes that
-// ever held it died within the round trips in which it was first confirmed, and the
-// store is unreachable, no node can know that it was served; docs/design/floor.md
+// heldByAny reports whether any running process holds a version. All processes that ever
+// held it may have died within the round trips in which it was first confirmed. If the
+// store is unreachable too, no node can know that it was served; docs/design/floor.md
 // describes this limit. The test log names these cells.
 func (sim *simMesh) heldByAny(version uint64) bool {
 	for _, h := range sim.nodes {
--- a/briarrockd/peer/gossip.go
+++ b/briarrockd/peer/gossip.go
@@ -185,10 +185,10 @@
 	return f
 }
 
-// onDigests compares the peer's digests with the local table, domain by domain. A
-// domain that only this node has is sent whole. For any other domain that differs this
-// node sends a Listing, which is much smaller than the records; for a domain that it
-// does not have the Listing is empty, so that the peer sends all of its records.
+// onDigests compares the peer's digests with the local table, domain by domain. It sends
+// all records of a domain that only this node has. For any other domain that differs it
+// sends a Listing, which is much smaller than the records. For a domain that only the
+// peer has, the Listing is empty, and the peer answers with all of its records.
 func (c *Core) onDigests(l *link, f Digests) {
 	if c.introductionOnly(l) {
 		return
@@ -229,7 +229,7 @@
 	return f
 }
 
-// onListing sends the records that the peer lacks or has in an older state, and
+// onListing sends the records that the peer lacks or has in an older revision, and
 // requests those that are newer on the peer's side.
 func (c *Core) onListing(l *link, f Listing) {
 	listed := make(map[string]bool, len(f.Entries))
@@ -260,7 +260,7 @@
 func (c *Core) onRecordRequest(l *link, f RecordRequest) { c.sendRecords(l, f.Hosts, false) }
 
 // tickMembers suspects neighbours that have no link, declares suspected members dead,
-// and deletes expired tombstones and dial states.
+// and deletes expired tombstones and the states of dials that have not been repeated.
 func (c *Core) tickMembers() {
 	c.checkNeighbours()
 	c.declareDead()
@@ -349,9 +349,9 @@
 }
 
 // declareDead declares suspected members of this node's domain dead. Members of other
-// domains are left to their own domain, which detects a failure first: otherwise a
-// domain that is cut off as a whole would be declared dead by the other domains and all
-// of its records would be lost there.
+// domains are left to their own domain, which detects a failure first. Otherwise the
+// other domains would declare a domain dead that is only cut off as a whole, and would
+// lose all of its records.
 func (c *Core) declareDead() {
 	for _, r := range c.table.members(c.self.Domain) {
 		if r.State != Suspect || c.now.Sub(r.since) < suspicionTimeout || r.Host == c.self.Host {
--- a/briarrockd/peer/watchrole.go
+++ b/briarrockd/peer/watchrole.go
@@ -16,8 +16,8 @@
 // crosses between two regions once, as a delta.
 //
 // The other nodes receive versions from their peers, and poll notices (PollNotice) with
-// the time of the last poll. A node polls itself, as a fallback, once its newest poll
-// notice is older than pollNoticeTimeout, so the role needs no handover: the loss of all
+// the time of the last poll. Once its newest poll notice is older than pollNoticeTimeout,
+// a node polls itself, as a fallback node. So the role needs no handover: the loss of all
 // polling nodes delays a change by pollNoticeTimeout, well within the time in which a
 // change must be in force.
 const (
@@ -44,8 +44,8 @@
 	maxNoticedPollAge = shortPollWait + time.Second
 	// pollNoticeTimeout is the age of the newest poll notice above which a node polls
 	// itself. It covers one pollNoticeInterval and the transit through the tree.
-	// pollNoticeTimeoutSpread is added in proportion to the node's position in its
-	// domain's order, so that the first nodes to poll make the polls of the others
+	// Up to pollNoticeTimeoutSpread is added, in proportion to the node's position in
+	// its domain's order: the first nodes to poll make the polls of the others
 	// unnecessary.
 	pollNoticeTimeout       = 1500 * time.Millisecond
 	pollNoticeTimeoutSpread = 600 * time.Millisecond
@@ -63,8 +63,8 @@
 	// domain where all members poll doesn't wait.
 	startReadDelay = 500 * time.Millisecond
 	// gatewayStartReadDelay is the same for a gateway node: its links may lead only to
-	// nodes that have started at the same time. startReadStep is added, per position
-	// in the domain's order, for any other node that has a link.
+	// nodes that have started at the same time. For any other node that has a link,
+	// startReadStep is added to startReadDelay per position in the domain's order.
 	gatewayStartReadDelay = 100 * time.Millisecond
 	startReadStep         = 100 * time.Millisecond
 	// bootstrapReadDelay is the same at the first start of the whole mesh. The gateway
@@ -91,8 +91,8 @@
 	emitted bool
 	// pollUntil is when this node stops polling as a fallback.
 	pollUntil time.Time
-	// noticedAt is when the newest poll notice arrived, ownPollAt the time of this
-	// node's own newest poll.
+	// noticedAt is when the newest poll notice arrived, or when this node became ready
+	// if that was later. ownPollAt is the time of this node's own newest poll.
 	noticedAt time.Time
 	ownPollAt time.Time
 	// lastSerial counts this node's own poll notices; the newest was sent at
@@ -261,9 +261,9 @@
 }
 
 // broadcastPoll floods a poll notice of this node's own poll, if it polls for other
-// nodes. Nodes that start together also poll, each for itself, and each computes that it
-// is a gateway until it knows the other members. Notices of those polls would grow with
-// the square of the number of hosts, so none are sent.
+// nodes. Nodes that start together also poll, each for itself, and each takes itself for
+// a gateway node until it knows the other members. The number of notices of those polls
+// would grow with the square of the number of hosts, so none are sent.
 func (c *Core) broadcastPoll(at time.Time) {
 	r := &c.watch.role
 	forOthers := r.current.Fallback || (r.current.Wait > 0 && c.now.Sub(c.watch.startedAt) >= pollNoticeStartDelay)
