--- a/briarrockd/peer/fabric_test.go
+++ b/briarrockd/peer/fabric_test.go
@@ -418,6 +418,25 @@
 	}[fr.code()]
 }
 
+// actionName returns the name of a commit's step in testdata/matrix.yaml. The names in
+// that file don't follow the names of the types.
+func actionName(a platform.Action) string {
+	switch a.(type) {
+	case platform.ReadWriteRow:
+		return "ReadWrite"
+	case platform.ReadHead:
+		return "ReadHead"
+	case platform.Transact:
+		return "Try"
+	case platform.ReadAudit:
+		return "ReadAudit"
+	case platform.Finish:
+		return "Finish"
+	default:
+		panic(fmt.Sprintf("no step name for action %T", a))
+	}
+}
+
 // errStoreDown is the error of a read while the store is unreachable.
 var errStoreDown = errors.New("store is down")
 
@@ -475,7 +494,7 @@
 		sim.after(d, func() { sim.whenAwake(h, process, func() { next(step()) }) })
 	}
 	next = func(a platform.Action) {
-		sim.onStep(fmt.Sprintf("%T", a)[len("platform."):], h)
+		sim.onStep(actionName(a), h)
 		switch a := a.(type) {
 		case platform.ReadHead:
 			row, err := sim.get(h, platform.HeadKey)
