--- a/briarrock/command/show.go
+++ b/briarrock/command/show.go
@@ -104,10 +104,10 @@
 		e.say("this node can't reach the first node of its domain: what it shows is only what it knows itself")
 	}
 	switch {
-	case s.StoreAge < 0:
+	case s.HeadAgeMillis < 0:
 		e.say("store: no node has been able to read it yet")
-	case s.StoreAge > storeLate.Milliseconds():
-		e.say("store: not read for %v; edits are refused while it is down", time.Duration(s.StoreAge)*time.Millisecond)
+	case s.HeadAgeMillis > storeLate.Milliseconds():
+		e.say("store: not read for %v; edits are refused while it is down", time.Duration(s.HeadAgeMillis)*time.Millisecond)
 	}
 }
 
@@ -125,8 +125,8 @@
 	if len(d.Laggards) > 0 {
 		line += "; behind: " + strings.Join(d.Laggards, ", ")
 	}
-	if d.SilentFor > 0 {
-		line += fmt.Sprintf("; not heard of for %v", (time.Duration(d.SilentFor) * time.Millisecond).Round(time.Second))
+	if d.SilentMillis > 0 {
+		line += fmt.Sprintf("; not heard of for %v", (time.Duration(d.SilentMillis) * time.Millisecond).Round(time.Second))
 	}
 	e.say("%s", line)
 }
--- a/briarrock/local/call_test.go
+++ b/briarrock/local/call_test.go
@@ -345,8 +345,8 @@
 	putInForce(c, m, meshText, 9)
 	root := -1
 	for i, n := range m.Nodes {
-		n.Peers().WithCore(func(h *peer.Core) {
-			if addr, _ := h.Committers(); addr == "" {
+		n.Peers().WithCore(func(core *peer.Core) {
+			if addr, _ := core.Committers(); addr == "" {
 				root = i
 			}
 		})
--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -115,7 +115,7 @@
 	defer links.Close()
 	linked := func() bool {
 		n := 0
-		links.WithCore(func(h *peer.Core) { n = h.Members() })
+		links.WithCore(func(core *peer.Core) { n = core.Members() })
 		return n > 1
 	}
 	return local.Until(refusedWithin, linked) == nil
--- a/briarrockd/caller/attempt.go
+++ b/briarrockd/caller/attempt.go
@@ -107,7 +107,7 @@
 		f.Load = load
 	}
 	if ms, err := strconv.ParseInt(h.Get(target.HeaderMeanDuration), 10, 64); err == nil {
-		f.TypicalLatency = time.Duration(ms) * time.Millisecond
+		f.MeanDuration = time.Duration(ms) * time.Millisecond
 	}
 	f.Failed = a.kind == kind.Refused || a.kind == kind.Broken || a.kind == kind.Late
 	f.TargetFailed = a.kind == kind.Shed || a.targetFailed()
--- a/briarrockd/caller/chain_hosts_test.go
+++ b/briarrockd/caller/chain_hosts_test.go
@@ -52,7 +52,7 @@
 	log := event.New(io.Discard, true, logrus.ErrorLevel, h.name)
 	h.targets = target.New(target.Deps{
 		OnChange: func([]peer.Target) {}, OnCrash: func(peer.Crashed) {}, CrashCount: func(uint64) int { return 0 },
-		Log: log, Stall: time.Minute, AnnouncementTimeout: time.Hour, NoFairQueueing: true,
+		Log: log, StallTimeout: time.Minute, AnnouncementTimeout: time.Hour, NoFairQueueing: true,
 		WrapTransport: func(http.RoundTripper) http.RoundTripper { return chainTarget{h} },
 	})
 	h.targets.Configure(s)
--- a/briarrockd/caller/choose.go
+++ b/briarrockd/caller/choose.go
@@ -10,8 +10,8 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// Parameters of the choice of an upstream. Costs are in units of the service's typical
-// request time.
+// Parameters of the choice of an upstream. Costs are in units of the service's median
+// duration of a request.
 const (
 	// otherDomainCost and otherRegionCost are the costs of an upstream in another domain
 	// of the own region, and in another region. Bytes between domains and regions are
@@ -78,7 +78,7 @@
 
 // Balancer picks upstreams. It samples a few at random from each of the own domain, the
 // own region and the other regions, and picks the one with the lowest cost. The cost
-// depends on the load that answers carry, the target's typical latency, its distance, the
+// depends on the load that answers carry, the target's mean duration, its distance, the
 // attempts in flight to it from this node, and the outcome of earlier attempts. Announced
 // health is not used: only failures of attempts count.
 //
@@ -158,7 +158,7 @@
 
 func (b *Balancer) best(v *view, tried []string, priority snapshot.Priority) (upstream, bool) {
 	usable := v.usable(tried, priority)
-	typicalLatency := v.typicalLatency(usable)
+	medianDuration := v.medianDuration(usable)
 	samples, overloaded := normalSamples, v.anyOverloaded()
 	if overloaded {
 		samples = overloadSamples
@@ -171,7 +171,7 @@
 	best, found, lowest := 0, false, 0.0
 	for t, list := range tiers {
 		for _, i := range b.sample(list, samples) {
-			cost := v.cost(i, typicalLatency) + [tierCount]float64{0, otherDomainCost, otherRegionCost}[t]
+			cost := v.cost(i, medianDuration) + [tierCount]float64{0, otherDomainCost, otherRegionCost}[t]
 			if !found || cost < lowest {
 				best, found, lowest = i, true, cost
 			}
@@ -185,20 +185,20 @@
 	return u, true
 }
 
-// typicalLatency returns the median of the typical latencies that the listed upstreams
-// have reported; 0 if none has.
-func (v *view) typicalLatency(list []int) time.Duration {
-	latencies := make([]time.Duration, 0, len(list))
+// medianDuration returns the median of the mean durations that the listed upstreams have
+// reported; 0 if none has.
+func (v *view) medianDuration(list []int) time.Duration {
+	durations := make([]time.Duration, 0, len(list))
 	for _, i := range list {
-		if s := v.states[i]; s != nil && s.typicalLatency > 0 {
-			latencies = append(latencies, s.typicalLatency)
+		if s := v.states[i]; s != nil && s.meanDuration > 0 {
+			durations = append(durations, s.meanDuration)
 		}
 	}
-	if len(latencies) == 0 {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(latencies)
-	return latencies[len(latencies)/2]
+	slices.Sort(durations)
+	return durations[len(durations)/2]
 }
 
 // sample returns up to n different elements of a list, chosen at random.
@@ -258,18 +258,18 @@
 	return ref
 }
 
-// cost returns the expected cost of a request at upstream i, in units of the service's
-// typical latency and without the cost of distance.
-func (v *view) cost(i int, typicalLatency time.Duration) float64 {
+// cost returns the expected cost of a request at upstream i, in units of medianDuration
+// and without the cost of distance.
+func (v *view) cost(i int, medianDuration time.Duration) float64 {
 	s := v.states[i]
 	if s == nil {
 		return 0
 	}
-	latencyRatio := 1.0
-	if typicalLatency > 0 && s.typicalLatency > 0 {
-		latencyRatio = float64(s.typicalLatency) / float64(typicalLatency)
+	durationRatio := 1.0
+	if medianDuration > 0 && s.meanDuration > 0 {
+		durationRatio = float64(s.meanDuration) / float64(medianDuration)
 	}
-	cost := latencyRatio*(1+loadCost(s.expectedLoad(v.now, v.set[i].slots))) - 1
+	cost := durationRatio*(1+loadCost(s.expectedLoad(v.now, v.set[i].slots))) - 1
 	failureRate := s.decayedFailureRate(v.now)
 	cost += failureCost * failureRate * failureRate
 	if s.stalled(v.now) {
--- a/briarrockd/caller/fleet_test.go
+++ b/briarrockd/caller/fleet_test.go
@@ -245,7 +245,7 @@
 }
 
 func (f *fleet) feedback(s *server) Feedback {
-	return Feedback{Load: s.gate.Load(f.now), TypicalLatency: s.gate.MeanDuration(), Priority: snapshot.Normal}
+	return Feedback{Load: s.gate.Load(f.now), MeanDuration: s.gate.MeanDuration(), Priority: snapshot.Normal}
 }
 
 func (c *fleetCall) finish(u upstream, s *server, id target.CallID, took, hop time.Duration) {
--- a/briarrockd/caller/overload_test.go
+++ b/briarrockd/caller/overload_test.go
@@ -105,7 +105,7 @@
 			if i == 0 {
 				usual /= 2
 			}
-			b.done(now, "orderdesk", u.host, Feedback{TypicalLatency: usual})
+			b.done(now, "orderdesk", u.host, Feedback{MeanDuration: usual})
 		}
 		if full {
 			b.done(now, "orderdesk", set[1].host, Feedback{Load: -1, Full: true})
--- a/briarrockd/caller/state.go
+++ b/briarrockd/caller/state.go
@@ -10,7 +10,7 @@
 // Detection of stalled upstreams: attempts are in flight, and no answer arrives.
 const (
 	// stallFactor is the time without an answer after which an upstream counts as
-	// stalled, as a multiple of its typical latency.
+	// stalled, as a multiple of its mean duration.
 	stallFactor = 4
 	// minStall is the lower bound of that time. It is longer than a round trip to another
 	// region and the work of most requests.
@@ -23,9 +23,9 @@
 	// Load is the load that the target's node reported, 1 if all slots are in use and
 	// none waits; negative if it reported none.
 	Load float64
-	// TypicalLatency is the moving average of how long the target's calls take, as its
+	// MeanDuration is the moving average of how long the target's calls take, as its
 	// node reported; 0 if it reported none.
-	TypicalLatency time.Duration
+	MeanDuration time.Duration
 	// Failed is set when no answer of the target arrived, whether its node did not answer
 	// or reported a failed connection or a missed deadline.
 	Failed bool
@@ -54,7 +54,7 @@
 	loadAt   time.Time
 	// picksSinceReport counts the picks since the load was last reported.
 	picksSinceReport int
-	typicalLatency   time.Duration
+	meanDuration     time.Duration
 	// stalledSince is the time since which attempts have been in flight without an
 	// answer.
 	stalledSince        time.Time
@@ -100,7 +100,7 @@
 // error shows it.
 func (s *state) stalled(now time.Time) bool {
 	const attempts = 2 // a single one may just take long
-	return s.inFlight >= attempts && now.Sub(s.stalledSince) > max(minStall, stallFactor*s.typicalLatency)
+	return s.inFlight >= attempts && now.Sub(s.stalledSince) > max(minStall, stallFactor*s.meanDuration)
 }
 
 // isLeaving returns whether an upstream is avoided because it reported that it is
@@ -133,10 +133,10 @@
 	if s.otherRegion {
 		return min(max(s.retryAfter, maxFullTTL), maxOtherRegionFullTTL)
 	}
-	if s.typicalLatency == 0 {
+	if s.meanDuration == 0 {
 		return maxFullTTL
 	}
-	return min(max(s.typicalLatency/time.Duration(max(s.slots, 1)), minFullTTL), maxFullTTL)
+	return min(max(s.meanDuration/time.Duration(max(s.slots, 1)), minFullTTL), maxFullTTL)
 }
 
 // maxNotices bounds the notices that are kept for one upstream, one for each process of
@@ -169,8 +169,8 @@
 		s.loadAt = now
 		s.picksSinceReport = 0
 	}
-	if f.TypicalLatency > 0 {
-		s.typicalLatency = f.TypicalLatency
+	if f.MeanDuration > 0 {
+		s.meanDuration = f.MeanDuration
 	}
 	if !f.Failed {
 		s.stalledSince = now
--- a/briarrockd/caller/told_hosts_test.go
+++ b/briarrockd/caller/told_hosts_test.go
@@ -138,7 +138,7 @@
 	h.nodeCtx, h.kill = context.WithCancel(context.Background())
 	h.targets = target.New(target.Deps{
 		OnChange: func([]peer.Target) {}, OnCrash: func(peer.Crashed) {}, CrashCount: func(uint64) int { return 0 },
-		Log: discardLog(), Stall: time.Minute, AnnouncementTimeout: time.Hour, NoFairQueueing: true,
+		Log: discardLog(), StallTimeout: time.Minute, AnnouncementTimeout: time.Hour, NoFairQueueing: true,
 		WrapTransport: func(http.RoundTripper) http.RoundTripper { return noticeTargetConn{h} },
 	})
 	h.targets.Configure(h.m.snap)
--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -375,7 +375,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if pc.pool.cfg.Matches == nil || pc.pool.cfg.Matches(req, res) {
+		if pc.pool.cfg.ResponseMatches == nil || pc.pool.cfg.ResponseMatches(req, res) {
 			return res, nil
 		}
 		if res.ContentLength < 0 && !isChunked(res) || res.Close {
--- a/briarrockd/http1/pool.go
+++ b/briarrockd/http1/pool.go
@@ -22,9 +22,9 @@
 	// means no limit. A request over the limit fails with ErrTooManyConns and is
 	// not sent.
 	MaxConnsPerAddr int
-	// Matches, if set, reports whether a response belongs to a request. A response
+	// ResponseMatches, if set, reports whether a response belongs to a request. A response
 	// that does not is discarded, and the next one is read.
-	Matches func(req *http.Request, res *http.Response) bool
+	ResponseMatches func(req *http.Request, res *http.Response) bool
 }
 
 // ErrTooManyConns is returned if all connections allowed to an address are in use.
--- a/briarrockd/http1/pool_test.go
+++ b/briarrockd/http1/pool_test.go
@@ -37,7 +37,7 @@
 
 func pool(cfg http1.PoolConfig) *http1.Pool {
 	cfg.Dial = new(net.Dialer).DialContext
-	cfg.Matches = func(req *http.Request, res *http.Response) bool {
+	cfg.ResponseMatches = func(req *http.Request, res *http.Response) bool {
 		return res.Header.Get("Name") == req.Header.Get("Name")
 	}
 	return http1.NewPool(cfg)
@@ -66,8 +66,9 @@
 // TestDuplicateResponse has a target that responds to each request twice. The second
 // response arrives where that to the next request is expected.
 //
-// The next caller would get another caller's response. Matches detects it by its Name
-// header, the response is discarded, and the right one follows on the same connection.
+// The next caller would get another caller's response. ResponseMatches detects it by its
+// Name header, the response is discarded, and the right one follows on the same
+// connection.
 func TestDuplicateResponse(t *testing.T) {
 	c := qt.New(t)
 	conns := atomic.Int32{}
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -176,8 +176,8 @@
 		OnChange:   func(t []peer.Target) { n.sendToCore(peer.TargetsChanged{Targets: t}) },
 		OnCrash:    func(c peer.Crashed) { n.sendToCore(c) },
 		CrashCount: n.crashCount,
-		Log:        n.log, Metrics: n.metrics, Stall: n.cfg.StallTimeout,
-		WrapTransport: n.platform.WrapTargets, ResponseMatches: n.platform.AnswersRequest, AnnouncementTimeout: n.platform.SilenceTimeout, LinkBandwidth: n.platform.LinkBytesPerSecond, NoFairQueueing: n.platform.CallerName != "",
+		Log:        n.log, Metrics: n.metrics, StallTimeout: n.cfg.StallTimeout,
+		WrapTransport: n.platform.WrapTargets, ResponseMatches: n.platform.ResponseMatches, AnnouncementTimeout: n.platform.AnnouncementTimeout, LinkBytesPerSecond: n.platform.LinkBytesPerSecond, NoFairQueueing: n.platform.CallerName != "",
 	})
 	n.claims = claim.New(claim.Deps{Store: store, Log: n.log, Host: n.cfg.Host, Metrics: n.metrics, Forward: n.forwardClaims})
 	n.transport = n.newTransport(d.HTTP1, d.Dial)
@@ -246,7 +246,7 @@
 // commit claims.
 func (n *Node) updateCommitters() {
 	committers := 1
-	n.peers.WithCore(func(h *peer.Core) { _, committers = h.Committers() })
+	n.peers.WithCore(func(c *peer.Core) { _, committers = c.Committers() })
 	n.claims.SetCommitters(committers)
 }
 
@@ -391,7 +391,7 @@
 		}
 		nextSweep = time.Now().Add(sweepInterval)
 		leads := false
-		n.peers.WithCore(func(h *peer.Core) { leads = h.IsLeader() })
+		n.peers.WithCore(func(c *peer.Core) { leads = c.IsLeader() })
 		if leads {
 			_, _ = n.claims.Sweep(n.ctx, time.Now()) // the next sweep deletes the rest
 		}
--- a/briarrockd/node/platform.go
+++ b/briarrockd/node/platform.go
@@ -22,16 +22,16 @@
 	WrapCallers func(http.Handler) http.Handler
 	// WrapTargets wraps the transport to targets.
 	WrapTargets func(http.RoundTripper) http.RoundTripper
-	// AnswersRequest reports whether a target's response answers the request.
-	AnswersRequest func(req *http.Request, res *http.Response) bool
+	// ResponseMatches reports whether a target's response answers the request.
+	ResponseMatches func(req *http.Request, res *http.Response) bool
 	// Announcements makes the handler of targets' announcements.
 	Announcements func(*target.Targets) http.Handler
 	// CallerName is the name of all callers at this node; empty if they name
 	// themselves.
 	CallerName string
-	// SilenceTimeout is the time without an announcement after which a target
+	// AnnouncementTimeout is the time without an announcement after which a target
 	// counts as gone; 0 for the default.
-	SilenceTimeout time.Duration
+	AnnouncementTimeout time.Duration
 	// LameDuck is how long a stopping node still serves its callers, until the
 	// platform sends them to other nodes. The node uses at least lameDuckTime.
 	LameDuck time.Duration
--- a/briarrockd/operator/operator.go
+++ b/briarrockd/operator/operator.go
@@ -141,11 +141,11 @@
 
 func (o *API) currentStatus(ctx context.Context) api.Status {
 	s := o.deps.Peers.Status(ctx)
-	out := api.Status{Host: o.deps.Host, Version: s.Version, Hash: s.Hash, Complete: s.Complete, StoreAge: s.HeadAgeMillis}
+	out := api.Status{Host: o.deps.Host, Version: s.Version, Hash: s.Hash, Complete: s.Complete, HeadAgeMillis: s.HeadAgeMillis}
 	for _, d := range s.Domains {
 		status := api.Domain{
 			Domain: d.Domain, Region: d.Region, Members: d.Members,
-			Laggards: d.Laggards, SilentFor: d.SilentMillis,
+			Laggards: d.Laggards, SilentMillis: d.SilentMillis,
 		}
 		for _, c := range d.Counts {
 			status.Counts = append(status.Counts, api.Count{Version: c.Version, Nodes: c.Nodes})
--- a/briarrockd/target/announce.go
+++ b/briarrockd/target/announce.go
@@ -260,9 +260,9 @@
 		url:     &url.URL{Scheme: "http", Host: a.Addr},
 		pool: http1.NewPool(http1.PoolConfig{
 			Dial: relay.Dialer(dialTimeout, t.deps.Dial), IdleTimeout: idleTimeout,
-			MaxConnsPerAddr: a.Connections, Matches: t.deps.ResponseMatches,
+			MaxConnsPerAddr: a.Connections, ResponseMatches: t.deps.ResponseMatches,
 		}),
-		gate:    NewGate(Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBandwidth: t.deps.LinkBandwidth}),
+		gate:    NewGate(Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBytesPerSecond: t.deps.LinkBytesPerSecond}),
 		waiters: make(map[CallID]chan Cmd),
 	}
 	x.transport = x.pool
--- a/briarrockd/target/announce_test.go
+++ b/briarrockd/target/announce_test.go
@@ -78,10 +78,10 @@
 	})})
 	go func() { _ = s.Serve(p) }()
 	h.Targets = New(Deps{
-		OnChange:   func(ts []peer.Target) { h.reported.Store(&ts) },
-		OnCrash:    func(peer.Crashed) {},
-		CrashCount: func(uint64) int { return 0 },
-		Stall:      time.Minute, Dial: p.dial, AnnouncementTimeout: 6 * time.Second,
+		OnChange:     func(ts []peer.Target) { h.reported.Store(&ts) },
+		OnCrash:      func(peer.Crashed) {},
+		CrashCount:   func(uint64) int { return 0 },
+		StallTimeout: time.Minute, Dial: p.dial, AnnouncementTimeout: 6 * time.Second,
 	})
 	h.stop = func() {
 		close(p.done)
--- a/briarrockd/target/bodies_test.go
+++ b/briarrockd/target/bodies_test.go
@@ -127,7 +127,7 @@
 			now: time.Unix(0, 0), link: link, work: 370 * time.Millisecond,
 			queued: map[CallID]upload{}, receiving: map[CallID]upload{}, working: map[CallID]upload{},
 		}
-		u.gate = NewGate(Limits{Slots: 40, Queue: 80, LinkBandwidth: link})
+		u.gate = NewGate(Limits{Slots: 40, Queue: 80, LinkBytesPerSecond: link})
 		perMS := use * link / mean / 1000
 		id, sent := CallID(0), 0
 		for range seconds * 1000 {
--- a/briarrockd/target/gate.go
+++ b/briarrockd/target/gate.go
@@ -112,7 +112,7 @@
 		g.limit.reset(l.Slots)
 	}
 	g.slots = max(1, l.Slots)
-	g.bodies.bandwidth = l.LinkBandwidth
+	g.bodies.bandwidth = l.LinkBytesPerSecond
 	g.queueMax = max(0, l.Queue)
 }
 
--- a/briarrockd/target/held_test.go
+++ b/briarrockd/target/held_test.go
@@ -57,7 +57,7 @@
 func newTargets(tr http.RoundTripper) *Targets {
 	x := New(Deps{
 		OnChange: func([]peer.Target) {}, CrashCount: func(uint64) int { return 0 },
-		Log: event.New(io.Discard, true, logrus.ErrorLevel, "h"), Stall: time.Minute, AnnouncementTimeout: time.Hour,
+		Log: event.New(io.Discard, true, logrus.ErrorLevel, "h"), StallTimeout: time.Minute, AnnouncementTimeout: time.Hour,
 		WrapTransport: func(http.RoundTripper) http.RoundTripper { return tr },
 	})
 	x.Configure(postingConfig)
--- a/briarrockd/target/message.go
+++ b/briarrockd/target/message.go
@@ -55,8 +55,8 @@
 type Limits struct {
 	Slots int
 	Queue int
-	// LinkBandwidth is the bandwidth of the host's link in bytes a second; 0 if unknown.
-	LinkBandwidth float64
+	// LinkBytesPerSecond is the bandwidth of the host's link; 0 if unknown.
+	LinkBytesPerSecond float64
 }
 
 // Throttle limits the calls started in a second to the target's rate.
--- a/briarrockd/target/serve.go
+++ b/briarrockd/target/serve.go
@@ -222,7 +222,7 @@
 	}
 	res, out := relay.Send(ctx, relay.Call{
 		In: r, URL: relay.RebaseURL(x.url, r), Host: r.Host, ExtraHeader: t.targetHeaders(r, x, c),
-		Body: requestBody(r, func() { x.step(BodyReceived{id}) }), ContentLength: r.ContentLength, Transport: x.transport, StallTimeout: t.deps.Stall,
+		Body: requestBody(r, func() { x.step(BodyReceived{id}) }), ContentLength: r.ContentLength, Transport: x.transport, StallTimeout: t.deps.StallTimeout,
 		Deadline: c.deadline, Streamed: relay.IsStreamed(r), Once: c.atMostOnce,
 	})
 	if res != nil {
@@ -251,7 +251,7 @@
 	t.logCall(c, x, completed.Duration, strconv.Itoa(res.StatusCode), nil)
 	_ = x.writeLoad(w.Header())
 	w.Header().Set(kind.HeaderRan, kind.RanYes.String())
-	out = relay.CopyResponse(w, res, t.deps.Stall)
+	out = relay.CopyResponse(w, res, t.deps.StallTimeout)
 	if out.Kind != kind.None {
 		panic(http.ErrAbortHandler)
 	}
--- a/briarrockd/target/target.go
+++ b/briarrockd/target/target.go
@@ -81,8 +81,8 @@
 	CrashCount func(fingerprint uint64) int
 	Log        *event.Log
 	Metrics    *metrics.Set
-	// Stall is the timeout for an exchange in which no byte moves.
-	Stall time.Duration
+	// StallTimeout is the timeout for an exchange in which no byte moves.
+	StallTimeout time.Duration
 	// WrapTransport, if set, wraps the transport to targets: it translates between the headers
 	// of this package and those that the targets use.
 	WrapTransport func(http.RoundTripper) http.RoundTripper
@@ -97,9 +97,9 @@
 	// AnnouncementTimeout is the time without an announcement after which a target is removed; 0
 	// for defaultAnnouncementTimeout.
 	AnnouncementTimeout time.Duration
-	// LinkBandwidth is the bandwidth of this host's link in bytes a second; 0 if unknown, and
-	// then request bodies are not limited.
-	LinkBandwidth float64
+	// LinkBytesPerSecond is the bandwidth of this host's link; 0 if unknown, and then request
+	// bodies are not limited.
+	LinkBytesPerSecond float64
 }
 
 // Targets manages the targets on this host. Use New to create one.
@@ -241,7 +241,7 @@
 
 // limits returns the lower of the limits that the target announces and the operator configures.
 func (t *Targets) limits(a Announcement) Limits {
-	l := Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBandwidth: t.deps.LinkBandwidth}
+	l := Limits{Slots: a.Slots, Queue: 2 * a.Slots, LinkBytesPerSecond: t.deps.LinkBytesPerSecond}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.snap == nil {
--- a/mesh/operator/operator.go
+++ b/mesh/operator/operator.go
@@ -126,9 +126,9 @@
 	Counts  []Count `json:"counts"`
 	// Laggards are some of the hosts that use an older version.
 	Laggards []string `json:"laggards,omitempty"`
-	// SilentFor is for how many milliseconds nothing was heard of the domain; 0
+	// SilentMillis is for how many milliseconds nothing was heard of the domain; 0
 	// while it is heard of as usual.
-	SilentFor int64 `json:"silent,omitempty"`
+	SilentMillis int64 `json:"silent,omitempty"`
 }
 
 // Held is a request that is held back since it crashes targets.
@@ -146,10 +146,10 @@
 	Domains []Domain `json:"domains"`
 	// Complete is unset when the node could not reach the one that knows all.
 	Complete bool `json:"whole"`
-	// StoreAge is for how many milliseconds nobody has read the head; -1 for
+	// HeadAgeMillis is for how many milliseconds nobody has read the head; -1 for
 	// never.
-	StoreAge int64  `json:"store"`
-	Held     []Held `json:"held,omitempty"`
+	HeadAgeMillis int64  `json:"store"`
+	Held          []Held `json:"held,omitempty"`
 }
 
 // InForce tells whether every node that is heard of uses at least version,
@@ -163,7 +163,7 @@
 				done += c.Nodes
 			}
 		}
-		if d.SilentFor > 0 {
+		if d.SilentMillis > 0 {
 			return false, done, all
 		}
 	}
