--- a/briarrockd/operator/operator.go
+++ b/briarrockd/operator/operator.go
@@ -33,7 +33,7 @@
 	"briarrock.example/mesh/text"
 )
 
-// Peers is the part of peer.Links that the API uses.
+// Peers is the part of peer.Transport that the API uses.
 type Peers interface {
 	Status(ctx context.Context) peer.Status
 	Post(m peer.Msg) bool
