--- a/mesh/operator/operator.go
+++ b/mesh/operator/operator.go
@@ -129,9 +129,9 @@
 	Counts  []Count `json:"counts"`
 	// Laggards lists some of the hosts that use an older version.
 	Laggards []string `json:"laggards,omitempty"`
-	// SilentFor is the time in milliseconds since the last report of the domain
+	// SilentMillis is the time in milliseconds since the last report of the domain
 	// if its reports are overdue, and 0 otherwise.
-	SilentFor int64 `json:"silent,omitempty"`
+	SilentMillis int64 `json:"silent,omitempty"`
 }
 
 // Held is a request that is blocked because it crashed targets. Fingerprint
@@ -152,10 +152,10 @@
 	// Complete is false if the node could not reach the node that aggregates the
 	// status of all domains.
 	Complete bool `json:"whole"`
-	// StoreAge is the time in milliseconds since any node last read the head
+	// HeadAgeMillis is the time in milliseconds since any node last read the head
 	// from the store; -1 if none has.
-	StoreAge int64  `json:"store"`
-	Held     []Held `json:"held,omitempty"`
+	HeadAgeMillis int64  `json:"store"`
+	Held          []Held `json:"held,omitempty"`
 }
 
 // InForce reports whether all nodes use at least version, how many nodes do and
@@ -170,7 +170,7 @@
 				done += c.Nodes
 			}
 		}
-		if d.SilentFor > 0 {
+		if d.SilentMillis > 0 {
 			return false, done, all
 		}
 	}
