--- a/briarrockd/claim/batch.go
+++ b/briarrockd/claim/batch.go
@@ -19,8 +19,8 @@
 	// a queue. Only one is in flight at a time, so under load a batch holds all
 	// the claims that came in while the previous one was being written.
 	minBatchInterval = 4 * time.Millisecond
-	// maxOutcomeDelay is how long an outcome waits for a batch of claims that it
-	// can be added to.
+	// maxOutcomeDelay is how long flushOutcomes waits for more outcomes before it
+	// commits the one that it has taken.
 	maxOutcomeDelay = 250 * time.Millisecond
 	// maxParallelReads bounds the concurrent reads after one failed transaction.
 	maxParallelReads = 8
@@ -30,11 +30,11 @@
 type pendingWrite struct {
 	write  platform.Write
 	absent []string // keys that must have no row
-	id     string
+	id     string   // the claim's id; empty for an outcome
 	// result receives the result once.
 	result chan writeResult
-	// isOutcome is set for an outcome. It can wait, and is added to a batch of
-	// claims.
+	// isOutcome is set for an outcome. Outcomes can wait, and are added to batches
+	// of claims.
 	isOutcome bool
 }
 
@@ -123,8 +123,9 @@
 	return batch
 }
 
-// flushOutcomes commits outcomes for which no batch of claims came within
-// maxOutcomeDelay.
+// flushOutcomes commits outcomes also when there are no batches of claims. It
+// takes one outcome, waits maxOutcomeDelay, and commits it together with those
+// that are then in the queue.
 func (c *Claims) flushOutcomes() {
 	for {
 		select {
--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -10,7 +10,7 @@
 //	switch d.Verdict {
 //	case claim.Run:            // this node runs it; call Finish or Release with d.Claim
 //	case claim.Replay:         // it has run; d.Outcome is the stored response
-//	case claim.OutcomeUnknown: // it was sent before and its outcome is not known
+//	case claim.OutcomeUnknown: // it was sent before; its response is not known or not stored
 //	case claim.Conflict:       // the key was used for a different request
 //	case claim.Undecided:      // the table could not decide; do not run it
 //	}
@@ -47,8 +47,8 @@
 	MaxBodyBytes = 16 << 10
 	// RetentionDays is the number of whole days for which a key is remembered.
 	RetentionDays = 1
-	// decisionTimeout bounds the decision on one claim, and also each commit of
-	// a batch.
+	// decisionTimeout bounds the decision on one claim. It also bounds each step
+	// of a batch: the wait for the rate limit, the commit and the forwarding.
 	decisionTimeout = 3 * time.Second
 	// finalWriteTimeout is the time after which Finish and Release stop retrying.
 	finalWriteTimeout       = 30 * time.Second
@@ -164,8 +164,9 @@
 	return c
 }
 
-// TransactionsPerSecond is the limit for the claims of the whole mesh. The
-// platform does several hundred writes a second.
+// TransactionsPerSecond is the rate limit for the claims of the whole mesh. It
+// leaves a part of the several hundred writes a second that the platform can do
+// to other uses.
 const TransactionsPerSecond = 300
 
 // transactionBurst is how many transactions a node may do at once after an idle
--- a/briarrockd/claim/gather.go
+++ b/briarrockd/claim/gather.go
@@ -27,8 +27,8 @@
 	Key    string   `cbor:"2,keyasint"`
 	Value  []byte   `cbor:"3,keyasint"`
 	Absent []string `cbor:"4,keyasint,omitempty"` // keys that must have no row
-	// IsOutcome is set for an outcome. It is acknowledged as soon as it is
-	// queued. If the committing node dies before it commits, a repeated request
+	// IsOutcome is set for an outcome. An outcome is acknowledged as soon as it
+	// is queued. If the committing node dies before it commits, a repeated request
 	// gets OutcomeUnknown, which is correct.
 	IsOutcome bool `cbor:"5,keyasint,omitempty"`
 }
--- a/briarrockd/claim/sweep.go
+++ b/briarrockd/claim/sweep.go
@@ -27,7 +27,7 @@
 	for range sweepBatches {
 		rows, err := c.store.List(ctx, platform.Scan{Prefix: Prefix, Limit: sweepRows})
 		if err != nil {
-			return deleted, errors.Wrap(err, "claim: sweep")
+			return deleted, errors.Wrap(err, "claim: sweep: list claims")
 		}
 		var t platform.Transaction
 		for _, r := range rows {
@@ -39,7 +39,7 @@
 			return deleted, nil
 		}
 		if err := c.store.Transact(ctx, t); err != nil {
-			return deleted, errors.Wrap(err, "claim: sweep")
+			return deleted, errors.Wrap(err, "claim: sweep: delete expired claims")
 		}
 		deleted += len(t.Writes)
 		select {
