--- a/briarrockd/operator/apply.go
+++ b/briarrockd/operator/apply.go
@@ -54,7 +54,8 @@
 	request    api.Apply
 	operator   string
 	remoteAddr string
-	// headRow and head are the head that the edit is compared with.
+	// headRow and head are the row of the head that the edit is compared with,
+	// and the head parsed from it.
 	headRow platform.Row
 	head    platform.Head
 	// snap is the snapshot compiled from the edit's text, and encoded its encoding.
--- a/briarrockd/operator/history.go
+++ b/briarrockd/operator/history.go
@@ -15,7 +15,8 @@
 	"briarrock.example/mesh/platform"
 )
 
-// Prefixes of the keys of additional rows; the audit trail has its own.
+// Prefixes of the keys of rows that this package stores in addition to the audit
+// trail, which package platform writes.
 const (
 	convergedPrefix = "converged/"
 	attemptPrefix   = "attempt/"
@@ -40,7 +41,8 @@
 	// Millis is the time from the version's acceptance until it was in force on
 	// all nodes, in milliseconds.
 	Millis int64 `json:"millis"`
-	Nodes  int   `json:"nodes"`
+	// Nodes is the number of nodes that used the version then.
+	Nodes int `json:"nodes"`
 }
 
 // versionKey appends a version in a fixed width, so that keys sort by version.
@@ -79,7 +81,7 @@
 }
 
 // storeRow writes a row that nothing depends on. A failure is ignored, because
-// the log has the event already.
+// the log has the attempt already, or the metrics have the convergence time.
 func (o *API) storeRow(ctx context.Context, key string, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -104,8 +106,9 @@
 	reply(w, h)
 }
 
-// page returns up to limit entries with versions below before, newest first; 0
-// stands for the newest. The first page also has the latest attempts.
+// page returns up to limit entries with versions below before, newest first. If
+// before is 0, the page starts with the newest version and also has the latest
+// attempts.
 func (o *API) page(ctx context.Context, before uint64, limit int) (api.History, error) {
 	var h api.History
 	rows, err := o.deps.Store.List(ctx, platform.AuditScan(before, limit))
--- a/briarrockd/operator/operator.go
+++ b/briarrockd/operator/operator.go
@@ -2,7 +2,7 @@
 // can apply an edit, read the configuration in force, its history and the status
 // of the mesh, and have the routing of a request explained.
 //
-//	o := operator.New(operator.Deps{Store: st, Peers: links, …})
+//	o := operator.New(operator.Deps{Store: store, Peers: transport, …})
 //	http.Serve(listener, o)
 //
 // The message types are in package mesh/operator, which clients share. The node
@@ -33,7 +33,7 @@
 	"briarrock.example/mesh/text"
 )
 
-// Peers is the part of peer.Links that the API uses.
+// Peers is the part of peer.Transport that the API uses.
 type Peers interface {
 	Status(ctx context.Context) peer.Status
 	Post(m peer.Msg) bool
@@ -220,7 +220,7 @@
 	if b, ok := o.deps.Peers.Content(h); ok {
 		return b, nil
 	}
-	return platform.GetContent(ctx, o.deps.Store, h) //nolint:wrapcheck // the error is complete
+	return platform.GetContent(ctx, o.deps.Store, h) //nolint:wrapcheck // errors of package platform are returned unchanged
 }
 
 // head reads the head's row and parses it. Both are zero if there is no version
