--- a/briarrockd/node/http.go
+++ b/briarrockd/node/http.go
@@ -28,14 +28,18 @@
 	maxHeaderBytes = 64 << 10
 	// dialTimeout is far above the round-trip time between two regions, but short
 	// enough that a call to a partitioned domain does not use up its deadline.
-	dialTimeout  = 500 * time.Millisecond
+	dialTimeout = 500 * time.Millisecond
+	// maxIdleConns is the maximum number of idle connections to one other node.
 	maxIdleConns = 64
 	// peerIdleTimeout is how long an idle connection to another node is kept. It
-	// outlasts a short pause in traffic, but frees the buffers after a burst of
-	// it. The other side keeps the connection for idleTimeout, which is longer,
-	// so this side closes it first.
+	// outlasts a short pause in traffic. After a burst of traffic it frees the
+	// buffers of the connections that are no longer needed. The other side keeps
+	// the connection for idleTimeout, which is longer, so this side closes it
+	// first.
 	peerIdleTimeout = 20 * time.Second
-	maxStreams      = 1000
+	// maxStreams is the maximum number of concurrent HTTP/2 streams of one
+	// connection.
+	maxStreams = 1000
 	// pingIdleTime and pingTimeout detect an unresponsive connection: two seconds
 	// after its last byte it is closed and a new one is opened.
 	pingIdleTime = time.Second
--- a/briarrockd/node/node.go
+++ b/briarrockd/node/node.go
@@ -334,7 +334,7 @@
 
 // Ready reports whether the node has a configuration and is not shutting down. If
 // the platform's adapter watches the platform, a node that has just started and has
-// found no other node is not ready either: it would refuse calls because it knows
+// found no other node is not ready either: it would reject calls because it knows
 // no targets.
 func (n *Node) Ready() bool {
 	if n.proxy.Table() == nil || n.stopping.Load() {
--- a/briarrockd/node/stop.go
+++ b/briarrockd/node/stop.go
@@ -24,9 +24,9 @@
 // them until they have had time to change to other nodes. This host's targets
 // accept calls during that time: they are healthy, and in a service with few
 // targets a restart of their node would otherwise remove a large part of the
-// capacity for seconds. Shortly before the end the targets accept no new calls, so
-// that the calls that run there, and the calls that those make through this node,
-// can finish.
+// capacity for seconds. Shortly before the end the targets stop accepting new calls.
+// The calls that run there can then finish, and so can the calls that they make
+// through this node.
 func (n *Node) Stop(ctx context.Context) {
 	n.log.Emit(event.Stopping, nil)
 	n.stopping.Store(true)
