--- a/briarrockd/relay/relay.go
+++ b/briarrockd/relay/relay.go
@@ -92,9 +92,9 @@
 const MaxBufferedBody = 64 << 10
 
 // MaxBufferedResponse is the size in bytes up to which a response body is buffered
-// before it is forwarded. If a buffered response is truncated, the connection to
-// the caller stays open, the request can still be retried, and the caller
-// gets an error response.
+// before it is forwarded. If a buffered response is truncated, the request can still
+// be retried. If it is not, the caller gets an error response, and its connection
+// stays open.
 const MaxBufferedResponse = 64 << 10
 
 // IsStreamed reports whether the body of a request is streamed instead of buffered.
@@ -329,10 +329,11 @@
 	}
 }
 
+// copyBufferSize is the size in bytes of the buffer with which copyBody copies.
 const copyBufferSize = 32 << 10
 
-// bufferPool reuses copy bufferPool. Under load, allocating one for each response was
-// most of the garbage collector's work.
+// bufferPool reuses the buffers of copyBody. Under load, allocating one for each response
+// caused most of the garbage collector's work.
 var bufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
 // copyBody copies the response body. It flushes after each read if the length is
@@ -461,7 +462,8 @@
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Dialer returns a dial function whose connections are of type CountingConn. They are
-// opened by dial, or if that is nil by a net.Dialer with the given timeout.
+// opened by dial. If dial is nil, a net.Dialer opens them, with timeout as its dial
+// timeout and as its TCP keep-alive interval.
 func Dialer(timeout time.Duration, dial DialFunc) DialFunc {
 	if dial == nil {
 		d := &net.Dialer{Timeout: timeout, KeepAlive: timeout}
