--- a/briarrockd/http1/conn.go
+++ b/briarrockd/http1/conn.go
@@ -308,13 +308,13 @@
 // the reset before it has read the response.
 func (c *conn) closeGracefully() {
 	const (
-		drainTimeout  = 500 * time.Millisecond
-		maxDrainBytes = 1 << 20
+		discardTimeout  = 500 * time.Millisecond
+		maxDiscardBytes = 1 << 20
 	)
 	halfCloser, ok := c.nc.(interface{ CloseWrite() error })
 	if !ok || c.ctx.Err() != nil || halfCloser.CloseWrite() != nil {
 		return
 	}
-	_ = c.nc.SetReadDeadline(time.Now().Add(drainTimeout))
-	_, _ = io.CopyN(io.Discard, c.nc, maxDrainBytes)
+	_ = c.nc.SetReadDeadline(time.Now().Add(discardTimeout))
+	_, _ = io.CopyN(io.Discard, c.nc, maxDiscardBytes)
 }
--- a/briarrockd/http1/exchange.go
+++ b/briarrockd/http1/exchange.go
@@ -28,12 +28,12 @@
 	header        http.Header
 	wroteHeader   bool
 	status        int
-	contentLength int64 // as set by the handler, -1 if it was not
-	written       int64 // bytes of the body
-	chunkWriter   io.WriteCloser
-	noBody        bool
-	err           error
-	closeAfter    bool // the connection closes after this response
+	contentLength int64          // as set by the handler, -1 if it was not
+	written       int64          // bytes of the body
+	chunkWriter   io.WriteCloser // nil if the response is not chunked
+	noBody        bool           // the response has no body, as for HEAD, 204 and 304
+	err           error          // why the response cannot be completed; nil if it can
+	closeAfter    bool           // the connection closes after this response
 }
 
 // run handles the request and completes its response.
@@ -189,7 +189,7 @@
 	n, err := w.Write(p)
 	x.written += int64(n)
 	x.fail(err)
-	return n, err //nolint:wrapcheck // callers compare it
+	return n, err //nolint:wrapcheck // callers compare the error
 }
 
 // Flush implements http.Flusher.
--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -44,8 +44,9 @@
 	// failed.
 	written  chan struct{}
 	writeErr error
-	// bodyDecided is closed when the server has sent 100 Continue (bodyRequested) or a
-	// final response or has failed. Only requests with an Expect header wait for it.
+	// bodyDecided is closed when it is known whether to send the body. After 100 Continue
+	// bodyRequested is set; after a final response or a failure it is not. Only requests
+	// with an Expect header wait for it.
 	bodyDecided   chan struct{}
 	bodyRequested bool
 	decideOnce    sync.Once
--- a/briarrockd/http1/server.go
+++ b/briarrockd/http1/server.go
@@ -24,7 +24,8 @@
 	// writeTimeout limits each write. The response to a caller that does not read
 	// would otherwise stay in memory forever.
 	writeTimeout = 10 * time.Second
-	// bodyReadTimeout limits the time between two reads of a request body.
+	// bodyReadTimeout limits each read of a request body: the time for which the
+	// client may send no byte of it.
 	bodyReadTimeout = 10 * time.Second
 	// maxPipelinedRequests limits the pending requests of one connection.
 	maxPipelinedRequests = 16
