--- a/mesh/snapshot/entry.go
+++ b/mesh/snapshot/entry.go
@@ -31,7 +31,8 @@
 	Weight int `cbor:"2,keyasint"`
 }
 
-// Limits bounds the requests of callers. A field that is 0 sets no limit.
+// Limits bounds the requests of callers. A field that is 0 sets nothing: a server
+// then uses its own default, and does not limit the size of a body.
 type Limits struct {
 	// HeaderBytes and BodyBytes limit the size of one request.
 	HeaderBytes int   `cbor:"1,keyasint,omitempty"`
