--- a/mesh/codec/codec.go
+++ b/mesh/codec/codec.go
@@ -40,10 +40,10 @@
 // encodings.
 func Encode(v any) ([]byte, error) {
 	b, err := encMode.Marshal(v)
-	return b, errors.Wrap(err, "codec")
+	return b, errors.Wrap(err, "codec: encode")
 }
 
 // Decode decodes b into the value that v points to.
 func Decode(b []byte, v any) error {
-	return errors.Wrap(decMode.Unmarshal(b, v), "codec")
+	return errors.Wrap(decMode.Unmarshal(b, v), "codec: decode")
 }
--- a/mesh/operator/operator.go
+++ b/mesh/operator/operator.go
@@ -67,7 +67,9 @@
 
 // Result is the response to Apply.
 type Result struct {
-	Outcome  Outcome         `json:"outcome"`
+	Outcome Outcome `json:"outcome"`
+	// Version is the version of an Accepted or Unchanged edit; after a Conflict it is
+	// that of Other.
 	Version  uint64          `json:"version,omitempty"`
 	Base     uint64          `json:"base"`
 	Hash     string          `json:"hash,omitempty"`
@@ -91,7 +93,8 @@
 	// Converged is the time in milliseconds from the acceptance of the version
 	// until all nodes used it, as measured by the accepting node; 0 if unknown.
 	Converged int64 `json:"converged,omitempty"`
-	Nodes     int   `json:"nodes,omitempty"`
+	// Nodes is the number of nodes that used the version then.
+	Nodes int `json:"nodes,omitempty"`
 }
 
 // Attempt is an edit that was not accepted. It is stored for the audit trail.
@@ -103,7 +106,8 @@
 	Outcome Outcome   `json:"outcome"`
 	Base    uint64    `json:"base"`
 	Write   string    `json:"write"`
-	Text    string    `json:"text"`
+	// Text is the text of the Result, or the first mistake if there are any.
+	Text string `json:"text"`
 }
 
 // History is one page of the history, newest version first.
@@ -271,13 +275,13 @@
 	if in != nil {
 		b, err := json.Marshal(in)
 		if err != nil {
-			return errors.WithStack(err)
+			return errors.Wrap(err, "operator: encode request")
 		}
 		body = bytes.NewReader(b)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
 	if err != nil {
-		return errors.WithStack(err)
+		return errors.Wrap(err, "operator: build request")
 	}
 	if c.token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.token)
@@ -294,5 +298,5 @@
 	if res.StatusCode != http.StatusOK {
 		return fmt.Errorf("operator: %s: %s", res.Status, bytes.TrimSpace(b))
 	}
-	return errors.WithStack(json.Unmarshal(b, out))
+	return errors.Wrap(json.Unmarshal(b, out), "operator: decode response")
 }
--- a/mesh/platform/commit.go
+++ b/mesh/platform/commit.go
@@ -66,7 +66,7 @@
 func ParseHead(b []byte) (Head, snapshot.Hash, error) {
 	var h Head
 	if err := json.Unmarshal(b, &h); err != nil {
-		return h, snapshot.Hash{}, errors.Wrap(err, "platform: head row")
+		return h, snapshot.Hash{}, errors.Wrap(err, "platform: decode head row")
 	}
 	hash, err := snapshot.ParseHash(h.Hash)
 	return h, hash, err
--- a/mesh/platform/edit.go
+++ b/mesh/platform/edit.go
@@ -65,13 +65,13 @@
 	for _, b := range contents {
 		go func() { done <- PutContent(ctx, st, b) }()
 	}
-	var first error
+	var lastErr error
 	for range contents {
 		if err := <-done; err != nil {
-			first = err
+			lastErr = err
 		}
 	}
-	return first
+	return lastErr
 }
 
 // Pause sleeps for d or until ctx is done.
--- a/mesh/platform/http.go
+++ b/mesh/platform/http.go
@@ -69,7 +69,7 @@
 	}
 	var rows []Row
 	if err := json.Unmarshal(body, &rows); err != nil {
-		return nil, errors.Wrap(err, "platform: scan")
+		return nil, errors.Wrap(err, "platform: decode rows of a scan")
 	}
 	return rows, nil
 }
@@ -78,7 +78,7 @@
 func (h *HTTP) Transact(ctx context.Context, t Transaction) error {
 	b, err := json.Marshal(t)
 	if err != nil {
-		return errors.Wrap(err, "platform: transact")
+		return errors.Wrap(err, "platform: encode transaction")
 	}
 	res, _, err := h.do(ctx, request{method: http.MethodPost, path: "/transact", body: b, limit: MaxValue, isWrite: true})
 	if err != nil {
@@ -132,7 +132,7 @@
 	})
 	req, err := http.NewRequestWithContext(ctx, r.method, h.base+r.path, bytes.NewReader(r.body))
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "platform: request")
+		return nil, nil, errors.Wrap(err, "platform: build request")
 	}
 	// Without GetBody the HTTP client cannot retry a write on its own.
 	req.GetBody = nil
@@ -152,12 +152,12 @@
 		return nil, nil, RequestError(err, r.isWrite)
 	}
 	if int64(len(body)) > r.limit {
-		return nil, nil, errors.Errorf("platform: answer to %s %s is too large", r.method, r.path)
+		return nil, nil, errors.Errorf("platform: response to %s %s is too large", r.method, r.path)
 	}
 	return res, body, nil
 }
 
-// RequestError returns the error for a request that got no response. It wraps
+// RequestError returns the error for a request that got no complete response. It wraps
 // ErrUnknown if maybeApplied is set, that is for a write that may have taken
 // effect, and ErrUnavailable otherwise. A write cannot have taken effect if it
 // failed before there was a connection, since no byte of it was sent.
