--- a/mesh/event/call.go
+++ b/mesh/event/call.go
@@ -21,9 +21,9 @@
 
 // lineLimiter limits the lines of one class per second of wall-clock time.
 type lineLimiter struct {
-	second  int64
-	lines   int
-	skipped int
+	second  int64 // Unix time of the second that lines counts for
+	lines   int   // lines written in that second
+	skipped int   // lines omitted since the previous one
 }
 
 // allow reports whether a line may be written now and, if so, how many lines
--- a/mesh/event/event.go
+++ b/mesh/event/event.go
@@ -120,8 +120,8 @@
 }
 
 type repeatState struct {
-	written time.Time
-	skipped int
+	written time.Time // when the last line was written
+	skipped int       // repeats omitted since then
 }
 
 // Log writes events. The zero Log and a nil *Log discard all events, which is
--- a/mesh/kind/kind.go
+++ b/mesh/kind/kind.go
@@ -138,6 +138,7 @@
 	Key:      {http.StatusBadRequest, RanNo, false, 0, "the idempotency key is malformed"},
 	Request:  {http.StatusBadRequest, RanNo, false, 0, "the request is malformed"},
 	Large:    {http.StatusRequestEntityTooLarge, RanNo, false, 0, "the request's body is larger than allowed"},
+	// 499 is no registered status; nginx uses it for a request that its client canceled.
 	Cancel:   {499, RanUnknown, false, 0, "the caller went away"},
 	Internal: {http.StatusInternalServerError, RanUnknown, false, 0, "internal fault of the node"},
 }
--- a/mesh/strict/node.go
+++ b/mesh/strict/node.go
@@ -19,7 +19,7 @@
 
 // Fields reads the mapping n. For each key it calls the Read function of the
 // field of that name in known. Unknown, duplicate and missing required keys are
-// mistakes; what names the mapping in their texts, such as "a route".
+// mistakes. Their texts refer to the mapping as what, such as "a route".
 func (r *Reader) Fields(n *yaml.Node, what string, known map[string]Field) {
 	if n.Kind != yaml.MappingNode {
 		r.Add(n, "%s must be a mapping", what)
--- a/mesh/text/route.go
+++ b/mesh/text/route.go
@@ -89,6 +89,7 @@
 }
 
 func (c *compiler) route(n *yaml.Node) snapshot.Route {
+	// Retries is negative until the text sets it.
 	r := snapshot.Route{Deadline: defaultDeadline, Retries: -1, Priority: snapshot.Normal}
 	var retries *yaml.Node
 	c.Fields(n, "a route", map[string]strict.Field{
--- a/mesh/text/text.go
+++ b/mesh/text/text.go
@@ -133,6 +133,7 @@
 )
 
 func (c *compiler) service(n *yaml.Node) snapshot.Service {
+	// Queue is negative until the text sets it, since its default depends on Slots.
 	svc := snapshot.Service{Upstreams: 1, Slots: 16, Conns: 128, Queue: -1}
 	cyclic := false
 	var depends *yaml.Node
