--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -333,9 +333,9 @@
 }
 
 // deleteOwn deletes the claim's row on the condition that it is still this
-// claim's, and reports whether it is done. If the answer to a delete without the
-// condition were lost, its retry could delete a claim that another node has
-// made in the meantime, and the request would run twice.
+// claim's. It returns true if nothing is left to delete. The condition is needed
+// when the answer to a delete is lost: without it, the retry could delete a claim
+// that another node has made in the meantime, and the request would run twice.
 func (c *Claims) deleteOwn(ctx context.Context, cl *Claim, written bool) bool {
 	r, err := c.store.Get(ctx, cl.key)
 	if errors.Is(err, platform.ErrMissing) {
