--- a/briarrockd/http1/exchange.go
+++ b/briarrockd/http1/exchange.go
@@ -46,8 +46,8 @@
 		return
 	}
 	// A request with a method other than GET and HEAD is not handled before the
-	// previous responses are complete: if one of them closed the connection, the
-	// caller would send the request again and it would be executed twice.
+	// previous responses are complete. If one of them closes the connection, the
+	// caller sends the request again, and it would otherwise be executed twice.
 	// While the server is draining this holds for all requests: a response that has to
 	// wait for a slow one before it would be lost when the connection is closed.
 	if x.req.Method != http.MethodGet && x.req.Method != http.MethodHead || x.c.s.isDraining() {
--- a/briarrockd/http1/http1.go
+++ b/briarrockd/http1/http1.go
@@ -1,10 +1,10 @@
 // Package http1 implements the HTTP/1.1 server and client connections to callers,
 // targets and other nodes.
 //
-// Server serves an http.Handler. Unlike net/http's server it handles the requests that
-// a caller pipelines on one connection concurrently and sends the responses in order,
-// so that the handling of a short request does not wait for that of a long one
-// before it. It detects at any time that a caller has closed its connection.
+// Server serves an http.Handler. Unlike net/http's server it handles pipelined requests
+// of one connection concurrently, and sends the responses in order. The handling of a
+// short request does not wait for that of a long one before it. Server detects at any
+// time that a caller has closed its connection.
 //
 //	s := http1.NewServer(http1.ServerConfig{Handler: h, Limits: limits})
 //	go s.Serve(listener)
--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -134,8 +134,8 @@
 //
 // HeaderHeld, sent together with it with any value that is not empty, promises that the
 // body is never sent without 100 Continue. Other clients send the body after a timeout in
-// any case, so a server that has rejected such a request cannot determine whether the
-// next bytes on the connection are the body or another request, and must close the
+// any case. After rejecting their request, a server cannot determine whether the next
+// bytes on the connection are the body or another request, and must close the
 // connection. With the promise the connection is kept. A rejected upload would otherwise
 // cost a new connection to each target that is tried.
 const (
