--- a/briarrockd/node/stop.go
+++ b/briarrockd/node/stop.go
@@ -47,9 +47,8 @@
 }
 
 // shutdown waits for the requests in flight and closes the node. It abandons what is
-// still in flight closeMargin after ctx ends: a call that must not be interrupted
-// can have all of its deadline left, and a process that waited for it would be
-// killed.
+// still in flight closeMargin after ctx ends. A call that must not be interrupted can
+// have all of its deadline left, and a process that waited for it would be killed.
 func (n *Node) shutdown(ctx context.Context) {
 	closed := make(chan struct{})
 	go func() {
