--- a/mesh/operator/operator.go
+++ b/mesh/operator/operator.go
@@ -190,7 +190,7 @@
 }
 
 // Explain describes how a node would route a request: the matching route, its
-// policy and the targets, or the failure kind if the request would be refused.
+// policy and the targets, or the failure kind if the request would be rejected.
 type Explain struct {
 	Version   uint64     `json:"version"`
 	Kind      string     `json:"kind,omitempty"` // failure kind, see package kind
--- a/mesh/platform/edit.go
+++ b/mesh/platform/edit.go
@@ -16,9 +16,9 @@
 // inconclusive read.
 const rereadDelay = 200 * time.Millisecond
 
-// Apply commits an edit. It first writes the edit's objects, which are named by
-// their content hash, so that repeated writes are harmless, and then makes the
-// edit the head by executing the actions of a Commit. The returned Finish holds
+// Apply commits an edit. It first writes the edit's objects, and then makes the
+// edit the head by executing the actions of a Commit. The objects are named by
+// their content hash, so that repeated writes are harmless. The returned Finish holds
 // the outcome and, after a conflict, the edit that was committed first. head is
 // the head row if the caller has just read it; if head is the zero Row, Apply
 // reads the row itself.
