--- a/briarrockd/http1/link.go
+++ b/briarrockd/http1/link.go
@@ -44,8 +44,9 @@
 	// failed.
 	written  chan struct{}
 	writeErr error
-	// bodyDecided is closed when the server has sent 100 Continue (bodyRequested) or a
-	// final response or has failed. Only requests with an Expect header wait for it.
+	// bodyDecided is closed when it is known whether to send the body. After 100 Continue
+	// bodyRequested is set; after a final response or a failure it is not. Only requests
+	// with an Expect header wait for it.
 	bodyDecided   chan struct{}
 	bodyRequested bool
 	decideOnce    sync.Once
@@ -133,8 +134,8 @@
 //
 // HeaderHeld, sent together with it with any value that is not empty, promises that the
 // body is never sent without 100 Continue. Other clients send the body after a timeout in
-// any case, so a server that has rejected such a request cannot determine whether the
-// next bytes on the connection are the body or another request, and must close the
+// any case. After rejecting their request, a server cannot determine whether the next
+// bytes on the connection are the body or another request, and must close the
 // connection. With the promise the connection is kept. A rejected upload would otherwise
 // cost a new connection to each target that is tried.
 const (
--- a/briarrockd/node/stop.go
+++ b/briarrockd/node/stop.go
@@ -24,9 +24,9 @@
 // them until they have had time to change to other nodes. This host's targets
 // accept calls during that time: they are healthy, and in a service with few
 // targets a restart of their node would otherwise remove a large part of the
-// capacity for seconds. Shortly before the end the targets accept no new calls, so
-// that the calls that run there, and the calls that those make through this node,
-// can finish.
+// capacity for seconds. Shortly before the end the targets stop accepting new calls.
+// The calls that run there can then finish, and so can the calls that they make
+// through this node.
 func (n *Node) Stop(ctx context.Context) {
 	n.log.Emit(event.Stopping, nil)
 	n.stopping.Store(true)
@@ -47,9 +47,8 @@
 }
 
 // shutdown waits for the requests in flight and closes the node. It abandons what is
-// still in flight closeMargin after ctx ends: a call that must not be interrupted
-// can have all of its deadline left, and a process that waited for it would be
-// killed.
+// still in flight closeMargin after ctx ends. A call that must not be interrupted can
+// have all of its deadline left, and a process that waited for it would be killed.
 func (n *Node) shutdown(ctx context.Context) {
 	closed := make(chan struct{})
 	go func() {
--- a/mesh/platform/edit.go
+++ b/mesh/platform/edit.go
@@ -16,9 +16,9 @@
 // inconclusive read.
 const rereadDelay = 200 * time.Millisecond
 
-// Apply commits an edit. It first writes the edit's objects, which are named by
-// their content hash, so that repeated writes are harmless, and then makes the
-// edit the head by executing the actions of a Commit. The returned Finish holds
+// Apply commits an edit. It first writes the edit's objects, and then makes the
+// edit the head by executing the actions of a Commit. The objects are named by
+// their content hash, so that repeated writes are harmless. The returned Finish holds
 // the outcome and, after a conflict, the edit that was committed first. head is
 // the head row if the caller has just read it; if head is the zero Row, Apply
 // reads the row itself.
@@ -65,13 +65,13 @@
 	for _, b := range contents {
 		go func() { done <- PutContent(ctx, st, b) }()
 	}
-	var first error
+	var lastErr error
 	for range contents {
 		if err := <-done; err != nil {
-			first = err
+			lastErr = err
 		}
 	}
-	return first
+	return lastErr
 }
 
 // Pause sleeps for d or until ctx is done.
