--- a/briarrock/local/call_test.go
+++ b/briarrock/local/call_test.go
@@ -459,7 +459,7 @@
 		c.Assert(call(m, i%len(m.Nodes), "GET", "/orders", "").status, qt.Equals, http.StatusOK)
 	}
 	for _, p := range wires {
-		p.Set(wire.Fault{Silent: true})
+		p.Set(wire.Fault{Blackhole: true})
 	}
 	var good atomic.Int64
 	var wg sync.WaitGroup
--- a/briarrock/process/process_test.go
+++ b/briarrock/process/process_test.go
@@ -398,7 +398,7 @@
 	f.inForce(4)
 
 	for _, w := range f.wires {
-		w.Set(wire.Fault{Silent: true})
+		w.Set(wire.Fault{Blackhole: true})
 	}
 	code, out = f.run(f.hosts[2], "apply", f.text(31), "--yes", "--wait", "--timeout", "60s")
 	c.Assert(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
--- a/standin/wire/wire.go
+++ b/standin/wire/wire.go
@@ -15,19 +15,20 @@
 	"github.com/pkg/errors"
 )
 
-// Fault is what a Proxy does to the bytes that pass.
+// Fault is the set of faults that a Proxy injects.
 type Fault struct {
-	// Delay is added to each piece, in each direction.
+	// Delay is the latency added in each direction.
 	Delay time.Duration
-	// Rate bounds the bytes a second in each direction; 0 for no bound.
+	// Rate is the bandwidth limit of each connection in bytes per second, in
+	// each direction; 0 for no limit.
 	Rate int
-	// Silent drops everything on connections that are open now and leaves
-	// them open; new connections work.
-	Silent bool
-	// Deaf drops what comes from the side that opened the connection, on
-	// connections that are open now or opened later: a cut one way.
-	Deaf bool
-	// Cut refuses new connections.
+	// Blackhole discards all data on connections that are open when the fault
+	// is set and leaves them open. New connections work.
+	Blackhole bool
+	// DropFromClient discards the data sent by the side that opened the
+	// connection, on open and on new connections (a one-way partition).
+	DropFromClient bool
+	// Cut closes open connections and refuses new ones.
 	Cut bool
 }
 
@@ -76,14 +77,14 @@
 	defer p.mu.Unlock()
 	p.fault = f
 	for c := range p.conns {
-		if f.Silent {
+		if f.Blackhole {
 			c.silent.Store(true)
 		}
 		if f.Cut {
 			c.close()
 		}
 	}
-	p.fault.Silent = false
+	p.fault.Blackhole = false
 }
 
 // Close ends the proxy and its connections.
@@ -162,7 +163,7 @@
 	}()
 	for x := range way {
 		time.Sleep(time.Until(x.at))
-		if c.silent.Load() || (from == c.near && p.now().Deaf) {
+		if c.silent.Load() || (from == c.near && p.now().DropFromClient) {
 			continue
 		}
 		if rate := p.now().Rate; rate > 0 {
