--- a/bench/converge.go
+++ b/bench/converge.go
@@ -19,7 +19,7 @@
 	api "briarrock.example/mesh/operator"
 	"briarrock.example/mesh/platform"
 	"briarrock.example/mesh/snapshot"
-	storein "briarrock.example/standin/platform"
+	standinplatform "briarrock.example/standin/platform"
 	"briarrock.example/standin/wire"
 )
 
@@ -378,7 +378,7 @@
 
 func pollOnce(nodes int, packed bool) (sample, error) {
 	var out sample
-	st := storein.New()
+	st := standinplatform.New()
 	l, addr, err := listen()
 	if err != nil {
 		return out, err
--- a/bench/load.go
+++ b/bench/load.go
@@ -132,7 +132,7 @@
 		{"none", func(*local.Mesh, *local.Node) {}},
 		{"crashes", func(_ *local.Mesh, n *local.Node) { n.StopTarget() }},
 		{"drains", func(_ *local.Mesh, n *local.Node) { n.Target.Drain() }},
-		{"goes silent", func(_ *local.Mesh, n *local.Node) { n.Target.Silence(true) }},
+		{"goes silent", func(_ *local.Mesh, n *local.Node) { n.Target.Hang(true) }},
 		{"10 times slower", func(_ *local.Mesh, n *local.Node) { n.Target.SetWork(10 * callWork) }},
 		{"sheds load", func(_ *local.Mesh, n *local.Node) { n.Target.Shed(true) }},
 		{"its node dies", func(_ *local.Mesh, n *local.Node) { n.Kill() }},
--- a/bench/util.go
+++ b/bench/util.go
@@ -14,7 +14,7 @@
 	"briarrock.example/mesh/platform"
 	"briarrock.example/mesh/snapshot"
 	"briarrock.example/mesh/text"
-	storein "briarrock.example/standin/platform"
+	standinplatform "briarrock.example/standin/platform"
 	"briarrock.example/standin/wire"
 )
 
@@ -23,7 +23,7 @@
 }
 
 // storeDelay makes the stand-in platform as far as one in the same region.
-var storeDelay = storein.Faults{Delay: 2 * time.Millisecond}
+var storeDelay = standinplatform.Faults{Delay: 2 * time.Millisecond}
 
 func listen() (net.Listener, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 			if err != nil {
 				return nil, errors.WithStack(err)
 			}
-			return wire.Slow(c, p), nil
+			return wire.Shape(c, p), nil
 		},
 	}}
 }
--- a/briarrock/demo/demo.go
+++ b/briarrock/demo/demo.go
@@ -24,7 +24,7 @@
 	api "briarrock.example/mesh/operator"
 	"briarrock.example/mesh/snapshot"
 	"briarrock.example/mesh/text"
-	targetin "briarrock.example/standin/target"
+	standintarget "briarrock.example/standin/target"
 )
 
 // Options choose what the demo shows.
@@ -112,7 +112,7 @@
 	}
 	spec := local.Spec{
 		Places: p.Domains, PerDomain: len(d.snap.Services), StoreRegion: p.Store,
-		Target: targetin.Config{Slots: d.snap.Services[0].Slots, Conns: d.snap.Services[0].Conns, Work: work},
+		Target: standintarget.Config{Slots: d.snap.Services[0].Slots, Conns: d.snap.Services[0].Conns, Work: work},
 	}
 	for _, s := range d.snap.Services {
 		spec.Services = append(spec.Services, s.Name)
--- a/briarrock/local/call_test.go
+++ b/briarrock/local/call_test.go
@@ -20,8 +20,8 @@
 	"briarrock.example/briarrockd/peer"
 	"briarrock.example/mesh/kind"
 	api "briarrock.example/mesh/operator"
-	storein "briarrock.example/standin/platform"
-	targetin "briarrock.example/standin/target"
+	standinplatform "briarrock.example/standin/platform"
+	standintarget "briarrock.example/standin/target"
 	"briarrock.example/standin/wire"
 )
 
@@ -52,7 +52,7 @@
 const patience = 60 * time.Second
 
 // start runs a mesh with one target in each domain and a version in force.
-func start(c *qt.C, target targetin.Config) *local.Mesh {
+func start(c *qt.C, target standintarget.Config) *local.Mesh {
 	if target.Slots == 0 {
 		target.Slots, target.Conns = 2, 20
 	}
@@ -133,7 +133,7 @@
 
 func TestRefusals(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, targetin.Config{})
+	m := start(c, standintarget.Config{})
 	for _, x := range []struct {
 		method, path string
 		headers      []string
@@ -164,7 +164,7 @@
 // in memory: its first bytes come back before its last ones are sent.
 func TestStream(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, targetin.Config{Echo: true})
+	m := start(c, standintarget.Config{Echo: true})
 	const size = 16 << 20
 	r, w := io.Pipe()
 	req, err := http.NewRequest(http.MethodPut, "http://"+m.Nodes[0].Cfg.CallerAddr+"/files/1", r)
@@ -206,7 +206,7 @@
 	c := qt.New(t)
 	m, err := local.Start(local.Spec{
 		Places: twoRegions[:1], PerDomain: 1, Services: []string{"orderdesk"},
-		Target: targetin.Config{Slots: 2, Conns: 20, Echo: true}, Stall: 300 * time.Millisecond,
+		Target: standintarget.Config{Slots: 2, Conns: 20, Echo: true}, Stall: 300 * time.Millisecond,
 	})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(m.Close)
@@ -246,7 +246,7 @@
 // than its slots, and whoever is refused is told at once that nothing ran.
 func TestSlots(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, targetin.Config{Slots: 2, Conns: 20, Work: 5 * time.Millisecond})
+	m := start(c, standintarget.Config{Slots: 2, Conns: 20, Work: 5 * time.Millisecond})
 	var good, refused, other atomic.Int64
 	var last atomic.Value // what the last other answer was
 	last.Store("")
@@ -270,8 +270,8 @@
 	wg.Wait()
 	ran := int64(0)
 	for _, n := range m.Nodes {
-		c.Check(n.Target.Peak() <= 2, qt.IsTrue, qt.Commentf("%d at once", n.Target.Peak()))
-		ran += n.Target.Ran()
+		c.Check(n.Target.PeakConcurrency() <= 2, qt.IsTrue, qt.Commentf("%d at once", n.Target.PeakConcurrency()))
+		ran += n.Target.Completed()
 	}
 	c.Check(other.Load(), qt.Equals, int64(0), qt.Commentf("%s", last.Load()))
 	c.Check(ran, qt.Equals, good.Load())
@@ -283,8 +283,8 @@
 // it. It is told so when its time is up, and the target is told to stop.
 func TestLate(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, targetin.Config{})
-	a := call(m, 0, "POST", "/orders", "x", "Briarrock-Deadline", "100", targetin.HeaderWork, "30s")
+	m := start(c, standintarget.Config{})
+	a := call(m, 0, "POST", "/orders", "x", "Briarrock-Deadline", "100", standintarget.HeaderWork, "30s")
 	c.Check(a.kind, qt.Equals, kind.Late, qt.Commentf("%s", a))
 	c.Check(a.ran, qt.Equals, "unknown")
 	c.Check(local.Until(patience, func() bool {
@@ -303,11 +303,11 @@
 // not known yet; whoever asks after it has run gets the first answer back.
 func TestOnce(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, targetin.Config{Work: 20 * time.Millisecond})
+	m := start(c, standintarget.Config{Work: 20 * time.Millisecond})
 	for order := range 5 {
 		id := fmt.Sprintf("order-%d", order)
 		send := func(i int) answer {
-			return call(m, i, "POST", "/orders", "ten pallets", "Idempotency-Key", id, targetin.HeaderID, id)
+			return call(m, i, "POST", "/orders", "ten pallets", "Idempotency-Key", id, standintarget.HeaderID, id)
 		}
 		var wg sync.WaitGroup
 		var answers [8]answer
@@ -338,7 +338,7 @@
 func TestOnceGathered(t *testing.T) {
 	c := qt.New(t)
 	m, err := local.Start(local.Spec{
-		Places: twoRegions[:1], PerDomain: 9, Services: []string{"orderdesk"}, Target: targetin.Config{Slots: 6, Conns: 20},
+		Places: twoRegions[:1], PerDomain: 9, Services: []string{"orderdesk"}, Target: standintarget.Config{Slots: 6, Conns: 20},
 	})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(m.Close)
@@ -364,7 +364,7 @@
 				}
 				id := fmt.Sprintf("gathered-%d-%d", i, k)
 				err := local.Until(patience, func() bool {
-					a := call(m, i, "POST", "/orders", "x", "Idempotency-Key", id, targetin.HeaderID, id)
+					a := call(m, i, "POST", "/orders", "x", "Idempotency-Key", id, standintarget.HeaderID, id)
 					return a.status == http.StatusOK || a.kind == kind.Repeat
 				})
 				c.Check(err, qt.IsNil, qt.Commentf("%s", id))
@@ -381,21 +381,21 @@
 // not run, and its caller is told so and may send it again with the same key.
 func TestOnceStore(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, targetin.Config{})
+	m := start(c, standintarget.Config{})
 	send := func(id string) answer {
-		return call(m, 0, "POST", "/orders", "x", "Idempotency-Key", id, targetin.HeaderID, id)
+		return call(m, 0, "POST", "/orders", "x", "Idempotency-Key", id, standintarget.HeaderID, id)
 	}
-	m.Platform.Fault(storein.Faults{Down: true})
+	m.Platform.Fault(standinplatform.Faults{Down: true})
 	a := send("down")
 	c.Check(a.kind, qt.Equals, kind.Claim, qt.Commentf("%s", a))
 	c.Check(a.ran, qt.Equals, "no")
 	c.Check(runs(m, "down"), qt.Equals, 0)
-	m.Platform.Fault(storein.Faults{})
+	m.Platform.Fault(standinplatform.Faults{})
 	c.Check(local.Until(patience, func() bool { return send("down").status == http.StatusOK }), qt.IsNil)
 	c.Check(runs(m, "down"), qt.Equals, 1)
 
 	// The claim takes effect and its answer is lost: it is looked up.
-	m.Platform.Fault(storein.Faults{LoseAnswers: 1})
+	m.Platform.Fault(standinplatform.Faults{LoseResponses: 1})
 	a = send("lost")
 	c.Check(a.status, qt.Equals, http.StatusOK, qt.Commentf("%s", a))
 	c.Check(runs(m, "lost"), qt.Equals, 1)
@@ -415,9 +415,9 @@
 // every node, so that the other targets live, and others' calls go on.
 func TestCrash(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, targetin.Config{})
+	m := start(c, standintarget.Config{})
 	crash := func(i int) answer {
-		return call(m, i, "POST", "/orders", "poison", targetin.HeaderCrash, "yes")
+		return call(m, i, "POST", "/orders", "poison", standintarget.HeaderCrash, "yes")
 	}
 	var last answer
 	c.Assert(local.Until(patience, func() bool { last = crash(0); return last.kind == kind.Held }), qt.IsNil)
@@ -442,7 +442,7 @@
 // silence, and what may be repeated is sent again on a new connection.
 func TestSilent(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, targetin.Config{})
+	m := start(c, standintarget.Config{})
 	var wires []*wire.Proxy
 	for _, n := range m.Nodes {
 		p, err := wire.New("127.0.0.1:0", n.Cfg.CallAddr)
@@ -483,7 +483,7 @@
 // target or, where that was the node's own, by another one.
 func TestStop(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, targetin.Config{Work: 3 * time.Millisecond})
+	m := start(c, standintarget.Config{Work: 3 * time.Millisecond})
 	var good atomic.Int64
 	var bad sync.Map
 	ctx, cancel := context.WithCancel(context.Background())
--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -25,8 +25,8 @@
 	"briarrock.example/briarrockd/settings"
 	"briarrock.example/mesh/event"
 	api "briarrock.example/mesh/operator"
-	storein "briarrock.example/standin/platform"
-	targetin "briarrock.example/standin/target"
+	standinplatform "briarrock.example/standin/platform"
+	standintarget "briarrock.example/standin/target"
 	"briarrock.example/standin/wire"
 )
 
@@ -41,7 +41,7 @@
 	// target of service i, round and round. None for nodes without targets.
 	Services []string
 	// Target is what the targets are like, Service and Addr aside.
-	Target targetin.Config
+	Target standintarget.Config
 	// StoreRegion is the region of the store.
 	StoreRegion string
 	// Store is the URL of another platform than the one that Start runs.
@@ -70,7 +70,7 @@
 // Node is one node of the mesh with its target.
 type Node struct {
 	*node.Node
-	Target *targetin.Target
+	Target *standintarget.Target
 	Cfg    settings.Settings
 	cancel context.CancelFunc
 	server *http.Server
@@ -80,7 +80,7 @@
 // Mesh is a running mesh.
 type Mesh struct {
 	Spec     Spec
-	Platform *storein.Server
+	Platform *standinplatform.Server
 	Nodes    []*Node
 	store    string
 	servers  []*http.Server
@@ -95,7 +95,7 @@
 
 // Start runs a mesh. It does not wait until the nodes have found each other.
 func Start(spec Spec) (*Mesh, error) {
-	m := &Mesh{Spec: spec, Platform: storein.New(), store: spec.Store, at: make(map[string]Place), via: make(map[string]string)}
+	m := &Mesh{Spec: spec, Platform: standinplatform.New(), store: spec.Store, at: make(map[string]Place), via: make(map[string]string)}
 	if spec.Contacts == 0 {
 		m.Spec.Contacts = defaultContacts
 	}
@@ -212,9 +212,9 @@
 		}
 		switch {
 		case there.Region != here.Region && m.Spec.Paid != (wire.Path{}):
-			return wire.Slow(c, m.Spec.Paid), nil
+			return wire.Shape(c, m.Spec.Paid), nil
 		case there.Domain != here.Domain && m.Spec.Near != (wire.Path{}):
-			return wire.Slow(c, m.Spec.Near), nil
+			return wire.Shape(c, m.Spec.Near), nil
 		default:
 			return c, nil
 		}
@@ -228,7 +228,7 @@
 	}
 	cfg := m.Spec.Target
 	cfg.Service, cfg.Addr, cfg.Crash = service, l.Addr().String(), n.crashOf()
-	n.Target = targetin.New(cfg)
+	n.Target = standintarget.New(cfg)
 	n.server = m.serve(l, n.Target)
 	n.addr = cfg.Addr
 	ctx, cancel := context.WithCancel(context.Background())
--- a/briarrock/local/matrix_test.go
+++ b/briarrock/local/matrix_test.go
@@ -20,7 +20,7 @@
 
 	"briarrock.example/briarrock/local"
 	"briarrock.example/mesh/kind"
-	storein "briarrock.example/standin/platform"
+	standinplatform "briarrock.example/standin/platform"
 )
 
 // callMatrix is the file testdata/calls.yaml.
@@ -251,9 +251,9 @@
 	m.targets[1].set(cell.second)
 	switch cell.store {
 	case "down":
-		m.Platform.Fault(storein.Faults{Down: true})
+		m.Platform.Fault(standinplatform.Faults{Down: true})
 	case "lossy":
-		m.Platform.Fault(storein.Faults{LoseAnswers: 2})
+		m.Platform.Fault(standinplatform.Faults{LoseResponses: 2})
 	}
 	var broken []string
 	ids := make([]string, 0, 3)
@@ -267,7 +267,7 @@
 			broken = append(broken, m.send(cell.route, id, (entry+1)%2)...)
 		}
 	}
-	m.Platform.Fault(storein.Faults{})
+	m.Platform.Fault(standinplatform.Faults{})
 	m.targets[0].set("whole")
 	m.targets[1].set("whole")
 	for _, id := range ids {
--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -16,7 +16,7 @@
 	"briarrock.example/briarrockd/peer"
 	"briarrock.example/mesh/kind"
 	api "briarrock.example/mesh/operator"
-	targetin "briarrock.example/standin/target"
+	standintarget "briarrock.example/standin/target"
 )
 
 func startSecure(c *qt.C) (*local.Mesh, *local.Authority) {
@@ -24,7 +24,7 @@
 	c.Assert(err, qt.IsNil)
 	m, err := local.Start(local.Spec{
 		Places: twoRegions, PerDomain: 1, Services: []string{"orderdesk"}, Authority: a,
-		Target: targetin.Config{Slots: 2, Conns: 20},
+		Target: standintarget.Config{Slots: 2, Conns: 20},
 	})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(m.Close)
--- a/briarrock/local/stop_test.go
+++ b/briarrock/local/stop_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"briarrock.example/briarrock/local"
-	targetin "briarrock.example/standin/target"
+	standintarget "briarrock.example/standin/target"
 )
 
 // TestStopOpen stops all nodes but one at the same time, as a rolling restart of
@@ -22,7 +22,7 @@
 // carry the load. No call may fail because of the stops.
 func TestStopOpen(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, targetin.Config{Slots: 1, Conns: 20, Work: 5 * time.Millisecond})
+	m := start(c, standintarget.Config{Slots: 1, Conns: 20, Work: 5 * time.Millisecond})
 	var stops, calls sync.WaitGroup
 	for _, n := range m.Nodes[1:] {
 		stops.Go(func() { n.Stop(context.Background()) })
@@ -51,7 +51,7 @@
 func ran(m *local.Mesh) int64 {
 	n := int64(0)
 	for _, x := range m.Nodes[1:] {
-		n += x.Target.Ran()
+		n += x.Target.Completed()
 	}
 	return n
 }
--- a/briarrock/process/process_test.go
+++ b/briarrock/process/process_test.go
@@ -25,7 +25,7 @@
 	"briarrock.example/briarrock/command"
 	"briarrock.example/briarrock/local"
 	api "briarrock.example/mesh/operator"
-	storein "briarrock.example/standin/platform"
+	standinplatform "briarrock.example/standin/platform"
 	"briarrock.example/standin/wire"
 )
 
@@ -86,7 +86,7 @@
 type fleet struct {
 	c     *qt.C
 	dir   string
-	store *storein.Server
+	store *standinplatform.Server
 	// wires stand before the peer address of each host, and before the store.
 	wires     []*wire.Proxy
 	storeWire *wire.Proxy
@@ -117,7 +117,7 @@
 }
 
 func newFleet(c *qt.C, perDomain int) *fleet {
-	f := &fleet{c: c, dir: c.TempDir(), store: storein.New()}
+	f := &fleet{c: c, dir: c.TempDir(), store: standinplatform.New()}
 	srv := httptest.NewServer(f.store)
 	c.Cleanup(srv.Close)
 	var err error
@@ -313,10 +313,10 @@
 	c.Check(out, qt.Contains, "Slots 20 → 21")
 
 	// The answer to the head's write is lost: accepted, once.
-	f.store.Fault(storein.Faults{LoseAnswers: 1, SkipWrites: 2})
+	f.store.Fault(standinplatform.Faults{LoseResponses: 1, SkipWrites: 2})
 	code, out = f.run(f.hosts[2], "apply", f.text(23), "--base", "2", "--write", "lost-answer")
 	c.Assert(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
-	f.store.Fault(storein.Faults{})
+	f.store.Fault(standinplatform.Faults{})
 	code, out = f.run(one, "apply", f.text(23), "--yes", "--write", "lost-answer")
 	c.Check(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
 	f.inForce(3)
--- a/standin/platform/edit_test.go
+++ b/standin/platform/edit_test.go
@@ -11,11 +11,11 @@
 
 	store "briarrock.example/mesh/platform"
 	"briarrock.example/mesh/snapshot"
-	standin "briarrock.example/standin/platform"
+	standinplatform "briarrock.example/standin/platform"
 )
 
-func start(c *qt.C) (*standin.Server, store.Store) {
-	p := standin.New()
+func start(c *qt.C) (*standinplatform.Server, store.Store) {
+	p := standinplatform.New()
 	srv := httptest.NewServer(p)
 	c.Cleanup(srv.Close)
 	return p, store.NewHTTP(srv.Client(), srv.URL, "")
@@ -41,45 +41,45 @@
 	return out
 }
 
-// TestLostAnswer cuts the connection after the write took effect.
+// TestLostResponse closes the connection after the write took effect.
 //
-// The operator's node can't tell a write that was lost from an answer that
-// was. It must answer "accepted" exactly once, with one audit row, and asking
-// again with the same id must not make another version.
-func TestLostAnswer(t *testing.T) {
+// The operator's node can't distinguish a lost write from a lost response. The
+// edit must be accepted exactly once, with one audit row, and a retry with the
+// same id must not create another version.
+func TestLostResponse(t *testing.T) {
 	c := qt.New(t)
 	p, st := start(c)
 	ctx := context.Background()
 	// Two objects are written first; the transaction is the third write.
-	p.Fault(standin.Faults{LoseAnswers: 1, SkipWrites: 2})
-	fin := store.Apply(ctx, st, edit("first", 0, "a"), store.Row{})
-	c.Assert(fin.Outcome, qt.Equals, store.Accepted)
-	c.Assert(fin.Audit.Version, qt.Equals, uint64(1))
-	again := store.Apply(ctx, st, edit("first", 1, "a"), store.Row{})
-	c.Assert(again.Outcome, qt.Equals, store.Accepted)
-	c.Assert(again.Audit.Version, qt.Equals, uint64(1))
+	p.Fault(standinplatform.Faults{LoseResponses: 1, SkipWrites: 2})
+	result := store.Apply(ctx, st, edit("first", 0, "a"), store.Row{})
+	c.Assert(result.Outcome, qt.Equals, store.Accepted)
+	c.Assert(result.Audit.Version, qt.Equals, uint64(1))
+	retry := store.Apply(ctx, st, edit("first", 1, "a"), store.Row{})
+	c.Assert(retry.Outcome, qt.Equals, store.Accepted)
+	c.Assert(retry.Audit.Version, qt.Equals, uint64(1))
 	c.Assert(auditRows(c, st), qt.HasLen, 1)
 }
 
-// TestRace lets operators race from the same version: one wins, and each of
-// the others is shown whose edit came first.
+// TestRace applies concurrent edits based on the same version: one is accepted,
+// and each of the others reports a conflict that names the accepted edit.
 func TestRace(t *testing.T) {
 	c := qt.New(t)
 	_, st := start(c)
 	const racers = 8
-	var fins [racers]store.Finish
+	var results [racers]store.Finish
 	var wg sync.WaitGroup
 	for i := range racers {
 		wg.Go(func() {
 			name := string(rune('a' + i))
-			fins[i] = store.Apply(context.Background(), st, edit("racer-"+name, 0, name), store.Row{})
+			results[i] = store.Apply(context.Background(), st, edit("racer-"+name, 0, name), store.Row{})
 		})
 	}
 	wg.Wait()
 	winners := 0
 	rows := auditRows(c, st)
 	c.Assert(rows, qt.HasLen, 1)
-	for _, f := range fins {
+	for _, f := range results {
 		if f.Outcome == store.Accepted {
 			winners++
 			continue
@@ -90,19 +90,19 @@
 	c.Assert(winners, qt.Equals, 1)
 }
 
-// TestDown asks for an edit while the store is down: nothing changed, and the
-// operator is told so.
+// TestDown applies an edit while the store is unavailable: the edit must be
+// refused and leave no audit row.
 func TestDown(t *testing.T) {
 	c := qt.New(t)
 	p, st := start(c)
-	p.Fault(standin.Faults{Down: true})
+	p.Fault(standinplatform.Faults{Down: true})
 	c.Assert(store.Apply(context.Background(), st, edit("first", 0, "a"), store.Row{}).Outcome, qt.Equals, store.Refused)
-	p.Fault(standin.Faults{})
+	p.Fault(standinplatform.Faults{})
 	c.Assert(auditRows(c, st), qt.HasLen, 0)
 }
 
-// TestContent corrupts an object in the store: it must not pass for what was
-// kept.
+// TestContent stores the same object twice and reads it back, and then reads an
+// object that was never stored, which must give ErrMissing.
 func TestContent(t *testing.T) {
 	c := qt.New(t)
 	_, st := start(c)
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,12 +1,12 @@
-// Package platform is a small stand-in for the platform's service, for tests,
-// the demo and measurements: a transactional table and an object store in
-// memory, over HTTP, with faults on demand.
+// Package platform is a stand-in for the platform's storage service, for tests,
+// the demo and benchmarks: an in-memory transactional table and object store
+// over HTTP, with fault injection.
 //
 //	srv := platform.New()
 //	go http.Serve(l, srv)
-//	srv.Fault(platform.Faults{LoseAnswers: 1}) // the next write answers nothing
+//	srv.Fault(platform.Faults{LoseAnswers: 1}) // the next write takes effect without a response
 //
-// It keeps nothing when its process ends and is not for production.
+// It does not persist data and is not for production.
 package platform
 
 import (
@@ -32,28 +32,29 @@
 	headerTag = "ETag"
 )
 
-// Faults are what the stand-in does wrong from now on.
+// Faults are the faults that the stand-in injects.
 type Faults struct {
-	// Down refuses every request with 503, nothing done.
+	// Down rejects every request with status 503 and does not execute it.
 	Down bool
-	// Silent takes requests and never answers them, nothing done.
-	Silent bool
-	// Delay is added before each request is carried out.
+	// Hang accepts requests without executing them or responding.
+	Hang bool
+	// Delay is the latency added before each request is executed.
 	Delay time.Duration
-	// LoseAnswers is how many writes to come take effect and then have their
-	// connection cut instead of an answer.
-	LoseAnswers int
-	// SkipWrites is how many writes to come are spared by LoseAnswers.
+	// LoseResponses is the number of upcoming writes that take effect and whose
+	// connection is then closed without a response.
+	LoseResponses int
+	// SkipWrites is the number of upcoming writes that are exempt from
+	// LoseResponses.
 	SkipWrites int
 }
 
-// Counts is what the stand-in has been asked so far.
+// Counts are the numbers of requests received.
 type Counts struct {
 	Reads  int64
 	Writes int64
 }
 
-// Server is the stand-in. New makes one; it is an http.Handler.
+// Server is the stand-in, created by New. It implements http.Handler.
 type Server struct {
 	http.Handler
 	mu      sync.Mutex
@@ -68,7 +69,7 @@
 func New() *Server {
 	s := &Server{rows: make(map[string]store.Row), objects: make(map[string][]byte)}
 	r := chi.NewRouter()
-	r.Use(s.faulty)
+	r.Use(s.injectFaults)
 	r.Get("/table", s.list)
 	r.Get("/table/*", s.get)
 	r.Post("/transact", s.transact)
@@ -78,44 +79,47 @@
 	return s
 }
 
-// Fault sets the faults from now on; the zero value ends them.
+// Fault replaces the injected faults; the zero value injects none.
 func (s *Server) Fault(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Counts returns how often the stand-in was asked.
+// Counts returns the numbers of requests received so far, including those that
+// a fault rejected.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// faulty does what the faults say, around every request.
-func (s *Server) faulty(next http.Handler) http.Handler {
+// injectFaults is the middleware that applies the faults to every request.
+func (s *Server) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		write := r.Method != http.MethodGet
-		f, lose := s.begin(write)
-		if f.Silent {
+		f, loseResponse := s.recordRequest(write)
+		if f.Hang {
 			<-r.Context().Done()
 			return
 		}
-		pause(r.Context(), f.Delay)
+		sleep(r.Context(), f.Delay)
 		if f.Down {
 			http.Error(w, "platform is down", http.StatusServiceUnavailable)
 			return
 		}
-		if !lose {
+		if !loseResponse {
 			next.ServeHTTP(w, r)
 			return
 		}
-		next.ServeHTTP(discard{}, r)
+		next.ServeHTTP(discardWriter{}, r)
 		panic(http.ErrAbortHandler)
 	})
 }
 
-func (s *Server) begin(write bool) (Faults, bool) {
+// recordRequest counts a request and returns the faults that apply to it, and
+// whether its response must be lost.
+func (s *Server) recordRequest(write bool) (Faults, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !write {
@@ -127,14 +131,14 @@
 		s.faults.SkipWrites--
 		return s.faults, false
 	}
-	lose := s.faults.LoseAnswers > 0 && !s.faults.Down && !s.faults.Silent
-	if lose {
-		s.faults.LoseAnswers--
+	loseResponse := s.faults.LoseResponses > 0 && !s.faults.Down && !s.faults.Hang
+	if loseResponse {
+		s.faults.LoseResponses--
 	}
-	return s.faults, lose
+	return s.faults, loseResponse
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -146,12 +150,12 @@
 	}
 }
 
-// discard is a ResponseWriter whose answer nobody gets.
-type discard struct{}
+// discardWriter is a ResponseWriter that discards the response.
+type discardWriter struct{}
 
-func (discard) Header() http.Header         { return make(http.Header) }
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
-func (discard) WriteHeader(int)             {}
+func (discardWriter) Header() http.Header         { return make(http.Header) }
+func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (discardWriter) WriteHeader(int)             {}
 
 func wildcard(r *http.Request) string {
 	name, err := url.PathUnescape(chi.URLParam(r, "*"))
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -1,7 +1,7 @@
-// Package target is a small stand-in for a target, the back end that runs a
-// service's work. It announces itself to the node on its host and then does
-// what a test or the demo asks of it: answer after a while, drain, start cold,
-// shed load, crash, stall or mislead about its health.
+// Package target is a stand-in for a target, the back end that handles a
+// service's requests, for tests, the demo and benchmarks. It announces itself to
+// the node on its host. A test can set its processing time and make it drain,
+// shed load, crash or stop responding.
 //
 //	t := target.New(target.Config{Service: "orderdesk", Slots: 6})
 //	go http.Serve(l, t)
@@ -21,44 +21,45 @@
 	"github.com/pkg/errors"
 )
 
-// HeaderCrash on a request makes the target crash while it runs it.
+// HeaderCrash on a request makes the target crash while it handles the request.
 const HeaderCrash = "Standin-Crash"
 
-// HeaderWork on a request is how long it takes, as a Go duration.
+// HeaderWork on a request sets its processing time, as a Go duration.
 const HeaderWork = "Standin-Work"
 
-// Config is what a stand-in target is.
+// Config configures a stand-in target.
 type Config struct {
 	Service string
-	// Addr is the address that the target serves at.
+	// Addr is the address that the target announces.
 	Addr  string
 	Slots int
 	Conns int
-	// Work is how long a request takes.
+	// Work is the processing time of a request.
 	Work time.Duration
-	// Workers, if set, is how many requests the target really works on at a
-	// time; others wait inside it, and it does not notice when their callers
-	// have gone away.
+	// Workers, if set, limits the number of requests processed concurrently.
+	// Further requests queue inside the target, which does not notice when
+	// their callers disconnect.
 	Workers int
-	// Echo answers with the request's body instead of a short text.
+	// Echo makes the response body a copy of the request body instead of a
+	// short text.
 	Echo bool
 	// Crash is called for a request with HeaderCrash.
 	Crash func()
 }
 
-// Target is the stand-in; it is an http.Handler.
+// Target is a stand-in target; it implements http.Handler.
 type Target struct {
-	cfg      Config
-	ran      atomic.Int64
-	running  atomic.Int64
-	peak     atomic.Int64
-	draining atomic.Bool
-	shedding atomic.Bool
-	work     atomic.Int64
-	workers  chan struct{}
-	silent   atomic.Bool
-	mu       sync.Mutex
-	runs     map[string]int
+	cfg       Config
+	completed atomic.Int64
+	running   atomic.Int64
+	peak      atomic.Int64
+	draining  atomic.Bool
+	shedding  atomic.Bool
+	work      atomic.Int64
+	workers   chan struct{}
+	hanging   atomic.Bool
+	mu        sync.Mutex
+	runs      map[string]int
 }
 
 // New returns a target.
@@ -71,36 +72,36 @@
 	return t
 }
 
-// Drain makes the target announce that it leaves.
+// Drain makes the target announce that it is draining.
 func (t *Target) Drain() { t.draining.Store(true) }
 
-// Shed makes the target refuse its work with 503.
+// Shed makes the target reject requests with status 503.
 func (t *Target) Shed(on bool) { t.shedding.Store(on) }
 
-// Silence makes the target take requests and answer none.
-func (t *Target) Silence(on bool) { t.silent.Store(on) }
+// Hang makes the target accept requests without responding.
+func (t *Target) Hang(on bool) { t.hanging.Store(on) }
 
-// SetWork changes how long a request takes.
+// SetWork sets the processing time of a request.
 func (t *Target) SetWork(d time.Duration) { t.work.Store(int64(d)) }
 
-// Ran is how many requests were run to their end.
-func (t *Target) Ran() int64 { return t.ran.Load() }
+// Completed returns the number of requests that were processed to completion.
+func (t *Target) Completed() int64 { return t.completed.Load() }
 
-// Peak is the highest number of requests that ran at once.
-func (t *Target) Peak() int64 { return t.peak.Load() }
+// PeakConcurrency returns the highest number of requests in progress at a time.
+func (t *Target) PeakConcurrency() int64 { return t.peak.Load() }
 
-// Runs is how often requests with this value of the header Standin-Id began
-// to run.
+// Runs returns the number of requests with this value of the header Standin-Id
+// whose processing began.
 func (t *Target) Runs(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runs[id]
 }
 
-// HeaderID on a request names it for Runs.
+// HeaderID on a request is the id that Runs counts it by.
 const HeaderID = "Standin-Id"
 
-// maxRuns bounds the table behind Runs.
+// maxRuns bounds the number of ids that Runs counts.
 const maxRuns = 1 << 20
 
 // ServeHTTP implements http.Handler.
@@ -114,24 +115,25 @@
 	defer t.running.Add(-1)
 	for p := t.peak.Load(); n > p && !t.peak.CompareAndSwap(p, n); p = t.peak.Load() {
 	}
-	t.begin(r.Header.Get(HeaderID))
+	t.countRun(r.Header.Get(HeaderID))
 	if r.Header.Get(HeaderCrash) != "" && t.cfg.Crash != nil {
 		t.cfg.Crash()
 		panic(http.ErrAbortHandler)
 	}
 	length := int64(0)
 	if !t.cfg.Echo {
-		// Read to its end, or the server would not notice a cancellation.
+		// The server detects a cancellation only after the body was read to its
+		// end.
 		length, _ = io.Copy(io.Discard, r.Body)
 	}
-	if !t.spend(r) {
+	if !t.simulateWork(r) {
 		return
 	}
-	t.ran.Add(1)
-	t.answer(w, r, length)
+	t.completed.Add(1)
+	t.respond(w, r, length)
 }
 
-func (t *Target) begin(id string) {
+func (t *Target) countRun(id string) {
 	if id == "" {
 		return
 	}
@@ -142,15 +144,16 @@
 	}
 }
 
-// spend waits as long as the work takes, unless the caller goes away.
-func (t *Target) spend(r *http.Request) bool {
+// simulateWork waits for the request's processing time. It reports false if the
+// request was cancelled first, which it does not notice while Workers is set.
+func (t *Target) simulateWork(r *http.Request) bool {
 	d := time.Duration(t.work.Load())
 	if h := r.Header.Get(HeaderWork); h != "" {
 		if x, err := time.ParseDuration(h); err == nil {
 			d = x
 		}
 	}
-	if t.silent.Load() {
+	if t.hanging.Load() {
 		<-r.Context().Done()
 		return false
 	}
@@ -173,7 +176,7 @@
 	}
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, n int64) {
+func (t *Target) respond(w http.ResponseWriter, r *http.Request, n int64) {
 	w.Header().Set("Standin-Target", t.cfg.Addr)
 	if t.cfg.Echo {
 		w.Header().Set("Content-Type", "application/octet-stream")
@@ -197,7 +200,7 @@
 	_, _ = io.WriteString(w, t.cfg.Service+" "+r.Method+" "+r.URL.Path+" "+strconv.FormatInt(n, 10)+"\n") //nolint:gosec // plain text
 }
 
-// Announcement is what a target tells the node on its host.
+// Announcement is the body that a target posts to the node on its host.
 type Announcement struct {
 	Service     string `json:"service"`
 	Addr        string `json:"addr"`
@@ -206,10 +209,11 @@
 	State       string `json:"state"`
 }
 
-// announceEvery is the time between a target's announcements.
+// announceEvery is the interval of a target's announcements.
 const announceEvery = time.Second
 
-// Announce tells the node at url of the target until ctx ends.
+// Announce announces the target to the node at url periodically, until ctx
+// ends.
 func (t *Target) Announce(ctx context.Context, url string) {
 	tick := time.NewTicker(announceEvery)
 	defer tick.Stop()
@@ -223,7 +227,7 @@
 	}
 }
 
-// AnnounceOnce tells the node at url of the target.
+// AnnounceOnce announces the target to the node at url once.
 func (t *Target) AnnounceOnce(ctx context.Context, url string) error {
 	a := Announcement{t.cfg.Service, t.cfg.Addr, t.cfg.Slots, t.cfg.Conns, "up"}
 	if t.draining.Load() {
@@ -248,8 +252,8 @@
 	return nil
 }
 
-// Service is the service that the target belongs to.
+// Service returns the service that the target belongs to.
 func (t *Target) Service() string { return t.cfg.Service }
 
-// Running is how many requests run now.
+// Running returns the number of requests in progress.
 func (t *Target) Running() int64 { return t.running.Load() }
--- a/standin/wire/slow.go
+++ b/standin/wire/slow.go
@@ -10,114 +10,116 @@
 	"golang.org/x/time/rate"
 )
 
-// Path is the way between two places: a delay in each direction and, if Link
-// is set, a share of a link's capacity.
+// Path is a network path between two endpoints: a one-way delay, added in each
+// direction, and, if Link is set, a bandwidth limit shared with other paths.
 type Path struct {
 	Delay time.Duration
 	Link  *Link
 }
 
-// Link is a link of limited capacity that several connections share. It counts
-// the bytes that cross it.
+// Link is a bandwidth limit that several connections share. It counts the bytes
+// that cross it.
 type Link struct {
-	ways [2]*rate.Limiter
-	mu   sync.Mutex
-	sum  int64
-	cut  atomic.Bool
+	limiters [2]*rate.Limiter
+	mu       sync.Mutex
+	bytes    int64
+	cut      atomic.Bool
 }
 
-// Cut drops all that crosses the link from now on, or lets it pass again.
-// Nothing is reset: both sides only hear nothing any more.
+// Cut starts (on) or stops (off) discarding all data that crosses the link.
+// Connections are not reset: both sides only stop receiving data. A connection
+// that lost data stays dead after the link is restored.
 func (l *Link) Cut(on bool) { l.cut.Store(on) }
 
-// NewLink returns a link that carries so many bytes a second each way.
+// NewLink returns a link with a bandwidth of bytesPerSecond in each direction.
 func NewLink(bytesPerSecond int) *Link {
 	l := new(Link)
-	for i := range l.ways {
-		l.ways[i] = rate.NewLimiter(rate.Limit(bytesPerSecond), maxPiece)
+	for i := range l.limiters {
+		l.limiters[i] = rate.NewLimiter(rate.Limit(bytesPerSecond), maxChunkBytes)
 	}
 	return l
 }
 
-// Bytes is how many bytes have crossed the link, both ways added up.
+// Bytes returns the number of bytes that crossed the link in both directions.
 func (l *Link) Bytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.sum
+	return l.bytes
 }
 
-func (l *Link) pass(way, n int) {
+func (l *Link) transmit(direction, n int) {
 	l.mu.Lock()
-	l.sum += int64(n)
+	l.bytes += int64(n)
 	l.mu.Unlock()
-	_ = l.ways[way].WaitN(context.Background(), n)
+	_ = l.limiters[direction].WaitN(context.Background(), n)
 }
 
-// maxPiece bounds what is read at once.
-const maxPiece = 64 << 10
+// maxChunkBytes bounds the size of one read.
+const maxChunkBytes = 64 << 10
 
-// Slow makes a connection as slow as a path: what is written arrives later,
-// and what is read has been on its way for longer. It stands at the side that
-// dialed, for both directions.
-func Slow(c net.Conn, p Path) net.Conn {
-	near, far := net.Pipe()
-	go carry(c, near, p, 0)
-	go carry(near, c, p, 1)
-	return &slowConn{Conn: far, real: c}
+// Shape returns a connection that adds the delay and the bandwidth limit of a
+// path to c, to data written and to data read. It is applied by the side that
+// dialed and covers both directions.
+func Shape(c net.Conn, p Path) net.Conn {
+	local, remote := net.Pipe()
+	go forwardShaped(c, local, p, 0)
+	go forwardShaped(local, c, p, 1)
+	return &shapedConn{Conn: remote, underlying: c}
 }
 
-// slowConn is the near end of a slow connection.
-type slowConn struct {
+// shapedConn is the caller's end of a connection returned by Shape.
+type shapedConn struct {
 	net.Conn
-	real net.Conn
+	underlying net.Conn
 }
 
-// Close ends both sides.
-func (s *slowConn) Close() error {
+// Close closes the pipe and the underlying connection.
+func (s *shapedConn) Close() error {
 	_ = s.Conn.Close()
-	return s.real.Close() //nolint:wrapcheck // a test's connection
+	return s.underlying.Close() //nolint:wrapcheck // a test's connection
 }
 
-// LocalAddr is that of the real connection.
-func (s *slowConn) LocalAddr() net.Addr { return s.real.LocalAddr() }
+// LocalAddr returns that of the underlying connection.
+func (s *shapedConn) LocalAddr() net.Addr { return s.underlying.LocalAddr() }
 
-// RemoteAddr is that of the real connection.
-func (s *slowConn) RemoteAddr() net.Addr { return s.real.RemoteAddr() }
+// RemoteAddr returns that of the underlying connection.
+func (s *shapedConn) RemoteAddr() net.Addr { return s.underlying.RemoteAddr() }
 
-// carry passes bytes on, each piece after the path's delay.
-func carry(from, to net.Conn, p Path, way int) {
-	pieces := make(chan piece, maxPieces)
+// forwardShaped copies bytes from one connection to the other, each chunk after
+// the path's delay. direction is the index of the link's limiter.
+func forwardShaped(from, to net.Conn, p Path, direction int) {
+	chunks := make(chan chunk, maxQueuedChunks)
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
-			b := make([]byte, maxPiece)
+			b := make([]byte, maxChunkBytes)
 			n, err := from.Read(b)
 			if n > 0 {
-				pieces <- piece{b[:n:n], time.Now().Add(p.Delay)}
+				chunks <- chunk{b[:n:n], time.Now().Add(p.Delay)}
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	lost := false
-	for x := range pieces {
+	dropping := false
+	for c := range chunks {
 		if p.Link != nil && p.Link.cut.Load() {
-			lost = true // TCP would send it again; here the connection is dead
+			dropping = true // TCP would retransmit; this connection stays dead instead
 		}
-		if lost {
+		if dropping {
 			continue
 		}
 		if p.Link != nil {
-			p.Link.pass(way, len(x.b))
+			p.Link.transmit(direction, len(c.b))
 		}
-		time.Sleep(time.Until(x.at))
-		if _, err := to.Write(x.b); err != nil {
+		time.Sleep(time.Until(c.at))
+		if _, err := to.Write(c.b); err != nil {
 			break
 		}
 	}
 	_ = to.Close()
 	_ = from.Close()
-	for range pieces {
+	for range chunks {
 	}
 }
--- a/standin/wire/wire.go
+++ b/standin/wire/wire.go
@@ -1,9 +1,10 @@
-// Package wire is a small fault-injecting TCP proxy for tests: it stands
-// between two processes and delays, slows, cuts or silences what they say.
+// Package wire provides network faults for tests: a TCP proxy that injects
+// latency, bandwidth limits and connection failures between two processes, and
+// in-process connections with the latency and bandwidth of a network path.
 //
 //	p, _ := wire.New("127.0.0.1:0", "127.0.0.1:7400")
 //	p.Set(wire.Fault{Delay: 20 * time.Millisecond, Rate: 30e6 / 8})
-//	p.Cut() // resets open connections and refuses new ones
+//	p.Set(wire.Fault{Cut: true}) // closes open connections and refuses new ones
 package wire
 
 import (
@@ -32,53 +33,54 @@
 	Cut bool
 }
 
-// Proxy passes connections on to one address.
+// Proxy forwards TCP connections to one upstream address.
 type Proxy struct {
-	l     net.Listener
-	to    string
-	mu    sync.Mutex
-	fault Fault
-	conns map[*pair]struct{}
-	wg    sync.WaitGroup
-	bytes atomic.Int64
+	l            net.Listener
+	upstreamAddr string
+	mu           sync.Mutex
+	fault        Fault
+	conns        map[*proxiedConn]struct{}
+	wg           sync.WaitGroup
+	bytes        atomic.Int64
 }
 
-// pair is one proxied connection.
-type pair struct {
-	near, far net.Conn
-	silent    atomic.Bool
+// proxiedConn is one proxied connection.
+type proxiedConn struct {
+	client, upstream net.Conn
+	blackholed       atomic.Bool
 }
 
-func (p *pair) close() {
-	_ = p.near.Close()
-	_ = p.far.Close()
+func (p *proxiedConn) close() {
+	_ = p.client.Close()
+	_ = p.upstream.Close()
 }
 
-// New listens at addr and passes connections on to the address to.
-func New(addr, to string) (*Proxy, error) {
+// New listens at addr and forwards connections to upstreamAddr.
+func New(addr, upstreamAddr string) (*Proxy, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	p := &Proxy{l: l, to: to, conns: make(map[*pair]struct{})}
+	p := &Proxy{l: l, upstreamAddr: upstreamAddr, conns: make(map[*proxiedConn]struct{})}
 	p.wg.Go(p.accept)
 	return p, nil
 }
 
-// Addr is the address that the proxy listens at.
+// Addr returns the address that the proxy listens at.
 func (p *Proxy) Addr() string { return p.l.Addr().String() }
 
-// Bytes is how many bytes have passed, both directions added up.
+// Bytes returns the number of bytes forwarded in both directions.
 func (p *Proxy) Bytes() int64 { return p.bytes.Load() }
 
-// Set changes the fault from now on. Silent hits the connections open now.
+// Set replaces the injected faults. Blackhole applies only to the connections
+// that are open at the call.
 func (p *Proxy) Set(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
 	for c := range p.conns {
 		if f.Blackhole {
-			c.silent.Store(true)
+			c.blackholed.Store(true)
 		}
 		if f.Cut {
 			c.close()
@@ -87,7 +89,7 @@
 	p.fault.Blackhole = false
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and all connections, and waits for them to end.
 func (p *Proxy) Close() {
 	_ = p.l.Close()
 	p.Set(Fault{Cut: true})
@@ -96,38 +98,38 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.l.Accept()
+		client, err := p.l.Accept()
 		if err != nil {
 			return
 		}
-		p.wg.Go(func() { p.serve(near) })
+		p.wg.Go(func() { p.serve(client) })
 	}
 }
 
-func (p *Proxy) now() Fault {
+func (p *Proxy) currentFault() Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault
 }
 
-func (p *Proxy) serve(near net.Conn) {
-	f := p.now()
+func (p *Proxy) serve(client net.Conn) {
+	f := p.currentFault()
 	if f.Cut {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	far, err := net.DialTimeout("tcp", p.to, time.Second)
+	upstream, err := net.DialTimeout("tcp", p.upstreamAddr, time.Second)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	c := &pair{near: near, far: far}
+	c := &proxiedConn{client: client, upstream: upstream}
 	p.mu.Lock()
 	p.conns[c] = struct{}{}
 	p.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { p.pump(c, near, far) })
-	wg.Go(func() { p.pump(c, far, near) })
+	wg.Go(func() { p.forward(c, client, upstream) })
+	wg.Go(func() { p.forward(c, upstream, client) })
 	wg.Wait()
 	c.close()
 	p.mu.Lock()
@@ -135,46 +137,47 @@
 	p.mu.Unlock()
 }
 
-// piece is some bytes and when they may be passed on.
-type piece struct {
+// chunk is a number of bytes read from one side and the earliest time at which
+// they may be forwarded.
+type chunk struct {
 	b  []byte
 	at time.Time
 }
 
-// maxPieces bounds what is on its way in one direction.
-const maxPieces = 256
+// maxQueuedChunks bounds the chunks that are queued in one direction.
+const maxQueuedChunks = 256
 
-// pump passes bytes from one side to the other. Reading and writing are apart,
-// so that a delay does not bound the rate.
-func (p *Proxy) pump(c *pair, from, to net.Conn) {
-	way := make(chan piece, maxPieces)
+// forward copies bytes from one side to the other. Separate goroutines read
+// and write, so that the delay does not limit the throughput.
+func (p *Proxy) forward(c *proxiedConn, from, to net.Conn) {
+	chunks := make(chan chunk, maxQueuedChunks)
 	go func() {
-		defer close(way)
+		defer close(chunks)
 		for {
 			b := make([]byte, 16<<10)
 			n, err := from.Read(b)
 			if n > 0 {
-				way <- piece{b[:n], time.Now().Add(p.now().Delay)}
+				chunks <- chunk{b[:n], time.Now().Add(p.currentFault().Delay)}
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	for x := range way {
-		time.Sleep(time.Until(x.at))
-		if c.silent.Load() || (from == c.near && p.now().DropFromClient) {
+	for ch := range chunks {
+		time.Sleep(time.Until(ch.at))
+		if c.blackholed.Load() || (from == c.client && p.currentFault().DropFromClient) {
 			continue
 		}
-		if rate := p.now().Rate; rate > 0 {
-			time.Sleep(time.Duration(len(x.b)) * time.Second / time.Duration(rate))
+		if rate := p.currentFault().Rate; rate > 0 {
+			time.Sleep(time.Duration(len(ch.b)) * time.Second / time.Duration(rate))
 		}
-		p.bytes.Add(int64(len(x.b)))
-		if _, err := to.Write(x.b); err != nil {
+		p.bytes.Add(int64(len(ch.b)))
+		if _, err := to.Write(ch.b); err != nil {
 			c.close()
 		}
 	}
-	if !c.silent.Load() {
+	if !c.blackholed.Load() {
 		c.close()
 	}
 }
