--- a/briarrock/command/apply.go
+++ b/briarrock/command/apply.go
@@ -20,7 +20,7 @@
 	"briarrock.example/mesh/text"
 )
 
-// check compiles a text here, without asking any node.
+// check compiles a text locally, without connecting to a node.
 type check struct{ file string }
 
 func (c *check) flags(s *flaggy.Subcommand) {
@@ -39,21 +39,21 @@
 		return ExitInvalid
 	}
 	if err != nil {
-		e.complain("%v", err)
+		e.printError("%v", err)
 		return ExitInvalid
 	}
 	if e.json {
 		e.writeJSON(snap.Inventory)
 		return ExitDone
 	}
-	e.say("%s: %d services, %d routes, no mistakes", c.file, len(snap.Services), snap.Inventory.Routes)
+	e.printf("%s: %d services, %d routes, no mistakes", c.file, len(snap.Services), snap.Inventory.Routes)
 	return ExitDone
 }
 
 func (e *env) read(file string) ([]byte, bool) {
 	src, err := os.ReadFile(file) //nolint:gosec // the operator names the file
 	if err != nil {
-		e.complain("%v", err)
+		e.printError("%v", err)
 		return nil, false
 	}
 	return src, true
@@ -69,13 +69,17 @@
 	}
 }
 
-// baseLine begins the comment by which a text remembers the version that it
-// was read from, so that an edit is never put over somebody else's.
-const baseLine = "# briarrock base: "
+// basePrefix starts the first line of a text that was read from the mesh. The
+// line holds the version that was read (the base), so that an edit based on an
+// outdated version is detected as a conflict and does not overwrite a concurrent
+// edit.
+const basePrefix = "# briarrock base: "
 
-func baseOf(src []byte) (uint64, bool) {
+// parseBase returns the version in the base line of a text, and whether it has
+// such a line.
+func parseBase(src []byte) (uint64, bool) {
 	line, _, _ := bytes.Cut(src, []byte("\n"))
-	rest, ok := strings.CutPrefix(string(line), baseLine)
+	rest, ok := strings.CutPrefix(string(line), basePrefix)
 	if !ok {
 		return 0, false
 	}
@@ -83,8 +87,8 @@
 	return n, err == nil
 }
 
-func withoutBase(src []byte) []byte {
-	if _, ok := baseOf(src); !ok {
+func stripBase(src []byte) []byte {
+	if _, ok := parseBase(src); !ok {
 		return src
 	}
 	_, rest, _ := bytes.Cut(src, []byte("\n"))
@@ -92,10 +96,10 @@
 }
 
 func withBase(version uint64, src []byte) []byte {
-	return append([]byte(baseLine+strconv.FormatUint(version, 10)+"\n"), withoutBase(src)...)
+	return append([]byte(basePrefix+strconv.FormatUint(version, 10)+"\n"), stripBase(src)...)
 }
 
-// diff shows what a text would change.
+// diff shows what a text would change, by a dry run.
 type diff struct{ file string }
 
 func (c *diff) flags(s *flaggy.Subcommand) {
@@ -109,20 +113,20 @@
 	}
 	client, err := e.client()
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
-	res, err := client.Apply(ctx, api.Apply{Text: withoutBase(src), Head: true, Write: newWrite(), Dry: true})
+	res, err := client.Apply(ctx, api.Apply{Text: stripBase(src), Head: true, Write: newEditID(), Dry: true})
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
 	return e.showResult(c.file, res)
 }
 
-// apply makes a text the configuration.
+// apply commits a text as the newest version of the configuration.
 type apply struct {
 	file    string
 	note    string
-	write   string
+	editID  string
 	base    string
 	wait    bool
 	yes     bool
@@ -130,18 +134,18 @@
 	timeout time.Duration
 }
 
-// waitDefault is how long --wait waits.
-const waitDefault = 30 * time.Second
+// defaultWaitTimeout is the default of --timeout.
+const defaultWaitTimeout = 30 * time.Second
 
 func (c *apply) flags(s *flaggy.Subcommand) {
-	c.timeout = waitDefault
+	c.timeout = defaultWaitTimeout
 	s.AddPositionalValue(&c.file, "FILE", 1, true, "the text")
 	s.Bool(&c.wait, "w", "wait", "wait until it is in force on every node")
 	s.Duration(&c.timeout, "t", "timeout", "how long to wait with --wait")
 	s.Bool(&c.yes, "y", "yes", "don't ask before a route or service is taken away")
 	s.Bool(&c.dry, "d", "dry-run", "only show what would change")
 	s.String(&c.base, "b", "base", "version that the edit began from (default: the text's first line, or the version in force)")
-	s.String(&c.write, "", "write", "id of this edit, to ask again after \"undecided\"")
+	s.String(&c.editID, "", "write", "id of this edit, to retry it after \"undecided\"")
 	s.String(&c.note, "m", "note", "a line for the history")
 }
 
@@ -150,13 +154,13 @@
 	if !ok {
 		return ExitInvalid
 	}
-	a := api.Apply{Text: withoutBase(src), Write: orDefault(c.write, newWrite()), Note: c.note, Dry: c.dry}
+	a := api.Apply{Text: stripBase(src), Write: orDefault(c.editID, newEditID()), Note: c.note, Dry: c.dry}
 	if !c.setBase(e, &a, src) {
 		return ExitUsage
 	}
 	client, err := e.client()
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
 	if !c.yes && !c.dry {
 		if code, stop := c.confirm(ctx, e, client, a); stop {
@@ -165,18 +169,19 @@
 	}
 	res, err := client.Apply(ctx, a)
 	if err != nil {
-		// The request may have reached the node: only asking again can tell.
-		e.complain("%v", err)
-		e.complain("it is not known whether the edit went in. Run this again, at any node: briarrock apply %s --write %s", c.file, a.Write)
+		// The request may have reached the node; only a retry with the same id
+		// shows whether the edit was committed.
+		e.printError("%v", err)
+		e.printError("it is not known whether the edit went in. Run this again, at any node: briarrock apply %s --write %s", c.file, a.Write)
 		return ExitUndecided
 	}
 	code := e.showResult(c.file, res)
 	if code != ExitDone || c.dry {
 		return code
 	}
-	c.keepBase(e, src, res)
+	c.updateBase(e, src, res)
 	if c.wait && res.Version > 0 {
-		return e.await(ctx, client, res.Version, c.timeout)
+		return e.waitInForce(ctx, client, res.Version, c.timeout)
 	}
 	return code
 }
@@ -187,31 +192,33 @@
 		a.Base = n
 		return ok
 	}
-	n, ok := baseOf(src)
+	n, ok := parseBase(src)
 	a.Base, a.Head = n, !ok
 	return true
 }
 
-// confirm asks before an edit takes something away that may be in use, or goes
-// over a version that its text may not have begun from.
+// confirm prompts the operator before an edit that removes routes or services,
+// which may be in use, or whose text has no base, so that it may overwrite a
+// version that the operator has not seen. It returns true, and the exit code,
+// if the edit must not be applied.
 func (c *apply) confirm(ctx context.Context, e *env, client *api.Client, a api.Apply) (int, bool) {
 	a.Dry = true
-	plan, err := client.Apply(ctx, a)
+	dryRun, err := client.Apply(ctx, a)
 	if err != nil {
-		return e.failed(err), true
+		return e.reportFailure(err), true
 	}
-	blind := a.Head && plan.Base > 0
-	if plan.Outcome != api.Planned || (len(plan.Removed) == 0 && !blind) {
+	baseUnknown := a.Head && dryRun.Base > 0
+	if dryRun.Outcome != api.Planned || (len(dryRun.Removed) == 0 && !baseUnknown) {
 		return ExitDone, false
 	}
-	if blind {
-		e.complain("%s does not say which version it began from; on top of version %d it changes, on %d nodes:", c.file, plan.Base, plan.Nodes)
-		for _, x := range plan.Changes {
+	if baseUnknown {
+		e.printError("%s does not say which version it began from; on top of version %d it changes, on %d nodes:", c.file, dryRun.Base, dryRun.Nodes)
+		for _, x := range dryRun.Changes {
 			_, _ = fmt.Fprintln(e.Err, "  "+x)
 		}
 	} else {
-		e.complain("this takes away, on %d nodes:", plan.Nodes)
-		for _, r := range plan.Removed {
+		e.printError("this takes away, on %d nodes:", dryRun.Nodes)
+		for _, r := range dryRun.Removed {
 			_, _ = fmt.Fprintln(e.Err, "  - "+r)
 		}
 	}
@@ -220,29 +227,31 @@
 	if answer := strings.ToLower(strings.TrimSpace(line)); answer == "yes" || answer == "y" {
 		return ExitDone, false
 	}
-	e.complain("nothing changed")
+	e.printError("nothing changed")
 	return ExitRefused, true
 }
 
-// keepBase writes the new base into the first line of a text that has one, so
-// that the next edit of the same file begins from there.
-func (c *apply) keepBase(e *env, src []byte, res api.Result) {
-	if _, ok := baseOf(src); !ok || res.Version == 0 {
+// updateBase writes the accepted version into the base line of a text that has
+// one, so that the next edit of the same file is based on that version.
+func (c *apply) updateBase(e *env, src []byte, res api.Result) {
+	if _, ok := parseBase(src); !ok || res.Version == 0 {
 		return
 	}
 	if err := os.WriteFile(c.file, withBase(res.Version, src), 0o600); err != nil {
-		e.complain("the base in %s could not be renewed: %v", c.file, err)
+		e.printError("the base in %s could not be renewed: %v", c.file, err)
 	}
 }
 
-func newWrite() string {
+// newEditID returns a random id for an edit. A retry with the same id does not
+// create another version.
+func newEditID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
 func (e *env) showResult(file string, res api.Result) int {
-	code := exitOf(res.Outcome)
+	code := exitCode(res.Outcome)
 	if e.json {
 		e.writeJSON(res)
 		return code
@@ -252,28 +261,29 @@
 		return code
 	}
 	for _, c := range res.Changes {
-		e.say("%s", e.colourChange(c))
+		e.printf("%s", e.colourChange(c))
 	}
 	switch res.Outcome {
 	case api.Accepted:
-		e.say("version %d accepted (was %d), for %d nodes", res.Version, res.Base, res.Nodes)
+		e.printf("version %d accepted (was %d), for %d nodes", res.Version, res.Base, res.Nodes)
 	case api.Unchanged:
-		e.say("nothing to change: version %d says the same", res.Version)
+		e.printf("nothing to change: version %d says the same", res.Version)
 	case api.Planned:
-		e.say("%d changes to version %d, on %d nodes; nothing was applied", len(res.Changes), res.Base, res.Nodes)
+		e.printf("%d changes to version %d, on %d nodes; nothing was applied", len(res.Changes), res.Base, res.Nodes)
 	default:
-		e.complain("%s: %s", res.Outcome, res.Text)
-		e.showOther(res)
+		e.printError("%s: %s", res.Outcome, res.Text)
+		e.showConflict(res)
 	}
 	return code
 }
 
-func (e *env) showOther(res api.Result) {
+// showConflict prints the concurrent edit that an edit conflicts with, if any.
+func (e *env) showConflict(res api.Result) {
 	if res.Other == nil {
 		return
 	}
 	o := res.Other
-	e.complain("version %d by %s at %s (yours began from %d):", o.Version, o.Who, o.At.Format(time.RFC3339), res.Base)
+	e.printError("version %d by %s at %s (yours began from %d):", o.Version, o.Who, o.At.Format(time.RFC3339), res.Base)
 	for _, c := range o.Changes {
 		_, _ = fmt.Fprintln(e.Err, "  "+c)
 	}
@@ -282,15 +292,15 @@
 func (e *env) colourChange(c string) string {
 	switch {
 	case strings.HasPrefix(c, "+"):
-		return e.colour(green, c)
+		return e.colourize(green, c)
 	case strings.HasPrefix(c, "-"):
-		return e.colour(red, c)
+		return e.colourize(red, c)
 	default:
-		return e.colour(yellow, c)
+		return e.colourize(yellow, c)
 	}
 }
 
-// revert makes an old version's text the newest version.
+// revert commits an old version's text as the newest version.
 type revert struct {
 	version string
 	note    string
@@ -299,7 +309,7 @@
 }
 
 func (c *revert) flags(s *flaggy.Subcommand) {
-	c.timeout = waitDefault
+	c.timeout = defaultWaitTimeout
 	s.AddPositionalValue(&c.version, "VERSION", 1, true, "the version to go back to")
 	s.Bool(&c.wait, "w", "wait", "wait until it is in force on every node")
 	s.Duration(&c.timeout, "t", "timeout", "how long to wait with --wait")
@@ -309,32 +319,32 @@
 func (c *revert) run(ctx context.Context, e *env) int {
 	n, ok := e.version(c.version)
 	if ok && n == 0 {
-		e.complain("versions count from 1")
+		e.printError("versions count from 1")
 	}
 	if !ok || n == 0 {
 		return ExitUsage
 	}
 	client, err := e.client()
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
 	old, err := client.Text(ctx, n)
 	if err != nil {
-		e.complain("%v", err)
+		e.printError("%v", err)
 		return ExitInvalid
 	}
 	head, err := client.Text(ctx, 0)
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
 	note := orDefault(c.note, "revert to version "+c.version)
-	res, err := client.Apply(ctx, api.Apply{Text: old.Text, Base: head.Version, Write: newWrite(), Note: note})
+	res, err := client.Apply(ctx, api.Apply{Text: old.Text, Base: head.Version, Write: newEditID(), Note: note})
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
 	code := e.showResult("version "+c.version, res)
 	if code == ExitDone && c.wait && res.Version > 0 {
-		return e.await(ctx, client, res.Version, c.timeout)
+		return e.waitInForce(ctx, client, res.Version, c.timeout)
 	}
 	return code
 }
--- a/briarrock/command/command.go
+++ b/briarrock/command/command.go
@@ -1,10 +1,10 @@
-// Package command is the operator's command line without its process: it
-// parses arguments, asks a node and writes the answer.
+// Package command implements the operator's command line: it parses arguments,
+// sends a request to a node and prints the response.
 //
 //	code := command.Run([]string{"status", "--json"}, command.IO{In: in, Out: out, Err: errs})
 //
-// Each command is one type with its flags and a run method; commands.go lists
-// them.
+// Each command is a type that holds its flags and has a run method; commands.go
+// lists the commands.
 package command
 
 import (
@@ -24,14 +24,14 @@
 	api "briarrock.example/mesh/operator"
 )
 
-// IO is where a command reads and writes.
+// IO holds a command's input and output streams.
 type IO struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// Environment variables that stand in for flags.
+// Environment variables that give the defaults of flags.
 const (
 	envNode  = "BRIARROCK_NODE"
 	envToken = "BRIARROCK_TOKEN"
@@ -40,14 +40,15 @@
 // defaultNode is the operator address of the demo's first node.
 const defaultNode = "http://127.0.0.1:7104"
 
-// command is one of the program's commands.
+// command is a subcommand of the program.
 type command interface {
 	// flags adds the command's own flags and arguments.
 	flags(s *flaggy.Subcommand)
+	// run executes the command and returns the exit code.
 	run(ctx context.Context, e *env) int
 }
 
-// env is what every command has at hand.
+// env holds the streams and the global flags that all commands use.
 type env struct {
 	IO
 	node  string
@@ -58,7 +59,7 @@
 	json  bool
 }
 
-// Run runs one command and returns the exit code.
+// Run parses the arguments, runs one command and returns the exit code.
 func Run(args []string, streams IO) int {
 	e := &env{IO: streams, node: orDefault(os.Getenv(envNode), defaultNode), token: os.Getenv(envToken)}
 	p := flaggy.NewParser("briarrock")
@@ -69,7 +70,7 @@
 	p.String(&e.token, "", "token", "operator's token ("+envToken+")")
 	p.String(&e.cert, "", "cert", "operator's certificate, PEM")
 	p.String(&e.key, "", "key", "its key, PEM")
-	p.String(&e.ca, "", "ca", "the authority of the nodes' certificates, PEM")
+	p.String(&e.ca, "", "ca", "CA certificate of the nodes, PEM")
 	p.Bool(&e.json, "j", "json", "write the answer as JSON")
 	all := commands()
 	subs := make([]*flaggy.Subcommand, 0, len(all))
@@ -81,7 +82,7 @@
 		subs = append(subs, s)
 	}
 	if err := p.ParseArgs(args); err != nil {
-		e.complain("%v", err)
+		e.printError("%v", err)
 		return ExitUsage
 	}
 	for i, s := range subs {
@@ -100,26 +101,28 @@
 	return s
 }
 
-func (e *env) complain(format string, args ...any) {
+// printError prints a line to the error stream.
+func (e *env) printError(format string, args ...any) {
 	_, _ = fmt.Fprintf(e.Err, "briarrock: "+format+"\n", args...)
 }
 
-func (e *env) say(format string, args ...any) {
+// printf prints a line to the output.
+func (e *env) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(e.Out, format+"\n", args...)
 }
 
-// answerTimeout bounds one question to a node.
-const answerTimeout = 20 * time.Second
+// requestTimeout bounds one request to a node.
+const requestTimeout = 20 * time.Second
 
-// client connects to the node that the flags name.
+// client returns a client of the operator API of the node that the flags name.
 func (e *env) client() (*api.Client, error) {
-	c := &http.Client{Timeout: answerTimeout}
+	c := &http.Client{Timeout: requestTimeout}
 	if e.cert != "" {
 		k, err := keys.Load(keys.Files{Cert: e.cert, Key: e.key, CA: e.ca})
 		if err != nil {
 			return nil, err
 		}
-		c.Transport = &http.Transport{TLSClientConfig: k.ClientConfig(), TLSHandshakeTimeout: answerTimeout}
+		c.Transport = &http.Transport{TLSClientConfig: k.ClientConfig(), TLSHandshakeTimeout: requestTimeout}
 	}
 	node := e.node
 	if !strings.Contains(node, "://") {
@@ -128,22 +131,23 @@
 	return api.New(c, strings.TrimSuffix(node, "/"), e.token), nil
 }
 
-// version reads a version that an argument names; an empty one is 0.
+// version parses a version argument; an empty argument is version 0.
 func (e *env) version(s string) (uint64, bool) {
 	if s == "" {
 		return 0, true
 	}
 	n, err := strconv.ParseUint(s, 10, 64)
 	if err != nil {
-		e.complain("%q is not a version", s)
+		e.printError("%q is not a version", s)
 	}
 	return n, err == nil
 }
 
-// failed explains why a node gave no answer.
-func (e *env) failed(err error) int {
-	e.complain("%v", err)
-	e.complain("is %s the operator address of a node that runs? --node takes any other one", e.node)
+// reportFailure prints the error of a request to a node, with a hint about
+// --node, and returns the exit code.
+func (e *env) reportFailure(err error) int {
+	e.printError("%v", err)
+	e.printError("is %s the operator address of a node that runs? --node takes any other one", e.node)
 	return ExitRefused
 }
 
@@ -153,15 +157,16 @@
 	_ = enc.Encode(v)
 }
 
-// Colours, for terminals only.
+// ANSI codes of colours.
 const (
 	red    = "31"
 	green  = "32"
 	yellow = "33"
 )
 
-// colour marks text if the output is a terminal.
-func (e *env) colour(code, s string) string {
+// colourize adds a colour to text if the output is a terminal and NO_COLOR is
+// unset.
+func (e *env) colourize(code, s string) string {
 	f, ok := e.Out.(*os.File)
 	if !ok || os.Getenv("NO_COLOR") != "" {
 		return s
--- a/briarrock/command/commands.go
+++ b/briarrock/command/commands.go
@@ -1,13 +1,13 @@
 package command
 
-// entry is a command with its name and its line of help.
+// entry is a command with its name and its one-line help.
 type entry struct {
 	name    string
 	help    string
 	command command
 }
 
-// commands lists the program's commands in the order of their help.
+// commands returns the program's commands in the order in which help lists them.
 func commands() []entry {
 	return []entry{
 		{"check", "look for mistakes in a text, without any node", &check{}},
@@ -17,7 +17,7 @@
 		{"status", "show which version is in force where", &status{}},
 		{"history", "show who changed what, and how fast it was in force", &history{}},
 		{"revert", "make an old version's text the newest version", &revert{}},
-		{"explain", "show which way a request would take, and why", &explain{}},
+		{"explain", "show how a request would be routed, and why", &explain{}},
 		{"demo", "run a whole mesh in this process and show the main job", &runDemo{}},
 	}
 }
--- a/briarrock/command/show.go
+++ b/briarrock/command/show.go
@@ -13,7 +13,7 @@
 	api "briarrock.example/mesh/operator"
 )
 
-// show writes a version's text.
+// show prints a version's text with its base line.
 type show struct {
 	version string
 	out     string
@@ -31,15 +31,15 @@
 	}
 	client, err := e.client()
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
 	v, err := client.Text(ctx, n)
 	if err != nil {
-		e.complain("%v", err)
+		e.printError("%v", err)
 		return ExitRefused
 	}
 	if v.Version == 0 {
-		e.complain("there is no version yet; \"briarrock apply FILE\" makes the first one")
+		e.printError("there is no version yet; \"briarrock apply FILE\" makes the first one")
 		return ExitInvalid
 	}
 	b := withBase(v.Version, v.Text)
@@ -48,38 +48,38 @@
 		return ExitDone
 	}
 	if err := os.WriteFile(c.out, b, 0o600); err != nil {
-		e.complain("%v", err)
+		e.printError("%v", err)
 		return ExitRefused
 	}
 	return ExitDone
 }
 
-// status shows which version is in force where.
+// status shows which version each failure domain serves.
 type status struct{ watch bool }
 
 func (c *status) flags(s *flaggy.Subcommand) {
 	s.Bool(&c.watch, "w", "watch", "go on showing it each second")
 }
 
-// watchEvery is how often status --watch asks.
-const watchEvery = time.Second
+// watchInterval is the refresh interval of status --watch.
+const watchInterval = time.Second
 
 func (c *status) run(ctx context.Context, e *env) int {
 	client, err := e.client()
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
 	for {
 		s, err := client.Status(ctx)
 		if err != nil {
-			return e.failed(err)
+			return e.reportFailure(err)
 		}
 		e.showStatus(s)
 		if !c.watch {
 			return ExitDone
 		}
-		time.Sleep(watchEvery)
-		e.say("")
+		time.Sleep(watchInterval)
+		e.printf("")
 	}
 }
 
@@ -88,31 +88,31 @@
 		e.writeJSON(s)
 		return
 	}
-	in, done, all := s.InForce(s.Version)
-	word := e.colour(green, "in force everywhere")
-	if !in {
-		word = e.colour(yellow, "not in force everywhere")
+	inForce, nodesInForce, nodes := s.InForce(s.Version)
+	state := e.colourize(green, "in force everywhere")
+	if !inForce {
+		state = e.colourize(yellow, "not in force everywhere")
 	}
-	e.say("version %d (%s): %s, on %d of %d nodes", s.Version, short(s.Hash), word, done, all)
+	e.printf("version %d (%s): %s, on %d of %d nodes", s.Version, short(s.Hash), state, nodesInForce, nodes)
 	for _, d := range s.Domains {
 		e.showDomain(d)
 	}
 	for _, h := range s.Held {
-		e.say("held back: request %s to %s, which crashed %d targets", h.Print, h.Service, h.Crashes)
+		e.printf("held back: request %s to %s, which crashed %d targets", h.Print, h.Service, h.Crashes)
 	}
 	if !s.Whole {
-		e.say("this node can't reach the first node of its domain: what it shows is only what it knows itself")
+		e.printf("this node can't reach the first node of its domain: the status covers only the data of this node")
 	}
 	switch {
 	case s.Store < 0:
-		e.say("store: no node has been able to read it yet")
-	case s.Store > storeLate.Milliseconds():
-		e.say("store: not read for %v; edits are refused while it is down", time.Duration(s.Store)*time.Millisecond)
+		e.printf("store: no node has been able to read it yet")
+	case s.Store > storeStaleAfter.Milliseconds():
+		e.printf("store: not read for %v; edits are refused while it is down", time.Duration(s.Store)*time.Millisecond)
 	}
 }
 
-// storeLate is the age of the last read from which on it is worth a line.
-const storeLate = 15 * time.Second
+// storeStaleAfter is the age of the last store read above which status reports it.
+const storeStaleAfter = 15 * time.Second
 
 func short(hash string) string { return hash[:min(len(hash), 8)] }
 
@@ -128,38 +128,39 @@
 	if d.Silent > 0 {
 		line += fmt.Sprintf("; not heard of for %v", (time.Duration(d.Silent) * time.Millisecond).Round(time.Second))
 	}
-	e.say("%s", line)
+	e.printf("%s", line)
 }
 
-// await follows a version until it is in force everywhere.
-func (e *env) await(ctx context.Context, client *api.Client, version uint64, timeout time.Duration) int {
-	began := time.Now()
-	last := ""
+// waitInForce prints the progress of a version until all nodes serve it or the
+// timeout ends.
+func (e *env) waitInForce(ctx context.Context, client *api.Client, version uint64, timeout time.Duration) int {
+	start := time.Now()
+	lastLine := ""
 	for {
 		s, err := client.Status(ctx)
 		if err == nil {
-			in, done, all := s.InForce(version)
-			if line := fmt.Sprintf("version %d on %d of %d nodes", version, done, all); line != last && !e.json {
-				e.say("%s", line)
-				last = line
+			inForce, nodesInForce, nodes := s.InForce(version)
+			if line := fmt.Sprintf("version %d on %d of %d nodes", version, nodesInForce, nodes); line != lastLine && !e.json {
+				e.printf("%s", line)
+				lastLine = line
 			}
-			if in {
+			if inForce {
 				if !e.json {
-					e.say("in force everywhere after %v", time.Since(began).Round(time.Millisecond))
+					e.printf("in force everywhere after %v", time.Since(start).Round(time.Millisecond))
 				}
 				return ExitDone
 			}
 		}
-		if time.Since(began) > timeout {
-			e.complain("version %d is accepted and stays, but was not in force everywhere within %v; \"briarrock status\" shows where", version, timeout)
-			return ExitWaited
+		if time.Since(start) > timeout {
+			e.printError("version %d is accepted and stays, but was not in force everywhere within %v; \"briarrock status\" shows where", version, timeout)
+			return ExitWaitTimeout
 		}
-		time.Sleep(awaitEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// awaitEvery is how often --wait asks.
-const awaitEvery = 50 * time.Millisecond
+// pollInterval is the interval at which --wait requests the status.
+const pollInterval = 50 * time.Millisecond
 
 // history shows the audit trail.
 type history struct {
@@ -182,11 +183,11 @@
 	}
 	client, err := e.client()
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
 	h, err := client.History(ctx, before, c.limit)
 	if err != nil {
-		e.complain("%v", err)
+		e.printError("%v", err)
 		return ExitRefused
 	}
 	if e.json {
@@ -206,20 +207,20 @@
 		if x.Note != "" {
 			line += "  \"" + x.Note + "\""
 		}
-		e.say("%s", line)
+		e.printf("%s", line)
 		for _, c := range x.Changes {
-			e.say("  %s", e.colourChange(c))
+			e.printf("  %s", e.colourChange(c))
 		}
 	}
 	for _, a := range h.Attempts {
-		e.say("not accepted  %s  by %s from %s  %s: %s", a.At.Format(time.RFC3339), a.Who, a.From, a.Outcome, a.Text)
+		e.printf("not accepted  %s  by %s from %s  %s: %s", a.At.Format(time.RFC3339), a.Who, a.From, a.Outcome, a.Text)
 	}
 	if h.Next > 0 {
-		e.say("older ones: briarrock history --before %d", h.Next)
+		e.printf("older ones: briarrock history --before %d", h.Next)
 	}
 }
 
-// explain shows which way a request would take.
+// explain shows how a request would be routed.
 type explain struct {
 	method string
 	url    string
@@ -235,11 +236,11 @@
 func (c *explain) run(ctx context.Context, e *env) int {
 	client, err := e.client()
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
 	x, err := client.Explain(ctx, c.method, c.url, c.caller)
 	if err != nil {
-		return e.failed(err)
+		return e.reportFailure(err)
 	}
 	if e.json {
 		e.writeJSON(x)
@@ -254,19 +255,19 @@
 
 func (e *env) showExplain(x api.Explain) {
 	if x.Service != "" {
-		e.say("service %s (version %d): %d slots a target, %d queued", x.Service, x.Version, x.Slots, x.Queue)
+		e.printf("service %s (version %d): %d slots a target, %d queued", x.Service, x.Version, x.Slots, x.Queue)
 	}
 	if x.Route != "" {
-		e.say("route %s: %s, deadline %s, %d retries, priority %s", x.Route, x.Mode, x.Deadline, x.Retries, x.Priority)
+		e.printf("route %s: %s, deadline %s, %d retries, priority %s", x.Route, x.Mode, x.Deadline, x.Retries, x.Priority)
 	}
 	if len(x.Callers) > 0 {
-		e.say("callers: %s", strings.Join(x.Callers, ", "))
+		e.printf("callers: %s", strings.Join(x.Callers, ", "))
 	}
 	for _, u := range x.Upstreams {
-		e.say("  %s in %s, %s: %d slots", u.Host, u.Domain, u.Region, u.Slots)
+		e.printf("  %s in %s, %s: %d slots", u.Host, u.Domain, u.Region, u.Slots)
 	}
 	if x.Kind != "" {
-		e.say("it would be refused: %s (%s)", x.Kind, x.Text)
+		e.printf("it would be refused: %s (%s)", x.Kind, x.Text)
 	}
 }
 
@@ -280,7 +281,7 @@
 
 func (c *runDemo) run(ctx context.Context, e *env) int {
 	if err := demo.Run(ctx, demo.Options{Example: c.example}, e.Out); err != nil {
-		e.complain("demo: %v", err)
+		e.printError("demo: %v", err)
 		return ExitRefused
 	}
 	return ExitDone
--- a/briarrock/main.go
+++ b/briarrock/main.go
@@ -1,5 +1,5 @@
-// Command briarrock is the operator's command line. It speaks to any one node
-// and needs nothing else:
+// Command briarrock is the operator's command line. It needs a connection to only
+// one node, which may be any node of the mesh:
 //
 //	briarrock check mesh.yaml
 //	briarrock apply mesh.yaml --wait
