--- a/bench/calls.go
+++ b/bench/calls.go
@@ -45,7 +45,7 @@
 // nodes without a target beside them as entries.
 func callMesh(http1 bool, work time.Duration, perDomain int) (*local.Mesh, error) {
 	m, err := local.Start(local.Spec{
-		Places: fourDomains, PerDomain: perDomain, Services: []string{callService, "spare"}, HTTP1: http1,
+		Locations: fourDomains, NodesPerDomain: perDomain, Services: []string{callService, "spare"}, HTTP1: http1,
 		StoreRegion: fourDomains[0].Region,
 		Target:      target.Config{Slots: callSlots, Conns: 120, Work: work},
 	})
@@ -57,17 +57,17 @@
 
 // ready puts a text in force and waits until the targets are known.
 func ready(m *local.Mesh, text []byte) error {
-	if err := m.Joined(joinWithin); err != nil {
+	if err := m.WaitJoined(joinWithin); err != nil {
 		return errors.Wrap(err, "join")
 	}
 	res, err := m.Operator(0).Apply(context.Background(), api.Apply{Text: text, Write: "bench-calls"})
 	if err != nil || res.Outcome != api.Accepted {
 		return errors.Errorf("apply: %v %v", res, err)
 	}
-	if err := m.InForce(1, forceWithin); err != nil {
+	if err := m.WaitInForce(1, forceWithin); err != nil {
 		return errors.Wrap(err, "in force")
 	}
-	return errors.Wrap(local.Until(joinWithin, func() bool {
+	return errors.Wrap(local.WaitUntil(joinWithin, func() bool {
 		for _, n := range m.Nodes {
 			if n.LiveTargets(callService) < len(m.Nodes)/len(m.Spec.Services) {
 				return false
--- a/bench/converge.go
+++ b/bench/converge.go
@@ -30,7 +30,7 @@
 	paidRate  = 30e6 / 8 // bytes a second, each way
 )
 
-var fourDomains = []local.Place{
+var fourDomains = []local.Location{
 	{Domain: "northgate", Region: "north-line"},
 	{Domain: "millbank", Region: "north-line"},
 	{Domain: "riverside", Region: "south-line"},
@@ -202,14 +202,14 @@
 		return out, err
 	}
 	defer end()
-	if err := m.Joined(joinWithin); err != nil {
+	if err := m.WaitJoined(joinWithin); err != nil {
 		return out, errors.Wrap(err, "join")
 	}
 	out.join = time.Since(began)
 	if err := applyTo(m, 0); err != nil {
 		return out, err
 	}
-	if err := m.InForce(1, forceWithin); err != nil {
+	if err := m.WaitInForce(1, forceWithin); err != nil {
 		return out, errors.Wrap(err, "first version")
 	}
 	settle()
@@ -221,8 +221,8 @@
 // farMesh starts a mesh with the distances of the brief.
 func farMesh(nodes int, link *wire.Link, u *uses) (*local.Mesh, func(), error) {
 	spec := local.Spec{
-		Places: fourDomains, PerDomain: nodes / len(fourDomains), StoreRegion: fourDomains[0].Region,
-		Near: wire.Path{Delay: nearDelay}, Paid: wire.Path{Delay: paidDelay, Link: link}, Used: u.note,
+		Locations: fourDomains, NodesPerDomain: nodes / len(fourDomains), StoreRegion: fourDomains[0].Region,
+		BetweenDomains: wire.Path{Delay: nearDelay}, BetweenRegions: wire.Path{Delay: paidDelay, Link: link}, OnVersion: u.note,
 	}
 	dir, err := os.MkdirTemp("", "bench")
 	if err != nil {
@@ -285,7 +285,7 @@
 			return err
 		}
 		version := uint64(i + 2)
-		if err := m.InForce(version, forceWithin); err != nil {
+		if err := m.WaitInForce(version, forceWithin); err != nil {
 			return errors.Wrapf(err, "version %d", version)
 		}
 		all = append(all, u.since(version, accepted)...)
--- a/bench/load.go
+++ b/bench/load.go
@@ -26,7 +26,7 @@
 
 func loadMesh(announced int) (*local.Mesh, error) {
 	m, err := local.Start(local.Spec{
-		Places: fourDomains, PerDomain: 1, Services: []string{callService}, StoreRegion: fourDomains[0].Region,
+		Locations: fourDomains, NodesPerDomain: 1, Services: []string{callService}, StoreRegion: fourDomains[0].Region,
 		Target: target.Config{Slots: announced, Conns: 120, Work: callWork, Workers: loadSlots},
 	})
 	if err != nil {
@@ -221,7 +221,7 @@
 	began := time.Now()
 	client := callers()
 	streak := 0
-	err = local.Until(loadTimeout, func() bool {
+	err = local.WaitUntil(loadTimeout, func() bool {
 		x := newTally()
 		x.one(client, entries(m)[streak%len(m.Nodes)])
 		if x.good.Load() == 0 {
--- a/bench/storm.go
+++ b/bench/storm.go
@@ -34,13 +34,13 @@
 		return nil, err
 	}
 	defer end()
-	if err := m.Joined(joinWithin); err != nil {
+	if err := m.WaitJoined(joinWithin); err != nil {
 		return nil, errors.Wrap(err, "join")
 	}
 	if err := applyTo(m, 0); err != nil {
 		return nil, err
 	}
-	if err := m.InForce(1, forceWithin); err != nil {
+	if err := m.WaitInForce(1, forceWithin); err != nil {
 		return nil, errors.Wrap(err, "first version")
 	}
 	settle()
@@ -56,7 +56,7 @@
 		accepted = append(accepted, at)
 		time.Sleep(time.Until(next))
 	}
-	if err := m.InForce(stormChanges+1, forceWithin); err != nil {
+	if err := m.WaitInForce(stormChanges+1, forceWithin); err != nil {
 		return nil, errors.Wrap(err, "storm")
 	}
 	for i, at := range accepted {
@@ -75,7 +75,7 @@
 	healed := time.Now()
 	link.Cut(false)
 	version := uint64(stormChanges + 2)
-	if err := m.InForce(version, forceWithin); err != nil {
+	if err := m.WaitInForce(version, forceWithin); err != nil {
 		return nil, errors.Wrap(err, "healing")
 	}
 	var late []time.Duration
--- a/bench/util.go
+++ b/bench/util.go
@@ -82,6 +82,6 @@
 	}
 	accepted := time.Now()
 	version := uint64(edit + 1)
-	err = local.Until(forceWithin, func() bool { return len(u.since(version, accepted)) >= nodes })
+	err = local.WaitUntil(forceWithin, func() bool { return len(u.since(version, accepted)) >= nodes })
 	return u.since(version, accepted), err
 }
--- a/briarrock/demo/demo.go
+++ b/briarrock/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo shows briarrock's main job on one machine: a mesh of sixteen
-// nodes in four failure domains, one text, one edit, calls before, during and
-// after it, and a target that drains.
+// Package demo demonstrates the main functions of briarrock on one machine: it
+// runs a mesh of sixteen nodes in four failure domains, applies a text and an edit
+// of it, sends calls before, during and after the edit, and drains a target.
 //
 //	err := demo.Run(ctx, demo.Options{Example: "quaywell"}, os.Stdout)
 package demo
@@ -27,30 +27,32 @@
 	standintarget "briarrock.example/standin/target"
 )
 
-// Options choose what the demo shows.
+// Options configure the demo.
 type Options struct {
-	// Example is the folder of the text to run.
+	// Example is the name of the example, a folder in package examples.
 	Example string
 }
 
-// Times of the demo.
 const (
 	joinTimeout  = 15 * time.Second
 	applyTimeout = 10 * time.Second
 	callTimeout  = 5 * time.Second
 	drainTimeout = 5 * time.Second
-	work         = 2 * time.Millisecond
-	callers      = 8
+	// targetWork is the processing time of a request at a target.
+	targetWork = 2 * time.Millisecond
+	// workers is the number of concurrent calls.
+	workers = 8
 )
 
-// places is the file places.yaml of an example.
-type places struct {
-	Store   string        `yaml:"store"`
-	Domains []local.Place `yaml:"domains"`
+// exampleLocations is the content of the file places.yaml of an example: its
+// failure domains and the region of the store.
+type exampleLocations struct {
+	Store   string           `yaml:"store"`
+	Domains []local.Location `yaml:"domains"`
 }
 
-// UnmarshalYAML gives local.Place its names in the file.
-func (p *places) UnmarshalYAML(n *yaml.Node) error {
+// UnmarshalYAML maps the field names of the file to those of local.Location.
+func (l *exampleLocations) UnmarshalYAML(n *yaml.Node) error {
 	var raw struct {
 		Store   string `yaml:"store"`
 		Domains []struct {
@@ -61,14 +63,14 @@
 	if err := n.Decode(&raw); err != nil {
 		return errors.WithStack(err)
 	}
-	p.Store = raw.Store
+	l.Store = raw.Store
 	for _, d := range raw.Domains {
-		p.Domains = append(p.Domains, local.Place{Domain: d.Name, Region: d.Region})
+		l.Domains = append(l.Domains, local.Location{Domain: d.Name, Region: d.Region})
 	}
 	return nil
 }
 
-// Run shows the main job and writes a short report.
+// Run runs the demo and writes a short report to w.
 func Run(ctx context.Context, o Options, w io.Writer) error {
 	d := &demo{w: w}
 	if err := d.start(o.Example); err != nil {
@@ -88,10 +90,10 @@
 	src  []byte
 	snap *snapshot.Snapshot
 	mesh *local.Mesh
-	load *load
+	load *loadGenerator
 }
 
-func (d *demo) say(format string, args ...any) { _, _ = fmt.Fprintf(d.w, format+"\n", args...) }
+func (d *demo) printf(format string, args ...any) { _, _ = fmt.Fprintf(d.w, format+"\n", args...) }
 
 func (d *demo) start(example string) error {
 	src, err := fs.ReadFile(examples.Files, example+"/mesh.yaml")
@@ -106,31 +108,31 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	var p places
-	if err := yaml.Unmarshal(b, &p); err != nil {
+	var locations exampleLocations
+	if err := yaml.Unmarshal(b, &locations); err != nil {
 		return errors.WithStack(err)
 	}
 	spec := local.Spec{
-		Places: p.Domains, PerDomain: len(d.snap.Services), StoreRegion: p.Store,
-		Target: standintarget.Config{Slots: d.snap.Services[0].Slots, Conns: d.snap.Services[0].Conns, Work: work},
+		Locations: locations.Domains, NodesPerDomain: len(d.snap.Services), StoreRegion: locations.Store,
+		Target: standintarget.Config{Slots: d.snap.Services[0].Slots, Conns: d.snap.Services[0].Conns, Work: targetWork},
 	}
 	for _, s := range d.snap.Services {
 		spec.Services = append(spec.Services, s.Name)
 	}
-	began := time.Now()
+	started := time.Now()
 	if d.mesh, err = local.Start(spec); err != nil {
 		return err
 	}
-	if err := d.mesh.Joined(joinTimeout); err != nil {
-		return errors.Wrap(err, "nodes did not find each other")
+	if err := d.mesh.WaitJoined(joinTimeout); err != nil {
+		return errors.Wrap(err, "waiting for the nodes to join")
 	}
-	d.say("%s: %d nodes in %d failure domains found each other in %v",
-		d.snap.Mesh, len(d.mesh.Nodes), len(p.Domains), time.Since(began).Round(time.Millisecond))
+	d.printf("%s: %d nodes in %d failure domains found each other in %v",
+		d.snap.Mesh, len(d.mesh.Nodes), len(locations.Domains), time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
 func (d *demo) apply(ctx context.Context, src []byte, base uint64, write string) (api.Result, error) {
-	began := time.Now()
+	started := time.Now()
 	res, err := d.mesh.Operator(0).Apply(ctx, api.Apply{Text: src, Base: base, Write: write, Note: "demo"})
 	if err != nil {
 		return res, errors.WithStack(err)
@@ -139,11 +141,11 @@
 		return res, errors.Errorf("apply: %s: %s", res.Outcome, res.Text)
 	}
 	accepted := time.Now()
-	if err := d.mesh.InForce(res.Version, applyTimeout); err != nil {
-		return res, errors.Wrapf(err, "version %d in force", res.Version)
+	if err := d.mesh.WaitInForce(res.Version, applyTimeout); err != nil {
+		return res, errors.Wrapf(err, "waiting for version %d to be in force", res.Version)
 	}
-	d.say("version %d: accepted in %v, in force on all %d nodes %v later", res.Version,
-		accepted.Sub(began).Round(time.Millisecond), len(d.mesh.Nodes), time.Since(accepted).Round(time.Millisecond))
+	d.printf("version %d: accepted in %v, in force on all %d nodes %v later", res.Version,
+		accepted.Sub(started).Round(time.Millisecond), len(d.mesh.Nodes), time.Since(accepted).Round(time.Millisecond))
 	return res, nil
 }
 
@@ -152,8 +154,9 @@
 	return err
 }
 
-// route is a route of the text that anybody may read from.
-func (d *demo) route() (string, string) {
+// openRoute returns the service and the path of the first repeatable GET route of
+// the text that is open to all callers.
+func (d *demo) openRoute() (string, string) {
 	for _, s := range d.snap.Services {
 		for _, r := range s.Routes {
 			if len(r.Callers) == 0 && r.Mode == snapshot.Repeatable && r.Methods[0] == http.MethodGet {
@@ -164,24 +167,27 @@
 	return "", ""
 }
 
+// call waits until all nodes see a target in each domain and starts the load
+// generator.
 func (d *demo) call(ctx context.Context) error {
-	service, path := d.route()
-	if err := local.Until(joinTimeout, func() bool {
+	service, path := d.openRoute()
+	if err := local.WaitUntil(joinTimeout, func() bool {
 		for _, n := range d.mesh.Nodes {
-			if n.LiveTargets(service) < len(d.mesh.Spec.Places) {
+			if n.LiveTargets(service) < len(d.mesh.Spec.Locations) {
 				return false
 			}
 		}
 		return true
 	}); err != nil {
-		return errors.Wrap(err, "targets are known everywhere")
+		return errors.Wrap(err, "waiting for all nodes to see the targets")
 	}
 	d.load = newLoad(d.mesh, service, path)
 	d.load.start(ctx)
-	return errors.Wrap(local.Until(callTimeout, func() bool { return d.load.good.Load() >= callers }), "calls are answered")
+	return errors.Wrap(local.WaitUntil(callTimeout, func() bool { return d.load.succeeded.Load() >= workers }), "waiting for successful calls")
 }
 
-// edit changes a deadline in the text while calls go on.
+// edit applies a text with a changed number of retries under load, and then a
+// conflicting edit that is based on the first version.
 func (d *demo) edit(ctx context.Context) error {
 	changed := strings.Replace(string(d.src), "retries: 2", "retries: 1", 1)
 	res, err := d.apply(ctx, []byte(changed), 1, "demo-edit")
@@ -189,22 +195,22 @@
 		return err
 	}
 	for _, c := range res.Changes {
-		d.say("  %s", c)
+		d.printf("  %s", c)
 	}
-	late, err := d.mesh.Operator(1).Apply(ctx, api.Apply{Text: d.src, Base: 1, Write: "demo-late"})
+	conflicting, err := d.mesh.Operator(1).Apply(ctx, api.Apply{Text: d.src, Base: 1, Write: "demo-late"})
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	d.say("a second operator who began from version 1: %s, nothing lost", late.Outcome)
-	if late.Outcome != api.Conflict {
-		return errors.Errorf("the late edit was %s", late.Outcome)
+	d.printf("a second operator who began from version 1: %s, nothing lost", conflicting.Outcome)
+	if conflicting.Outcome != api.Conflict {
+		return errors.Errorf("the conflicting edit was %s", conflicting.Outcome)
 	}
 	return nil
 }
 
-// drain lets one target announce that it leaves.
+// drain drains one target and waits until no node sends requests to it.
 func (d *demo) drain(ctx context.Context) error {
-	service, _ := d.route()
+	service, _ := d.openRoute()
 	var n *local.Node
 	for _, x := range d.mesh.Nodes {
 		if x.LiveTargets(service) > 0 && x.Target != nil && x.Target.Service() == service {
@@ -220,8 +226,8 @@
 	if err := n.Target.AnnounceOnce(ctx, "http://"+n.Cfg.AnnounceAddr); err != nil {
 		return errors.WithStack(err)
 	}
-	began := time.Now()
-	err := local.Until(drainTimeout, func() bool {
+	started := time.Now()
+	err := local.WaitUntil(drainTimeout, func() bool {
 		for _, x := range d.mesh.Nodes {
 			if x.LiveTargets(service) >= before {
 				return false
@@ -230,69 +236,70 @@
 		return true
 	})
 	if err != nil {
-		return errors.Wrap(err, "the drained target is left alone")
+		return errors.Wrap(err, "waiting for all nodes to stop using the drained target")
 	}
-	d.say("target of %s on %s drains: no node sends it work after %v", service, n.Cfg.Host, time.Since(began).Round(time.Millisecond))
+	d.printf("target of %s on %s drains: no node sends it work after %v", service, n.Cfg.Host, time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
+// report stops the load and prints the status and the results of the calls.
 func (d *demo) report(ctx context.Context) error {
 	d.load.stop()
 	var s api.Status
-	began := time.Now()
-	err := local.Until(applyTimeout, func() bool {
+	started := time.Now()
+	err := local.WaitUntil(applyTimeout, func() bool {
 		var err error
 		s, err = d.mesh.Operator(len(d.mesh.Nodes) - 1).Status(ctx)
 		in, _, _ := s.InForce(2)
 		return err == nil && in
 	})
 	if err != nil {
-		return errors.Wrap(err, "the status shows version 2 in force everywhere")
+		return errors.Wrap(err, "waiting for the status to show version 2 in force everywhere")
 	}
-	d.say("status shows it in force everywhere after %v:", time.Since(began).Round(time.Millisecond))
+	d.printf("status shows it in force everywhere after %v:", time.Since(started).Round(time.Millisecond))
 	for _, x := range s.Domains {
-		d.say("  %-14s %-10s %d nodes %v", x.Domain, x.Region, x.Members, x.Counts)
+		d.printf("  %-14s %-10s %d nodes %v", x.Domain, x.Region, x.Members, x.Counts)
 	}
-	bad := d.load.bad.Load()
-	d.say("calls to %s%s through all nodes, before, during and after: %d answered, %d failed",
-		d.load.service, d.load.path, d.load.good.Load(), bad)
-	if bad > 0 {
-		return errors.Errorf("%d calls failed, the last one with %v", bad, d.load.last.Load())
+	failed := d.load.failed.Load()
+	d.printf("calls to %s%s through all nodes, before, during and after: %d answered, %d failed",
+		d.load.service, d.load.path, d.load.succeeded.Load(), failed)
+	if failed > 0 {
+		return errors.Errorf("%d calls failed, the last one with: %v", failed, d.load.lastError.Load())
 	}
 	return nil
 }
 
-// load calls a service through every node in turn.
-type load struct {
-	mesh          *local.Mesh
-	service, path string
-	good, bad     atomic.Int64
-	last          atomic.Value
-	cancel        context.CancelFunc
-	wg            sync.WaitGroup
+// loadGenerator sends calls of a service through all nodes in turn.
+type loadGenerator struct {
+	mesh              *local.Mesh
+	service, path     string
+	succeeded, failed atomic.Int64
+	lastError         atomic.Value
+	cancel            context.CancelFunc
+	wg                sync.WaitGroup
 }
 
-func newLoad(m *local.Mesh, service, path string) *load {
-	return &load{mesh: m, service: service, path: path}
+func newLoad(m *local.Mesh, service, path string) *loadGenerator {
+	return &loadGenerator{mesh: m, service: service, path: path}
 }
 
-func (l *load) start(ctx context.Context) {
+func (l *loadGenerator) start(ctx context.Context) {
 	ctx, l.cancel = context.WithCancel(ctx)
-	for i := range callers {
+	for i := range workers {
 		l.wg.Go(func() {
 			for n := i; ctx.Err() == nil; n++ {
-				l.once(ctx, l.mesh.Nodes[n%len(l.mesh.Nodes)].Cfg.CallerAddr)
+				l.sendCall(ctx, l.mesh.Nodes[n%len(l.mesh.Nodes)].Cfg.CallerAddr)
 			}
 		})
 	}
 }
 
-func (l *load) stop() {
+func (l *loadGenerator) stop() {
 	l.cancel()
 	l.wg.Wait()
 }
 
-func (l *load) once(ctx context.Context, addr string) {
+func (l *loadGenerator) sendCall(ctx context.Context, addr string) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+l.path+"/1", nil)
 	if err != nil {
 		return
@@ -303,16 +310,16 @@
 		return
 	}
 	if err != nil {
-		l.bad.Add(1)
-		l.last.Store(err.Error())
+		l.failed.Add(1)
+		l.lastError.Store(err.Error())
 		return
 	}
 	_, _ = io.Copy(io.Discard, res.Body)
 	_ = res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		l.bad.Add(1)
-		l.last.Store(res.Status)
+		l.failed.Add(1)
+		l.lastError.Store(res.Status)
 		return
 	}
-	l.good.Add(1)
+	l.succeeded.Add(1)
 }
--- a/briarrock/local/authority.go
+++ b/briarrock/local/authority.go
@@ -18,15 +18,15 @@
 	"briarrock.example/briarrockd/settings"
 )
 
-// Authority makes certificates for a mesh on loopback: what an operator's own
-// authority does for a real one.
+// Authority is a certificate authority for a mesh on loopback addresses. In a
+// deployment the operator provides one.
 type Authority struct {
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority that keeps its files in dir.
+// NewAuthority creates a certificate authority that stores its files in dir.
 func NewAuthority(dir string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -51,7 +51,8 @@
 	return errors.WithStack(os.WriteFile(path, b, 0o600))
 }
 
-// Issue makes a certificate for a name in a role and returns its files.
+// Issue creates a certificate for a name in a role and returns the paths of its
+// files.
 func (a *Authority) Issue(name string, role keys.Role) (settings.Security, error) {
 	out := settings.Security{Cert: a.path(name + ".crt"), Key: a.path(name + ".key"), CA: a.path("ca.crt")}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/briarrock/local/call_test.go
+++ b/briarrock/local/call_test.go
@@ -40,44 +40,45 @@
       - {path: /staff, methods: [GET], mode: repeatable, callers: [planner]}
 `
 
-var twoRegions = []local.Place{
+var twoRegions = []local.Location{
 	{Domain: "northgate", Region: "north-line"},
 	{Domain: "millbank", Region: "north-line"},
 	{Domain: "riverside", Region: "south-line"},
 	{Domain: "harbour-cross", Region: "south-line"},
 }
 
-// patience is far above what any of these steps takes; it only ends a test
-// that would hang.
-const patience = 60 * time.Second
+// testTimeout ends a test that would hang. It is far above the duration of any
+// step.
+const testTimeout = 60 * time.Second
 
-// start runs a mesh with one target in each domain and a version in force.
-func start(c *qt.C, target standintarget.Config) *local.Mesh {
+// startMesh runs a mesh with one node and target in each domain and meshText in
+// force.
+func startMesh(c *qt.C, target standintarget.Config) *local.Mesh {
 	if target.Slots == 0 {
 		target.Slots, target.Conns = 2, 20
 	}
 	m, err := local.Start(local.Spec{
-		Places: twoRegions, PerDomain: 1, Services: []string{"orderdesk"}, Target: target, StoreRegion: "north-line",
+		Locations: twoRegions, NodesPerDomain: 1, Services: []string{"orderdesk"}, Target: target, StoreRegion: "north-line",
 	})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(m.Close)
-	putInForce(c, m, meshText, 4)
+	applyAndWait(c, m, meshText, 4)
 	return m
 }
 
-// putInForce makes a text the first version and waits until every node serves
-// it and knows so many targets.
-func putInForce(c *qt.C, m *local.Mesh, text string, targets int) {
-	c.Assert(m.Joined(patience), qt.IsNil)
+// applyAndWait applies a text as the first version and waits until every node
+// serves it and sees the given number of live targets.
+func applyAndWait(c *qt.C, m *local.Mesh, text string, targets int) {
+	c.Assert(m.WaitJoined(testTimeout), qt.IsNil)
 	res, err := m.Operator(0).Apply(context.Background(), api.Apply{Text: []byte(text), Write: "test-text"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(res.Outcome, qt.Equals, api.Accepted)
-	c.Assert(m.InForce(1, patience), qt.IsNil)
-	waitUpstreams(c, m, targets)
+	c.Assert(m.WaitInForce(1, testTimeout), qt.IsNil)
+	waitTargets(c, m, targets)
 }
 
-func waitUpstreams(c *qt.C, m *local.Mesh, n int) {
-	c.Assert(local.Until(patience, func() bool {
+func waitTargets(c *qt.C, m *local.Mesh, n int) {
+	c.Assert(local.WaitUntil(testTimeout, func() bool {
 		for _, x := range m.Nodes {
 			if x.LiveTargets("orderdesk") != n {
 				return false
@@ -87,21 +88,21 @@
 	}), qt.IsNil)
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is the response that a caller received.
+type response struct {
 	status int
 	kind   kind.Kind
 	ran    string
-	head   http.Header
+	header http.Header
 	body   string
 	err    error
 }
 
-// call sends one request through node i.
-func call(m *local.Mesh, i int, method, path, body string, headers ...string) answer {
+// sendCall sends one request through node i. headers are names and values in turn.
+func sendCall(m *local.Mesh, i int, method, path, body string, headers ...string) response {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+m.Nodes[i].Cfg.CallerAddr+path, strings.NewReader(body))
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	req.Host = "orderdesk"
 	for j := 0; j+1 < len(headers); j += 2 {
@@ -109,21 +110,22 @@
 	}
 	res, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = res.Body.Close() }()
 	b, err := io.ReadAll(res.Body)
-	return answer{
+	return response{
 		res.StatusCode, kind.Kind(res.Header.Get(kind.HeaderKind)), res.Header.Get(kind.HeaderRan),
 		res.Header, string(b), err,
 	}
 }
 
-func (a answer) String() string {
+func (a response) String() string {
 	return fmt.Sprintf("%d %s ran=%s %q %v", a.status, string(a.kind), a.ran, a.body, a.err)
 }
 
-func runs(m *local.Mesh, id string) int {
+// runCount returns how often all targets began to run the request with an id.
+func runCount(m *local.Mesh, id string) int {
 	n := 0
 	for _, x := range m.Nodes {
 		n += x.Target.Runs(id)
@@ -131,9 +133,11 @@
 	return n
 }
 
+// TestRefusals sends requests that must be refused, and checks the kind and the
+// status of the refusal and that it says that the request did not run.
 func TestRefusals(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, standintarget.Config{})
+	m := startMesh(c, standintarget.Config{})
 	for _, x := range []struct {
 		method, path string
 		headers      []string
@@ -148,23 +152,23 @@
 		{"POST", "/orders", []string{"Idempotency-Key", strings.Repeat("k", 300)}, kind.Key},
 		{"POST", "/orders", []string{"Idempotency-Key", "a", "Idempotency-Key", "b"}, kind.Key},
 	} {
-		a := call(m, 0, x.method, x.path, "", x.headers...)
+		a := sendCall(m, 0, x.method, x.path, "", x.headers...)
 		c.Check(a.kind, qt.Equals, x.want, qt.Commentf("%s %s: %s", x.method, x.path, a))
 		c.Check(a.ran, qt.Equals, "no")
 		c.Check(a.status, qt.Equals, x.want.Answer().Status)
 	}
-	a := call(m, 0, "GET", "/staff", "", "Briarrock-Caller", "planner")
+	a := sendCall(m, 0, "GET", "/staff", "", "Briarrock-Caller", "planner")
 	c.Check(a.status, qt.Equals, http.StatusOK, qt.Commentf("%s", a))
 	c.Check(a.ran, qt.Equals, "yes")
 }
 
 // TestStream sends a large body both ways through two nodes.
 //
-// A filing packet must arrive whole, piece by piece, and without being held
-// in memory: its first bytes come back before its last ones are sent.
+// The body must arrive complete and be streamed, not buffered in memory: its
+// first bytes must come back before its last ones are sent.
 func TestStream(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, standintarget.Config{Echo: true})
+	m := startMesh(c, standintarget.Config{Echo: true})
 	const size = 16 << 20
 	r, w := io.Pipe()
 	req, err := http.NewRequest(http.MethodPut, "http://"+m.Nodes[0].Cfg.CallerAddr+"/files/1", r)
@@ -178,7 +182,7 @@
 			_, _ = sent.Write(piece)
 			_, _ = w.Write(piece)
 			if n == 0 {
-				<-first // no more until the first piece has come back
+				<-first // wait until the first piece was echoed
 			}
 		}
 		_ = w.Close()
@@ -197,34 +201,35 @@
 	c.Assert(got.Sum(nil), qt.DeepEquals, sent.Sum(nil))
 }
 
-// TestStall begins an upload and a download that stop half-way.
+// TestStall starts an upload that stops half-way, and a call whose caller does not
+// read the response.
 //
-// Neither may hold a slot of the target for good. The upload's caller is told
-// that its fate is not known; the download's caller, who does not read, is cut
-// off; and the slots are free again.
+// Neither may occupy a slot of the target permanently. The uploading caller must
+// receive an error, since the outcome is unknown; the connection of the caller that
+// does not read must be closed; and both slots must be freed.
 func TestStall(t *testing.T) {
 	c := qt.New(t)
 	m, err := local.Start(local.Spec{
-		Places: twoRegions[:1], PerDomain: 1, Services: []string{"orderdesk"},
-		Target: standintarget.Config{Slots: 2, Conns: 20, Echo: true}, Stall: 300 * time.Millisecond,
+		Locations: twoRegions[:1], NodesPerDomain: 1, Services: []string{"orderdesk"},
+		Target: standintarget.Config{Slots: 2, Conns: 20, Echo: true}, StallTimeout: 300 * time.Millisecond,
 	})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(m.Close)
-	putInForce(c, m, meshText, 1)
+	applyAndWait(c, m, meshText, 1)
 	free := func() bool { return m.Nodes[0].Target.Running() == 0 }
 
 	r, w := io.Pipe()
 	defer func() { _ = w.Close() }()
-	go func() { _, _ = w.Write(make([]byte, 1000)) }() // and nothing more
+	go func() { _, _ = w.Write(make([]byte, 1000)) }() // the rest of the body is never sent
 	req, err := http.NewRequest(http.MethodPut, "http://"+m.Nodes[0].Cfg.CallerAddr+"/files/1", r)
 	c.Assert(err, qt.IsNil)
 	req.Host = "orderdesk"
 	res, err := http.DefaultTransport.RoundTrip(req)
 	if err == nil {
 		_, err = io.ReadAll(res.Body)
-		c.Check(err != nil || res.StatusCode >= 400, qt.IsTrue, qt.Commentf("%d passes for whole", res.StatusCode))
+		c.Check(err != nil || res.StatusCode >= 400, qt.IsTrue, qt.Commentf("status %d for an incomplete upload", res.StatusCode))
 	}
-	c.Check(local.Until(patience, free), qt.IsNil)
+	c.Check(local.WaitUntil(testTimeout, free), qt.IsNil)
 
 	conn, err := net.Dial("tcp", m.Nodes[0].Cfg.CallerAddr)
 	c.Assert(err, qt.IsNil)
@@ -237,31 +242,32 @@
 				return
 			}
 		}
-	}() // and never reads what comes back
-	c.Check(local.Until(patience, func() bool { return !free() }), qt.IsNil)
-	c.Check(local.Until(patience, free), qt.IsNil)
+	}() // the response is never read
+	c.Check(local.WaitUntil(testTimeout, func() bool { return !free() }), qt.IsNil)
+	c.Check(local.WaitUntil(testTimeout, free), qt.IsNil)
 }
 
-// TestSlots floods a mesh through all of its nodes: no target ever runs more
-// than its slots, and whoever is refused is told at once that nothing ran.
+// TestSlots overloads a mesh through all of its nodes: no target may run more
+// requests concurrently than it has slots, and a refused request must be reported
+// as not run, with Retry-After.
 func TestSlots(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, standintarget.Config{Slots: 2, Conns: 20, Work: 5 * time.Millisecond})
-	var good, refused, other atomic.Int64
-	var last atomic.Value // what the last other answer was
+	m := startMesh(c, standintarget.Config{Slots: 2, Conns: 20, Work: 5 * time.Millisecond})
+	var succeeded, refused, unexpected atomic.Int64
+	var last atomic.Value // the last unexpected response
 	last.Store("")
 	var wg sync.WaitGroup
 	for i := range 64 {
 		wg.Go(func() {
 			for range 10 {
-				a := call(m, i%len(m.Nodes), "GET", "/orders", "")
+				a := sendCall(m, i%len(m.Nodes), "GET", "/orders", "")
 				switch {
 				case a.status == http.StatusOK:
-					good.Add(1)
-				case a.kind == kind.Full && a.ran == "no" && a.head.Get("Retry-After") != "":
+					succeeded.Add(1)
+				case a.kind == kind.Full && a.ran == "no" && a.header.Get("Retry-After") != "":
 					refused.Add(1)
 				default:
-					other.Add(1)
+					unexpected.Add(1)
 					last.Store(fmt.Sprintf("%+v", a))
 				}
 			}
@@ -270,24 +276,25 @@
 	wg.Wait()
 	ran := int64(0)
 	for _, n := range m.Nodes {
-		c.Check(n.Target.PeakConcurrency() <= 2, qt.IsTrue, qt.Commentf("%d at once", n.Target.PeakConcurrency()))
+		c.Check(n.Target.PeakConcurrency() <= 2, qt.IsTrue, qt.Commentf("%d concurrent requests", n.Target.PeakConcurrency()))
 		ran += n.Target.Completed()
 	}
-	c.Check(other.Load(), qt.Equals, int64(0), qt.Commentf("%s", last.Load()))
-	c.Check(ran, qt.Equals, good.Load())
+	c.Check(unexpected.Load(), qt.Equals, int64(0), qt.Commentf("%s", last.Load()))
+	c.Check(ran, qt.Equals, succeeded.Load())
 }
 
-// TestLate gives a target less time than its work takes.
+// TestLate sends a request whose processing takes longer than its deadline.
 //
-// The caller must not be told that the request did not run: the target had
-// it. It is told so when its time is up, and the target is told to stop.
+// At the deadline the response must say that it is unknown whether the request
+// ran, not that it did not run, because the target received it. The request must
+// be cancelled at the target.
 func TestLate(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, standintarget.Config{})
-	a := call(m, 0, "POST", "/orders", "x", "Briarrock-Deadline", "100", standintarget.HeaderWork, "30s")
+	m := startMesh(c, standintarget.Config{})
+	a := sendCall(m, 0, "POST", "/orders", "x", "Briarrock-Deadline", "100", standintarget.HeaderWork, "30s")
 	c.Check(a.kind, qt.Equals, kind.Late, qt.Commentf("%s", a))
 	c.Check(a.ran, qt.Equals, "unknown")
-	c.Check(local.Until(patience, func() bool {
+	c.Check(local.WaitUntil(testTimeout, func() bool {
 		for _, n := range m.Nodes {
 			if n.Target.Running() > 0 {
 				return false
@@ -297,52 +304,55 @@
 	}), qt.IsNil)
 }
 
-// TestOnce sends the same order again and again through all nodes at once.
+// TestOnce sends the same order several times concurrently through all nodes.
 //
-// It must run once. Whoever asks while it runs is told that its outcome is
-// not known yet; whoever asks after it has run gets the first answer back.
+// It must run once. A duplicate that arrives while the order runs must be refused
+// with kind Repeat, since the outcome is not known yet. A duplicate that arrives
+// later must receive the stored first response. A different body with the same
+// key is a conflict.
 func TestOnce(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, standintarget.Config{Work: 20 * time.Millisecond})
+	m := startMesh(c, standintarget.Config{Work: 20 * time.Millisecond})
 	for order := range 5 {
 		id := fmt.Sprintf("order-%d", order)
-		send := func(i int) answer {
-			return call(m, i, "POST", "/orders", "ten pallets", "Idempotency-Key", id, standintarget.HeaderID, id)
+		send := func(i int) response {
+			return sendCall(m, i, "POST", "/orders", "ten pallets", "Idempotency-Key", id, standintarget.HeaderID, id)
 		}
 		var wg sync.WaitGroup
-		var answers [8]answer
-		for i := range answers {
-			wg.Go(func() { answers[i] = send(i % len(m.Nodes)) })
+		var responses [8]response
+		for i := range responses {
+			wg.Go(func() { responses[i] = send(i % len(m.Nodes)) })
 		}
 		wg.Wait()
-		c.Check(runs(m, id), qt.Equals, 1)
-		for _, a := range answers {
-			whole := a.status == http.StatusOK && strings.Contains(a.body, "POST /orders 11")
-			c.Check(whole || a.kind == kind.Repeat, qt.IsTrue, qt.Commentf("%s", a))
+		c.Check(runCount(m, id), qt.Equals, 1)
+		for _, a := range responses {
+			complete := a.status == http.StatusOK && strings.Contains(a.body, "POST /orders 11")
+			c.Check(complete || a.kind == kind.Repeat, qt.IsTrue, qt.Commentf("%s", a))
 		}
-		var again answer
-		c.Check(local.Until(patience, func() bool { again = send(3); return again.status == http.StatusOK }), qt.IsNil)
-		c.Check(again.head.Get("Briarrock-Replay"), qt.Equals, "yes")
-		c.Check(again.body, qt.Contains, "POST /orders 11")
-		c.Check(runs(m, id), qt.Equals, 1)
-		other := call(m, 1, "POST", "/orders", "nine pallets", "Idempotency-Key", id)
-		c.Check(other.kind, qt.Equals, kind.Conflict, qt.Commentf("%s", other))
+		var replay response
+		c.Check(local.WaitUntil(testTimeout, func() bool { replay = send(3); return replay.status == http.StatusOK }), qt.IsNil)
+		c.Check(replay.header.Get("Briarrock-Replay"), qt.Equals, "yes")
+		c.Check(replay.body, qt.Contains, "POST /orders 11")
+		c.Check(runCount(m, id), qt.Equals, 1)
+		conflicting := sendCall(m, 1, "POST", "/orders", "nine pallets", "Idempotency-Key", id)
+		c.Check(conflicting.kind, qt.Equals, kind.Conflict, qt.Commentf("%s", conflicting))
 	}
 }
 
-// TestOnceGathered sends orders in a domain that is large enough for its first
-// node to gather the claims, and kills that node in between.
+// TestOnceBatched sends orders in a domain that is large enough for one of its
+// nodes (the root) to commit the claims of all in batches, and kills that node
+// meanwhile.
 //
-// Its loss must cost nothing but a moment: no order runs twice, and orders go
-// on through the other nodes.
-func TestOnceGathered(t *testing.T) {
+// The loss may only delay orders: no order may run twice, and the orders sent
+// through the other nodes must succeed.
+func TestOnceBatched(t *testing.T) {
 	c := qt.New(t)
 	m, err := local.Start(local.Spec{
-		Places: twoRegions[:1], PerDomain: 9, Services: []string{"orderdesk"}, Target: standintarget.Config{Slots: 6, Conns: 20},
+		Locations: twoRegions[:1], NodesPerDomain: 9, Services: []string{"orderdesk"}, Target: standintarget.Config{Slots: 6, Conns: 20},
 	})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(m.Close)
-	putInForce(c, m, meshText, 9)
+	applyAndWait(c, m, meshText, 9)
 	root := -1
 	for i, n := range m.Nodes {
 		n.Peers().Ask(func(h *peer.Core) {
@@ -363,44 +373,45 @@
 					m.Nodes[root].Kill()
 				}
 				id := fmt.Sprintf("gathered-%d-%d", i, k)
-				err := local.Until(patience, func() bool {
-					a := call(m, i, "POST", "/orders", "x", "Idempotency-Key", id, standintarget.HeaderID, id)
+				err := local.WaitUntil(testTimeout, func() bool {
+					a := sendCall(m, i, "POST", "/orders", "x", "Idempotency-Key", id, standintarget.HeaderID, id)
 					return a.status == http.StatusOK || a.kind == kind.Repeat
 				})
 				c.Check(err, qt.IsNil, qt.Commentf("%s", id))
-				c.Check(runs(m, id) <= 1, qt.IsTrue, qt.Commentf("%s ran %d times", id, runs(m, id)))
+				c.Check(runCount(m, id) <= 1, qt.IsTrue, qt.Commentf("%s ran %d times", id, runCount(m, id)))
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// TestOnceStore lets the store fail in each way while an order comes in.
+// TestOnceStore injects faults of the store while orders are sent.
 //
-// Where it can't be decided whether the key was used before, the order must
-// not run, and its caller is told so and may send it again with the same key.
+// If the store can't tell whether the key was used before, the order must not run,
+// and the response must say so, so that the caller can retry with the same key.
 func TestOnceStore(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, standintarget.Config{})
-	send := func(id string) answer {
-		return call(m, 0, "POST", "/orders", "x", "Idempotency-Key", id, standintarget.HeaderID, id)
+	m := startMesh(c, standintarget.Config{})
+	send := func(id string) response {
+		return sendCall(m, 0, "POST", "/orders", "x", "Idempotency-Key", id, standintarget.HeaderID, id)
 	}
 	m.Platform.Fault(standinplatform.Faults{Down: true})
 	a := send("down")
 	c.Check(a.kind, qt.Equals, kind.Claim, qt.Commentf("%s", a))
 	c.Check(a.ran, qt.Equals, "no")
-	c.Check(runs(m, "down"), qt.Equals, 0)
+	c.Check(runCount(m, "down"), qt.Equals, 0)
 	m.Platform.Fault(standinplatform.Faults{})
-	c.Check(local.Until(patience, func() bool { return send("down").status == http.StatusOK }), qt.IsNil)
-	c.Check(runs(m, "down"), qt.Equals, 1)
+	c.Check(local.WaitUntil(testTimeout, func() bool { return send("down").status == http.StatusOK }), qt.IsNil)
+	c.Check(runCount(m, "down"), qt.Equals, 1)
 
-	// The claim takes effect and its answer is lost: it is looked up.
+	// The claim is committed and its response is lost: the node looks it up.
 	m.Platform.Fault(standinplatform.Faults{LoseResponses: 1})
 	a = send("lost")
 	c.Check(a.status, qt.Equals, http.StatusOK, qt.Commentf("%s", a))
-	c.Check(runs(m, "lost"), qt.Equals, 1)
+	c.Check(runCount(m, "lost"), qt.Equals, 1)
 
-	// A request that is refused without running gives its key back.
+	// A request that is refused because all targets drain does not run and releases
+	// its key.
 	for _, n := range m.Nodes {
 		n.Target.Drain()
 		c.Assert(n.Target.AnnounceOnce(context.Background(), "http://"+n.Cfg.AnnounceAddr), qt.IsNil)
@@ -411,23 +422,23 @@
 
 // TestCrash sends a request that crashes each target that runs it.
 //
-// Its caller sends it again and again. After two crashes it is held back on
-// every node, so that the other targets live, and others' calls go on.
+// Its caller retries it repeatedly. After two crashes every node must refuse it
+// (kind Held), so that the other targets stay up and serve other calls.
 func TestCrash(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, standintarget.Config{})
-	crash := func(i int) answer {
-		return call(m, i, "POST", "/orders", "poison", standintarget.HeaderCrash, "yes")
+	m := startMesh(c, standintarget.Config{})
+	crash := func(i int) response {
+		return sendCall(m, i, "POST", "/orders", "poison", standintarget.HeaderCrash, "yes")
 	}
-	var last answer
-	c.Assert(local.Until(patience, func() bool { last = crash(0); return last.kind == kind.Held }), qt.IsNil)
+	var last response
+	c.Assert(local.WaitUntil(testTimeout, func() bool { last = crash(0); return last.kind == kind.Held }), qt.IsNil)
 	c.Check(last.ran, qt.Equals, "no")
 	for i := range m.Nodes {
-		c.Check(local.Until(patience, func() bool { return crash(i).kind == kind.Held }), qt.IsNil)
+		c.Check(local.WaitUntil(testTimeout, func() bool { return crash(i).kind == kind.Held }), qt.IsNil)
 	}
-	waitUpstreams(c, m, 2)
+	waitTargets(c, m, 2)
 	for i := range m.Nodes {
-		a := call(m, i, "POST", "/orders", "fine")
+		a := sendCall(m, i, "POST", "/orders", "fine")
 		c.Check(a.status, qt.Equals, http.StatusOK, qt.Commentf("%s", a))
 	}
 	s, err := m.Operator(2).Status(context.Background())
@@ -435,78 +446,78 @@
 	c.Check(s.Held, qt.HasLen, 1)
 }
 
-// TestSilent lets the connections between two nodes go silent: nothing is
-// reset, nothing arrives, and new ones work.
+// TestSilent discards all data on the open connections between nodes without
+// closing them, while new connections work.
 //
-// The calls that wait on them must not wait for their deadline: pings find the
-// silence, and what may be repeated is sent again on a new connection.
+// Calls on these connections must not wait for their deadline: HTTP/2 pings must
+// detect the dead connection, and repeatable calls must be retried on a new one.
 func TestSilent(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, standintarget.Config{})
-	var wires []*wire.Proxy
+	m := startMesh(c, standintarget.Config{})
+	var proxies []*wire.Proxy
 	for _, n := range m.Nodes {
 		p, err := wire.New("127.0.0.1:0", n.Cfg.CallAddr)
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(p.Close)
-		m.Via(n.Cfg.CallAddr, p.Addr())
-		n.Peers() // the mesh goes on by its own links
-		wires = append(wires, p)
+		m.RouteVia(n.Cfg.CallAddr, p.Addr())
+		n.Peers() // the links of the mesh don't use the proxies
+		proxies = append(proxies, p)
 	}
 	for _, n := range m.Nodes {
 		n.CloseIdle()
 	}
 	for i := range 20 {
-		c.Assert(call(m, i%len(m.Nodes), "GET", "/orders", "").status, qt.Equals, http.StatusOK)
+		c.Assert(sendCall(m, i%len(m.Nodes), "GET", "/orders", "").status, qt.Equals, http.StatusOK)
 	}
-	for _, p := range wires {
+	for _, p := range proxies {
 		p.Set(wire.Fault{Blackhole: true})
 	}
-	var good atomic.Int64
+	var succeeded atomic.Int64
 	var wg sync.WaitGroup
 	for i := range 16 {
 		wg.Go(func() {
 			for range 200 {
-				if a := call(m, i%len(m.Nodes), "GET", "/orders", ""); a.status == http.StatusOK {
-					good.Add(1)
+				if a := sendCall(m, i%len(m.Nodes), "GET", "/orders", ""); a.status == http.StatusOK {
+					succeeded.Add(1)
 					return
 				}
 			}
 		})
 	}
 	wg.Wait()
-	c.Check(good.Load(), qt.Equals, int64(16))
+	c.Check(succeeded.Load(), qt.Equals, int64(16))
 }
 
-// TestStop stops a node while calls go on through all the others.
+// TestStop stops a node gracefully while the other nodes are under load.
 //
-// A planned stop must cut off nothing: every call is answered whole, by its
-// target or, where that was the node's own, by another one.
+// A planned stop must not interrupt any call: every call must receive a complete
+// response, from the target of the stopping node or from another one.
 func TestStop(t *testing.T) {
 	c := qt.New(t)
-	m := start(c, standintarget.Config{Work: 3 * time.Millisecond})
-	var good atomic.Int64
-	var bad sync.Map
+	m := startMesh(c, standintarget.Config{Work: 3 * time.Millisecond})
+	var succeeded atomic.Int64
+	var failures sync.Map
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for i := range 6 {
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				a := call(m, i%3, "GET", "/orders", "")
+				a := sendCall(m, i%3, "GET", "/orders", "")
 				if a.status == http.StatusOK && a.err == nil {
-					good.Add(1)
+					succeeded.Add(1)
 				} else {
-					bad.Store(a.String(), true)
+					failures.Store(a.String(), true)
 				}
 			}
 		})
 	}
-	c.Assert(local.Until(patience, func() bool { return good.Load() > 100 }), qt.IsNil)
+	c.Assert(local.WaitUntil(testTimeout, func() bool { return succeeded.Load() > 100 }), qt.IsNil)
 	m.Nodes[3].Stop(context.Background())
-	from := good.Load()
-	c.Assert(local.Until(patience, func() bool { return good.Load() > from+100 }), qt.IsNil)
+	before := succeeded.Load()
+	c.Assert(local.WaitUntil(testTimeout, func() bool { return succeeded.Load() > before+100 }), qt.IsNil)
 	cancel()
 	wg.Wait()
-	bad.Range(func(k, _ any) bool {
+	failures.Range(func(k, _ any) bool {
 		c.Errorf("a call failed: %s", k)
 		return true
 	})
--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -1,8 +1,8 @@
-// Package local runs a whole mesh in one process on loopback: a stand-in
-// platform, nodes in several failure domains, and stand-in targets. The demo,
-// the tests and the measurements are built on it.
+// Package local runs a complete mesh in one process on loopback addresses: a
+// stand-in platform, nodes in several failure domains, and stand-in targets. The
+// demo, the tests and the benchmarks use it.
 //
-//	m, err := local.Start(local.Spec{Places: places, PerDomain: 4, Services: names})
+//	m, err := local.Start(local.Spec{Locations: locations, NodesPerDomain: 4, Services: names})
 //	defer m.Close()
 //	res, err := m.Operator(0).Apply(ctx, …)
 package local
@@ -30,72 +30,76 @@
 	"briarrock.example/standin/wire"
 )
 
-// Place is a failure domain and its region.
-type Place struct{ Domain, Region string }
+// Location is a failure domain and its region.
+type Location struct{ Domain, Region string }
 
-// Spec says what to run.
+// Spec configures a mesh.
 type Spec struct {
-	Places    []Place
-	PerDomain int
-	// Services are the services of the targets; node i of a domain has a
-	// target of service i, round and round. None for nodes without targets.
+	Locations      []Location
+	NodesPerDomain int
+	// Services are assigned to the targets in turn: node i of a domain has a
+	// target of service i modulo their number. Empty for nodes without targets.
 	Services []string
-	// Target is what the targets are like, Service and Addr aside.
+	// Target configures the targets; Start sets Service, Addr and Crash.
 	Target standintarget.Config
 	// StoreRegion is the region of the store.
 	StoreRegion string
-	// Store is the URL of another platform than the one that Start runs.
+	// Store is the URL of the platform; if empty, Start runs a stand-in.
 	Store string
-	// Contacts is how many contacts each node is given.
+	// Contacts is the maximum number of contacts (seed nodes) in each node's
+	// settings; defaultContacts if 0.
 	Contacts int
-	// HTTP1 uses HTTP/1.1 between nodes.
+	// HTTP1 makes nodes use HTTP/1.1 between each other instead of HTTP/2.
 	HTTP1 bool
-	// Paid is the way between two regions; the zero Path adds nothing.
-	Paid wire.Path
-	// Near is the way between two domains of a region.
-	Near wire.Path
-	// Stall bounds the time without a byte moving in a call; a minute if 0.
-	Stall time.Duration
-	// Authority, if set, issues certificates to the nodes; otherwise they talk
-	// in the clear.
+	// BetweenRegions is the network path between two regions; the zero Path adds
+	// no delay and no bandwidth limit.
+	BetweenRegions wire.Path
+	// BetweenDomains is the network path between two domains of a region.
+	BetweenDomains wire.Path
+	// StallTimeout ends a call in which no byte was transferred for so long; a
+	// minute if 0.
+	StallTimeout time.Duration
+	// Authority, if set, issues certificates to the nodes; otherwise they use
+	// plaintext.
 	Authority *Authority
-	// Used, if set, is told of each version that a node serves.
-	Used func(host string, version uint64)
-	// Log is where the nodes log to; nil for nowhere.
+	// OnVersion, if set, is called when a node begins to serve a version.
+	OnVersion func(host string, version uint64)
+	// Log receives the nodes' log; nil disables it.
 	Log io.Writer
-	// Level is the level of the log; warnings by default.
+	// Level is the log level; warnings by default.
 	Level logrus.Level
 }
 
-// Node is one node of the mesh with its target.
+// Node is one node of the mesh with its target, if it has one.
 type Node struct {
 	*node.Node
-	Target *standintarget.Target
-	Cfg    settings.Settings
-	cancel context.CancelFunc
-	server *http.Server
-	addr   string
+	Target         *standintarget.Target
+	Cfg            settings.Settings
+	stopAnnouncing context.CancelFunc
+	targetServer   *http.Server
+	targetAddr     string
 }
 
 // Mesh is a running mesh.
 type Mesh struct {
-	Spec     Spec
-	Platform *standinplatform.Server
-	Nodes    []*Node
-	store    string
-	servers  []*http.Server
-	contacts []string
-	mu       sync.Mutex
-	at       map[string]Place // by address
-	via      map[string]string
+	Spec      Spec
+	Platform  *standinplatform.Server
+	Nodes     []*Node
+	store     string
+	servers   []*http.Server
+	contacts  []string
+	mu        sync.Mutex
+	locations map[string]Location // by address of a node or the store
+	proxies   map[string]string   // proxy by address, see RouteVia
 }
 
-// defaultContacts is enough that one contact's loss keeps nobody out.
+// defaultContacts lets nodes join while one contact is down.
 const defaultContacts = 3
 
-// Start runs a mesh. It does not wait until the nodes have found each other.
+// Start starts a mesh. It does not wait until the nodes have joined; see
+// WaitJoined.
 func Start(spec Spec) (*Mesh, error) {
-	m := &Mesh{Spec: spec, Platform: standinplatform.New(), store: spec.Store, at: make(map[string]Place), via: make(map[string]string)}
+	m := &Mesh{Spec: spec, Platform: standinplatform.New(), store: spec.Store, locations: make(map[string]Location), proxies: make(map[string]string)}
 	if spec.Contacts == 0 {
 		m.Spec.Contacts = defaultContacts
 	}
@@ -105,12 +109,12 @@
 			return nil, errors.WithStack(err)
 		}
 		m.store = "http://" + l.Addr().String()
-		m.at[l.Addr().String()] = Place{Domain: "store", Region: spec.StoreRegion}
+		m.locations[l.Addr().String()] = Location{Domain: "store", Region: spec.StoreRegion}
 		m.serve(l, m.Platform)
 	}
-	for i := range spec.PerDomain {
-		for _, p := range spec.Places {
-			if err := m.add(i, p); err != nil {
+	for i := range spec.NodesPerDomain {
+		for _, loc := range spec.Locations {
+			if err := m.addNode(i, loc); err != nil {
 				m.Close()
 				return nil, err
 			}
@@ -126,15 +130,15 @@
 	return s
 }
 
-func (m *Mesh) add(i int, p Place) error {
-	port := "127.0.0.1:0"
+func (m *Mesh) addNode(i int, loc Location) error {
+	anyPort := "127.0.0.1:0"
 	cfg := settings.Settings{
-		Host: fmt.Sprintf("%s-%d", p.Domain, i), Domain: p.Domain, Region: p.Region,
-		CallerAddr: port, CallAddr: port, PeerAddr: port, OperatorAddr: port, AnnounceAddr: port,
+		Host: fmt.Sprintf("%s-%d", loc.Domain, i), Domain: loc.Domain, Region: loc.Region,
+		CallerAddr: anyPort, CallAddr: anyPort, PeerAddr: anyPort, OperatorAddr: anyPort, AnnounceAddr: anyPort,
 		Contacts:     append([]string(nil), m.contacts...),
 		Platform:     settings.Platform{URL: m.store, Region: m.Spec.StoreRegion},
 		Security:     settings.Security{Plain: true},
-		StallTimeout: m.Spec.Stall, DrainTimeout: time.Minute,
+		StallTimeout: m.Spec.StallTimeout, DrainTimeout: time.Minute,
 	}
 	if cfg.StallTimeout == 0 {
 		cfg.StallTimeout = time.Minute
@@ -145,7 +149,7 @@
 			return err
 		}
 	}
-	n, err := m.run(cfg)
+	n, err := m.newNode(cfg)
 	if err != nil {
 		return err
 	}
@@ -161,7 +165,7 @@
 	return nil
 }
 
-func (m *Mesh) run(cfg settings.Settings) (*Node, error) {
+func (m *Mesh) newNode(cfg settings.Settings) (*Node, error) {
 	var log *event.Log
 	if m.Spec.Log != nil {
 		level := m.Spec.Level
@@ -170,10 +174,10 @@
 		}
 		log = event.New(m.Spec.Log, false, level, cfg.Host)
 	}
-	here := Place{cfg.Domain, cfg.Region}
-	deps := node.Deps{Log: log, HTTP1: m.Spec.HTTP1, Dial: m.dialFrom(here)}
-	if m.Spec.Used != nil {
-		deps.OnVersion = func(version uint64) { m.Spec.Used(cfg.Host, version) }
+	from := Location{cfg.Domain, cfg.Region}
+	deps := node.Deps{Log: log, HTTP1: m.Spec.HTTP1, Dial: m.dialFrom(from)}
+	if m.Spec.OnVersion != nil {
+		deps.OnVersion = func(version uint64) { m.Spec.OnVersion(cfg.Host, version) }
 	}
 	n, err := node.New(cfg, deps)
 	if err != nil {
@@ -181,40 +185,41 @@
 	}
 	m.mu.Lock()
 	for _, addr := range []string{n.Settings().PeerAddr, n.Settings().CallAddr} {
-		m.at[addr] = here
+		m.locations[addr] = from
 	}
 	m.mu.Unlock()
 	return &Node{Node: n, Cfg: n.Settings()}, nil
 }
 
-// Via lets all nodes reach an address through another one, such as that of a
-// faulty wire.
-func (m *Mesh) Via(addr, through string) {
+// RouteVia makes all nodes connect to proxy instead of addr, for example to a
+// fault-injecting proxy.
+func (m *Mesh) RouteVia(addr, proxy string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.via[addr] = through
+	m.proxies[addr] = proxy
 }
 
-// dialFrom opens connections that are as slow as the way from one place to
-// that of the address.
-func (m *Mesh) dialFrom(here Place) relay.DialFunc {
+// dialFrom returns a dial function for the nodes at a location. Its connections
+// have the delay and bandwidth of the network path to the location of the dialed
+// address.
+func (m *Mesh) dialFrom(from Location) relay.DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		m.mu.Lock()
-		there := m.at[addr]
-		to, ok := m.via[addr]
+		dest := m.locations[addr]
+		dialAddr, ok := m.proxies[addr]
 		m.mu.Unlock()
 		if !ok {
-			to = addr
+			dialAddr = addr
 		}
-		c, err := new(net.Dialer).DialContext(ctx, network, to)
+		c, err := new(net.Dialer).DialContext(ctx, network, dialAddr)
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
 		switch {
-		case there.Region != here.Region && m.Spec.Paid != (wire.Path{}):
-			return wire.Shape(c, m.Spec.Paid), nil
-		case there.Domain != here.Domain && m.Spec.Near != (wire.Path{}):
-			return wire.Shape(c, m.Spec.Near), nil
+		case dest.Region != from.Region && m.Spec.BetweenRegions != (wire.Path{}):
+			return wire.Shape(c, m.Spec.BetweenRegions), nil
+		case dest.Domain != from.Domain && m.Spec.BetweenDomains != (wire.Path{}):
+			return wire.Shape(c, m.Spec.BetweenDomains), nil
 		default:
 			return c, nil
 		}
@@ -227,65 +232,65 @@
 		return errors.WithStack(err)
 	}
 	cfg := m.Spec.Target
-	cfg.Service, cfg.Addr, cfg.Crash = service, l.Addr().String(), n.crashOf()
+	cfg.Service, cfg.Addr, cfg.Crash = service, l.Addr().String(), n.crashFunc()
 	n.Target = standintarget.New(cfg)
-	n.server = m.serve(l, n.Target)
-	n.addr = cfg.Addr
-	ctx, cancel := context.WithCancel(context.Background())
-	n.cancel = cancel
+	n.targetServer = m.serve(l, n.Target)
+	n.targetAddr = cfg.Addr
+	ctx, stopAnnouncing := context.WithCancel(context.Background())
+	n.stopAnnouncing = stopAnnouncing
 	go n.Target.Announce(ctx, "http://"+n.Cfg.AnnounceAddr)
 	return nil
 }
 
-// StopTarget ends a node's target as a crash would: connections are reset and
-// nobody listens any more.
+// StopTarget stops a node's target as a crash does: it closes the target's
+// connections and its listener.
 func (n *Node) StopTarget() {
-	n.cancel()
-	_ = n.server.Close()
+	n.stopAnnouncing()
+	_ = n.targetServer.Close()
 }
 
-// StartTarget starts a stopped target again at the same address.
+// StartTarget restarts a stopped target at the same address.
 func (m *Mesh) StartTarget(n *Node) error {
-	l, err := net.Listen("tcp", n.addr)
+	l, err := net.Listen("tcp", n.targetAddr)
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	n.server = m.serve(l, n.Target)
-	ctx, cancel := context.WithCancel(context.Background())
-	n.cancel = cancel
+	n.targetServer = m.serve(l, n.Target)
+	ctx, stopAnnouncing := context.WithCancel(context.Background())
+	n.stopAnnouncing = stopAnnouncing
 	go n.Target.Announce(ctx, "http://"+n.Cfg.AnnounceAddr)
 	return nil
 }
 
-// crashOf returns what a stand-in target does to crash.
-func (n *Node) crashOf() func() { return n.StopTarget }
+// crashFunc returns the function by which the node's target crashes.
+func (n *Node) crashFunc() func() { return n.StopTarget }
 
-// Restart kills node i and starts it anew on the same host: same name, same
-// addresses, nothing remembered.
-func (m *Mesh) Restart(i int) error {
+// RestartNode kills node i and starts it with the same name and addresses and
+// no state.
+func (m *Mesh) RestartNode(i int) error {
 	old := m.Nodes[i]
 	old.Kill()
-	return m.Revive(i)
+	return m.StartNode(i)
 }
 
-// Revive starts node i again after it was killed.
-func (m *Mesh) Revive(i int) error {
-	n, err := m.run(m.Nodes[i].Cfg)
+// StartNode starts node i after it was killed.
+func (m *Mesh) StartNode(i int) error {
+	n, err := m.newNode(m.Nodes[i].Cfg)
 	if err != nil {
 		return err
 	}
 	old := m.Nodes[i]
-	n.Target, n.cancel, n.server, n.addr = old.Target, old.cancel, old.server, old.addr
+	n.Target, n.stopAnnouncing, n.targetServer, n.targetAddr = old.Target, old.stopAnnouncing, old.targetServer, old.targetAddr
 	m.Nodes[i] = n
 	return nil
 }
 
-// Close ends everything at once.
+// Close kills all nodes and then stops the targets and the platform.
 func (m *Mesh) Close() {
 	var wg sync.WaitGroup
 	for _, n := range m.Nodes {
-		if n.cancel != nil {
-			n.cancel()
+		if n.stopAnnouncing != nil {
+			n.stopAnnouncing()
 		}
 		wg.Go(n.Kill)
 	}
@@ -303,7 +308,7 @@
 	return api.New(http.DefaultClient, "http://"+m.Nodes[i].Cfg.OperatorAddr, "")
 }
 
-// operatorName is who edits a mesh with certificates.
+// operatorName is the operator's name in the certificate that Operator uses.
 const operatorName = "otto"
 
 func (m *Mesh) secureOperator(i int, a *Authority) *api.Client {
@@ -318,15 +323,16 @@
 	return api.New(c, "https://"+m.Nodes[i].Cfg.OperatorAddr, "")
 }
 
-// ErrTimeout says that something did not happen in time.
-var ErrTimeout = errors.New("local: did not happen in time")
+// ErrTimeout is returned when a condition was not met within its timeout.
+var ErrTimeout = errors.New("local: condition not met within the timeout")
 
-// pollEvery is how often the waiting functions look.
-const pollEvery = 2 * time.Millisecond
+// pollInterval is the interval at which WaitUntil evaluates its condition.
+const pollInterval = 2 * time.Millisecond
 
-// Until waits until ok returns true.
-func Until(timeout time.Duration, ok func() bool) error {
-	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollEvery) {
+// WaitUntil polls ok until it returns true, and returns ErrTimeout if it does not
+// within the timeout.
+func WaitUntil(timeout time.Duration, ok func() bool) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if ok() {
 			return nil
 		}
@@ -334,9 +340,9 @@
 	return ErrTimeout
 }
 
-// Joined waits until every node knows every other, with its target.
-func (m *Mesh) Joined(timeout time.Duration) error {
-	return Until(timeout, func() bool {
+// WaitJoined waits until every node sees all nodes of the mesh as live members.
+func (m *Mesh) WaitJoined(timeout time.Duration) error {
+	return WaitUntil(timeout, func() bool {
 		for _, n := range m.Nodes {
 			if n.LiveMembers() < len(m.Nodes) {
 				return false
@@ -346,9 +352,9 @@
 	})
 }
 
-// InForce waits until every node serves at least a version.
-func (m *Mesh) InForce(version uint64, timeout time.Duration) error {
-	return Until(timeout, func() bool {
+// WaitInForce waits until every node serves the given version or a newer one.
+func (m *Mesh) WaitInForce(version uint64, timeout time.Duration) error {
+	return WaitUntil(timeout, func() bool {
 		for _, n := range m.Nodes {
 			if n.Version() < version {
 				return false
--- a/briarrock/local/matrix_test.go
+++ b/briarrock/local/matrix_test.go
@@ -23,7 +23,8 @@
 	standinplatform "briarrock.example/standin/platform"
 )
 
-// callMatrix is the file testdata/calls.yaml.
+// callMatrix is the content of testdata/calls.yaml: the steps at which a target
+// fails, the routes, and the states of the store.
 type callMatrix struct {
 	Steps  []string    `yaml:"steps"`
 	Routes []callRoute `yaml:"routes"`
@@ -37,7 +38,8 @@
 	Key    bool   `yaml:"key"`
 }
 
-// callCell is one run: what each of the two targets does.
+// callCell is one combination of the matrix: the step at which each of the two
+// targets fails, the route, and the state of the store.
 type callCell struct {
 	first, second string
 	route         callRoute
@@ -48,8 +50,8 @@
 	return strings.Join([]string{c.first, c.second, c.route.Name, c.store}, "/")
 }
 
-// cells puts each step beside a sound target, and beside itself and every
-// other step; the store's faults go with the calls that use it.
+// cells returns the combinations to test: all pairs of steps on all routes. The
+// store's faults are combined only with the routes that use the store.
 func (m callMatrix) cells() []callCell {
 	var out []callCell
 	for i, a := range m.Steps {
@@ -59,8 +61,8 @@
 					if s != "well" && !r.Key {
 						continue
 					}
-					// Every pair on every route, each with one of the states
-					// of the store; next to a sound target with all of them.
+					// A step is combined with all states of the store if the
+					// other target is healthy ("whole"), otherwise with one.
 					if b != "whole" && r.Key && (i+j)%len(m.Stores) != k {
 						continue
 					}
@@ -84,14 +86,15 @@
       - {path: /orders, methods: [POST], mode: once, deadline: 150ms, retries: 1}
 `
 
-// rawTarget is a target below the level of HTTP: it can break off anywhere.
+// rawTarget is a target that speaks HTTP over a raw TCP connection and can fail at
+// any step of a request.
 type rawTarget struct {
 	l    net.Listener
 	addr string
 	mu   sync.Mutex
 	step string
-	// reached and ran count the requests by id: of which any byte was read,
-	// and which were run.
+	// reached and ran count the requests by id whose head was read, and those
+	// that were run.
 	reached, ran map[string]int
 	stop         context.CancelFunc
 }
@@ -111,8 +114,8 @@
 	_ = t.l.Close()
 }
 
-// announce tells the node of the target, often, so that a cell soon finds one
-// again that the cell before made the node drop.
+// announce announces the target to the node every 10 ms, so that a target that the
+// node dropped in one cell is soon available to the next cell.
 func (t *rawTarget) announce(ctx context.Context, addr string) {
 	b, _ := json.Marshal(map[string]any{"service": "orderdesk", "addr": t.addr, "slots": 4, "connections": 20})
 	for ctx.Err() == nil {
@@ -123,19 +126,19 @@
 	}
 }
 
-func (t *rawTarget) set(step string) {
+func (t *rawTarget) setStep(step string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.step = step
 }
 
-func (t *rawTarget) now() string {
+func (t *rawTarget) currentStep() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.step
 }
 
-func (t *rawTarget) note(m map[string]int, id string) {
+func (t *rawTarget) increment(m map[string]int, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m[id]++
@@ -157,11 +160,12 @@
 	}
 }
 
-// serve reads requests and breaks off where the step says. "refuse" is close
-// to it: the connection is reset before the request can have been read.
+// serve handles the requests of a connection and fails at the current step.
+// "refuse" approximates a refused connection: it resets the connection before a
+// request was read.
 func (t *rawTarget) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	if s := t.now(); s == "refuse" || s == "accept" {
+	if s := t.currentStep(); s == "refuse" || s == "accept" {
 		if s == "refuse" {
 			_ = conn.(*net.TCPConn).SetLinger(0)
 		}
@@ -174,24 +178,24 @@
 			return
 		}
 		id := req.Header.Get("X-Id")
-		t.note(t.reached, id)
-		step := t.now()
+		t.increment(t.reached, id)
+		step := t.currentStep()
 		if step == "head" {
 			return
 		}
 		if _, err := io.Copy(io.Discard, req.Body); err != nil || step == "body" {
 			return
 		}
-		t.note(t.ran, id)
-		if !answerRaw(conn, step, id) {
+		t.increment(t.ran, id)
+		if !writeResponse(conn, step, id) {
 			return
 		}
 	}
 }
 
-// answerRaw writes what the step has left of the answer, and tells whether
-// the connection goes on.
-func answerRaw(conn net.Conn, step, id string) bool {
+// writeResponse writes the part of the response that precedes the failing step,
+// and reports whether the connection stays open.
+func writeResponse(conn net.Conn, step, id string) bool {
 	body := strings.Repeat(id+" ", 50)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
 	switch step {
@@ -229,11 +233,11 @@
 type matrixMesh struct {
 	*local.Mesh
 	targets [2]*rawTarget
-	n       int
+	n       int // requests sent so far, for their ids
 }
 
 func newMatrixMesh(c *qt.C) *matrixMesh {
-	m, err := local.Start(local.Spec{Places: twoRegions[:2], PerDomain: 1})
+	m, err := local.Start(local.Spec{Locations: twoRegions[:2], NodesPerDomain: 1})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(m.Close)
 	out := &matrixMesh{Mesh: m}
@@ -241,44 +245,44 @@
 		out.targets[i] = newRawTarget(c, m.Nodes[i].Cfg.AnnounceAddr)
 		c.Cleanup(out.targets[i].close)
 	}
-	putInForce(c, m, matrixText, 2)
+	applyAndWait(c, m, matrixText, 2)
 	return out
 }
 
-// play runs one cell and returns what is wrong with it.
-func (m *matrixMesh) play(cell callCell) []string {
-	m.targets[0].set(cell.first)
-	m.targets[1].set(cell.second)
+// runCell runs one cell and returns the violations found.
+func (m *matrixMesh) runCell(cell callCell) []string {
+	m.targets[0].setStep(cell.first)
+	m.targets[1].setStep(cell.second)
 	switch cell.store {
 	case "down":
 		m.Platform.Fault(standinplatform.Faults{Down: true})
 	case "lossy":
 		m.Platform.Fault(standinplatform.Faults{LoseResponses: 2})
 	}
-	var broken []string
+	var violations []string
 	ids := make([]string, 0, 3)
-	for entry := range 3 {
+	for round := range 3 {
 		m.n++
 		id := fmt.Sprintf("id-%d", m.n)
 		ids = append(ids, id)
-		broken = append(broken, m.send(cell.route, id, entry%2)...)
+		violations = append(violations, m.sendOnce(cell.route, id, round%2)...)
 		if cell.route.Key {
-			// The caller sends it again through the other node.
-			broken = append(broken, m.send(cell.route, id, (entry+1)%2)...)
+			// The caller retries through the other node.
+			violations = append(violations, m.sendOnce(cell.route, id, (round+1)%2)...)
 		}
 	}
 	m.Platform.Fault(standinplatform.Faults{})
-	m.targets[0].set("whole")
-	m.targets[1].set("whole")
+	m.targets[0].setStep("whole")
+	m.targets[1].setStep("whole")
 	for _, id := range ids {
 		if cell.route.Key {
-			broken = append(broken, m.send(cell.route, id, 0)...)
+			violations = append(violations, m.sendOnce(cell.route, id, 0)...)
 		}
 		if _, ran := m.count(id); cell.route.Name != "repeatable" && ran > 1 {
-			broken = append(broken, fmt.Sprintf("%s ran %d times", id, ran))
+			violations = append(violations, fmt.Sprintf("%s ran %d times", id, ran))
 		}
 	}
-	return broken
+	return violations
 }
 
 func (m *matrixMesh) count(id string) (reached, ran int) {
@@ -289,9 +293,9 @@
 	return reached, ran
 }
 
-// send sends a request once and compares what its caller is told with what
-// the targets did.
-func (m *matrixMesh) send(r callRoute, id string, entry int) []string {
+// sendOnce sends a request once and compares the response with the requests that
+// the targets received and ran. It returns the violations found.
+func (m *matrixMesh) sendOnce(r callRoute, id string, node int) []string {
 	headers := []string{"X-Id", id}
 	if r.Key {
 		headers = append(headers, "Idempotency-Key", id)
@@ -301,31 +305,32 @@
 		body = "ten pallets"
 	}
 	before, _ := m.count(id)
-	a := call(m.Mesh, entry, r.Method, r.Path, body, headers...)
+	a := sendCall(m.Mesh, node, r.Method, r.Path, body, headers...)
 	after, ran := m.count(id)
-	var broken []string
-	wrong := func(format string, args ...any) {
-		broken = append(broken, fmt.Sprintf("%s: %s: ", id, a)+fmt.Sprintf(format, args...))
+	var violations []string
+	report := func(format string, args ...any) {
+		violations = append(violations, fmt.Sprintf("%s: %s: ", id, a)+fmt.Sprintf(format, args...))
 	}
 	switch {
-	case a.err != nil: // cut off: the caller knows that it knows nothing
+	case a.err != nil: // connection closed: the caller can't assume either outcome
 	case a.status == http.StatusOK && a.body != strings.Repeat(id+" ", 50):
-		wrong("passes for whole and is not")
+		report("status 200 with an incomplete or wrong body")
 	case a.status == http.StatusOK && ran == 0:
-		wrong("was answered and never ran")
+		report("status 200 without having run")
 	case a.ran == "no" && after > before:
-		wrong("is said not to have run, and reached a target")
+		report("reported as not run, but reached a target")
 	case a.ran == "" || (a.kind != kind.None && a.status < 400):
-		wrong("does not say whether it ran")
+		report("does not report whether it ran")
 	}
-	return broken
+	return violations
 }
 
-// TestCallMatrix breaks calls off at every step.
+// TestCallMatrix makes targets fail at every step of a request.
 //
-// A caller must never be told "not run" of a request that reached a target,
-// never get half of an answer or another's for a whole one, and an order must
-// never run twice, however often it is sent and whatever the store does.
+// A request that reached a target must never be reported as not run. A caller must
+// never receive a truncated response, or the response of another request, as a
+// complete one. An order must never run twice, however often it is sent and
+// whichever fault the store has.
 func TestCallMatrix(t *testing.T) {
 	c := qt.New(t)
 	b, err := os.ReadFile("testdata/calls.yaml")
@@ -340,8 +345,8 @@
 			t.Parallel()
 			mesh := newMatrixMesh(qt.New(t))
 			for i := g; i < len(cells); i += groups {
-				if broken := mesh.play(cells[i]); len(broken) > 0 {
-					t.Errorf("%s:\n  %s", cells[i], strings.Join(broken[:min(len(broken), 5)], "\n  "))
+				if violations := mesh.runCell(cells[i]); len(violations) > 0 {
+					t.Errorf("%s:\n  %s", cells[i], strings.Join(violations[:min(len(violations), 5)], "\n  "))
 				}
 			}
 		})
--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -23,30 +23,31 @@
 	a, err := local.NewAuthority(c.TempDir())
 	c.Assert(err, qt.IsNil)
 	m, err := local.Start(local.Spec{
-		Places: twoRegions, PerDomain: 1, Services: []string{"orderdesk"}, Authority: a,
+		Locations: twoRegions, NodesPerDomain: 1, Services: []string{"orderdesk"}, Authority: a,
 		Target: standintarget.Config{Slots: 2, Conns: 20},
 	})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(m.Close)
-	c.Assert(m.Joined(patience), qt.IsNil)
+	c.Assert(m.WaitJoined(testTimeout), qt.IsNil)
 	return m, a
 }
 
-// clientFor is an HTTP client with a certificate in a role.
+// clientFor returns an HTTP client with a certificate for a name in a role, and its
+// keys.
 func clientFor(c *qt.C, a *local.Authority, name string, role keys.Role) (*http.Client, *keys.Keys) {
 	files, err := a.Issue(name, role)
 	c.Assert(err, qt.IsNil)
 	k, err := keys.Load(keys.Files{Cert: files.Cert, Key: files.Key, CA: files.CA})
 	c.Assert(err, qt.IsNil)
-	return &http.Client{Transport: &http.Transport{TLSClientConfig: k.ClientConfig()}, Timeout: patience}, k
+	return &http.Client{Transport: &http.Transport{TLSClientConfig: k.ClientConfig()}, Timeout: testTimeout}, k
 }
 
-// TestSecure runs a mesh with certificates and knocks at its doors without the
-// right ones.
+// TestSecure runs a mesh with certificates and connects to it with wrong ones.
 //
-// Whoever gets in as a peer could send any node work or versions, and whoever
-// gets in as an operator could change the text. A certificate of another
-// role, of another authority, or none must get nobody in.
+// A client that is accepted as a peer could send calls or versions to any node,
+// and a client that is accepted as an operator could change the text. A client
+// with a certificate for another role, of another authority, or without one must
+// be rejected.
 func TestSecure(t *testing.T) {
 	c := qt.New(t)
 	m, a := startSecure(c)
@@ -54,48 +55,49 @@
 	res, err := m.Operator(1).Apply(ctx, api.Apply{Text: []byte(meshText), Write: "secure-text"})
 	c.Assert(err, qt.IsNil)
 	c.Assert(res.Outcome, qt.Equals, api.Accepted)
-	c.Assert(m.InForce(1, patience), qt.IsNil)
-	waitUpstreams(c, m, 4)
+	c.Assert(m.WaitInForce(1, testTimeout), qt.IsNil)
+	waitTargets(c, m, 4)
 	for i := range m.Nodes {
-		c.Check(call(m, i, "GET", "/orders", "").status, qt.Equals, http.StatusOK)
+		c.Check(sendCall(m, i, "GET", "/orders", "").status, qt.Equals, http.StatusOK)
 	}
 	h, err := m.Operator(0).History(ctx, 0, 10)
 	c.Assert(err, qt.IsNil)
 	c.Check(h.Entries[0].Who, qt.Equals, "otto")
 
-	other, err := local.NewAuthority(c.TempDir())
+	otherCA, err := local.NewAuthority(c.TempDir())
 	c.Assert(err, qt.IsNil)
 	node := m.Nodes[0].Cfg
-	asNode, nodeKeys := clientFor(c, a, "northgate-9", keys.Node)
-	asOperator, operatorKeys := clientFor(c, a, "eve", keys.Operator)
-	stranger, _ := clientFor(c, other, "northgate-9", keys.Node)
+	nodeClient, nodeKeys := clientFor(c, a, "northgate-9", keys.Node)
+	operatorClient, operatorKeys := clientFor(c, a, "eve", keys.Operator)
+	untrusted, _ := clientFor(c, otherCA, "northgate-9", keys.Node)
 
-	// A node's certificate is no operator's.
-	_, err = api.New(asNode, "https://"+node.OperatorAddr, "").Status(ctx)
+	// The operator API rejects a node's certificate.
+	_, err = api.New(nodeClient, "https://"+node.OperatorAddr, "").Status(ctx)
 	c.Check(err, qt.ErrorMatches, ".*401.*")
-	// An operator's is no node's, where calls come in.
-	r, err := asOperator.Get("https://" + node.CallAddr + "/orders")
+	// The call address, which nodes use, rejects an operator's certificate.
+	r, err := operatorClient.Get("https://" + node.CallAddr + "/orders")
 	c.Assert(err, qt.IsNil)
 	_ = r.Body.Close()
 	c.Check(r.Header.Get(kind.HeaderKind), qt.Equals, string(kind.Caller))
-	// Another authority's, or none, ends in the handshake.
-	_, err = stranger.Get("https://" + node.CallAddr + "/orders")
+	// A certificate of another authority fails in the TLS handshake, and plaintext
+	// is rejected.
+	_, err = untrusted.Get("https://" + node.CallAddr + "/orders")
 	c.Check(err, qt.IsNotNil)
-	plain, err := http.Get("http://" + node.CallAddr + "/orders")
+	plaintext, err := http.Get("http://" + node.CallAddr + "/orders")
 	if err == nil {
-		_ = plain.Body.Close()
-		c.Check(plain.StatusCode, qt.Equals, http.StatusBadRequest)
+		_ = plaintext.Body.Close()
+		c.Check(plaintext.StatusCode, qt.Equals, http.StatusBadRequest)
 	}
 
-	// A peer must be what its certificate says.
+	// A peer must be a node and use the name in its certificate.
 	c.Check(linkAs(c, node.PeerAddr, operatorKeys, "eve"), qt.IsFalse)
 	c.Check(linkAs(c, node.PeerAddr, nodeKeys, "millbank-0"), qt.IsFalse)
 	c.Check(linkAs(c, node.PeerAddr, nodeKeys, "northgate-9"), qt.IsTrue)
 	c.Check(linkAs(c, node.PeerAddr, nil, "northgate-9"), qt.IsFalse)
 }
 
-// linkAs tries to open a link to a node under a name, and tells whether the
-// node answered its hello.
+// linkAs tries to open a link to a node under a name, and reports whether the node
+// accepted it and sent its members.
 func linkAs(c *qt.C, addr string, k *keys.Keys, name string) bool {
 	var p peer.Keys
 	if k != nil {
@@ -109,7 +111,7 @@
 	links := peer.NewLinks(peer.Config{
 		Self:     peer.Member{Host: name, Domain: "elsewhere", Region: "elsewhere", Peer: l.Addr().String(), Call: "127.0.0.1:1", Incarnation: 1},
 		Contacts: []string{addr},
-	}, peer.Deps{Store: noStore{}, Keys: p, Listener: l, Hooks: peer.Hooks{
+	}, peer.Deps{Store: unavailableStore{}, Keys: p, Listener: l, Hooks: peer.Hooks{
 		Use: func(peer.Use) {}, Publish: func(peer.Publish) {}, Held: func(peer.Held) {},
 	}})
 	defer links.Close()
@@ -118,14 +120,14 @@
 		links.Ask(func(h *peer.Core) { n = h.Members() })
 		return n > 1
 	}
-	return local.Until(refusedWithin, linked) == nil
+	return local.WaitUntil(linkTimeout, linked) == nil
 }
 
-// refusedWithin is how long linkAs tries: many attempts, each refused.
-const refusedWithin = 2 * time.Second
+// linkTimeout is long enough for many connection attempts of linkAs.
+const linkTimeout = 2 * time.Second
 
-// TestReload replaces the key files of a running node: new connections use
-// them, and files that are not good change nothing.
+// TestReload replaces the key files of a running node: new connections must use
+// the new files, and invalid files must not change the certificate in use.
 func TestReload(t *testing.T) {
 	c := qt.New(t)
 	m, a := startSecure(c)
--- a/briarrock/process/process_test.go
+++ b/briarrock/process/process_test.go
@@ -50,7 +50,7 @@
 }
 
 // patience only ends a test that would hang.
-const patience = 90 * time.Second
+const testTimeout = 90 * time.Second
 
 // host is a target host with its process.
 type host struct {
@@ -208,13 +208,13 @@
 // until waits for something that a command's output shows.
 func (f *fleet) until(what string, ok func() bool) {
 	f.c.Helper()
-	f.c.Assert(local.Until(patience, ok), qt.IsNil, qt.Commentf("%s", what))
+	f.c.Assert(local.WaitUntil(testTimeout, ok), qt.IsNil, qt.Commentf("%s", what))
 }
 
 // ready waits until every host answers operators and knows all the others.
 func (f *fleet) ready() {
 	last := ""
-	err := local.Until(patience, func() bool {
+	err := local.WaitUntil(testTimeout, func() bool {
 		for _, h := range f.hosts {
 			s, err := f.status(h)
 			if err != nil || !s.Whole || members(s) != len(f.hosts) {
