--- a/briarrock/process/pages_test.go
+++ b/briarrock/process/pages_test.go
@@ -12,12 +12,12 @@
 	"briarrock.example/briarrock/command"
 )
 
-// TestPages runs every command of the operators' pages, in their order,
-// against a mesh of real processes. A command that the pages show must work.
-func TestPages(t *testing.T) {
+// TestDocumentedCommands runs every command line of the operator documentation, in
+// order, against a mesh of real processes. A documented command must succeed.
+func TestDocumentedCommands(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 1)
-	f.ready()
+	f.waitReady()
 	root, err := filepath.Abs("../..")
 	c.Assert(err, qt.IsNil)
 	for _, page := range []string{"INSTALL.md", "OPERATING.md"} {
@@ -26,7 +26,7 @@
 		lines := regexp.MustCompile(`(?m)^\$ briarrock (.*)$`).FindAllStringSubmatch(string(b), -1)
 		c.Assert(len(lines) > 3, qt.IsTrue)
 		for _, m := range lines {
-			args := words(m[1])
+			args := splitArgs(m[1])
 			for i, a := range args {
 				switch {
 				case strings.HasPrefix(a, "examples/"):
@@ -36,7 +36,8 @@
 				}
 			}
 			code, out := f.run(f.hosts[0], args...)
-			// No target runs in this mesh, which is all that explain may mind.
+			// explain fails because no target runs in this mesh; check that it
+			// found the route.
 			if args[0] == "explain" {
 				c.Check(out, qt.Contains, "GET /ledgers", qt.Commentf("%s: %s", m[0], out))
 				continue
@@ -46,8 +47,8 @@
 	}
 }
 
-// words splits a command line at spaces outside of quotes.
-func words(s string) []string {
+// splitArgs splits a command line at spaces outside of quotes.
+func splitArgs(s string) []string {
 	var out []string
 	for _, m := range regexp.MustCompile(`"([^"]*)"|(\S+)`).FindAllStringSubmatch(s, -1) {
 		out = append(out, m[1]+m[2])
--- a/briarrock/process/process_test.go
+++ b/briarrock/process/process_test.go
@@ -1,5 +1,5 @@
-// Package process tests briarrock as it is run: real briarrockd processes, the
-// command line, the stand-in platform, and faulty wires in between.
+// Package process tests briarrock end to end: briarrockd processes, the command
+// line, the stand-in platform, and fault-injecting proxies between them.
 package process_test
 
 import (
@@ -29,17 +29,17 @@
 	"briarrock.example/standin/wire"
 )
 
-var program string
+var daemonPath string
 
-// TestMain builds the daemon once.
+// TestMain builds briarrockd once for all tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "briarrock")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	program = filepath.Join(dir, "briarrockd")
-	out, err := exec.Command("go", "build", "-o", program, "briarrock.example/briarrockd").CombinedOutput()
+	daemonPath = filepath.Join(dir, "briarrockd")
+	out, err := exec.Command("go", "build", "-o", daemonPath, "briarrock.example/briarrockd").CombinedOutput()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s%v\n", out, err)
 		os.Exit(1)
@@ -49,10 +49,10 @@
 	os.Exit(code)
 }
 
-// patience only ends a test that would hang.
+// testTimeout ends a test that would hang.
 const testTimeout = 90 * time.Second
 
-// host is a target host with its process.
+// host is a host with its briarrockd process.
 type host struct {
 	name, domain, region string
 	caller, call, peer   string
@@ -62,7 +62,7 @@
 	log                  *logBuffer
 }
 
-// logBuffer collects what a process logs while a test may read it.
+// logBuffer collects a process's log for concurrent reading by a test.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -75,27 +75,29 @@
 	return l.b.Write(p)
 }
 
-// String returns what has been logged so far.
+// String returns the log written so far.
 func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-// fleet is a platform and some hosts in two regions of two domains.
+// fleet is a stand-in platform and a number of hosts in two regions of two domains
+// each.
 type fleet struct {
 	c     *qt.C
 	dir   string
 	store *standinplatform.Server
-	// wires stand before the peer address of each host, and before the store.
-	wires     []*wire.Proxy
-	storeWire *wire.Proxy
-	hosts     []*host
+	// peerProxies forward to the peer address of each host, storeProxy to the
+	// store.
+	peerProxies []*wire.Proxy
+	storeProxy  *wire.Proxy
+	hosts       []*host
 }
 
-// Ports for the processes: below those that the system gives to outgoing
-// connections, one of which would otherwise sit on a host's port just when it
-// is restarted, as a host's real ports are.
+// Range of the processes' ports. It is below the ephemeral port range, as the ports
+// of a deployment are: otherwise an outgoing connection could occupy a host's port
+// while its process restarts.
 const (
 	firstPort = 12000
 	lastPort  = 30000
@@ -103,7 +105,7 @@
 
 var nextPort atomic.Int64
 
-// freeAddr finds a port that nobody listens at.
+// freeAddr returns a loopback address with a free port.
 func freeAddr(c *qt.C) string {
 	for {
 		port := firstPort + (int64(os.Getpid())*97+nextPort.Add(1))%(lastPort-firstPort)
@@ -121,9 +123,9 @@
 	srv := httptest.NewServer(f.store)
 	c.Cleanup(srv.Close)
 	var err error
-	f.storeWire, err = wire.New("127.0.0.1:0", srv.Listener.Addr().String())
+	f.storeProxy, err = wire.New("127.0.0.1:0", srv.Listener.Addr().String())
 	c.Assert(err, qt.IsNil)
-	c.Cleanup(f.storeWire.Close)
+	c.Cleanup(f.storeProxy.Close)
 	for i := range perDomain {
 		for _, d := range []string{"erie-a", "erie-b", "superior-a", "superior-b"} {
 			f.addHost(i, d)
@@ -136,9 +138,9 @@
 	return f
 }
 
-// addHost makes a host's settings. The others know its peer address by that
-// of a wire, which is also what the process says of itself: it listens at
-// another port behind it.
+// addHost adds a host and writes its settings. The host announces the address of a
+// proxy as its peer address, and listens at another port, to which the proxy
+// forwards.
 func (f *fleet) addHost(i int, domain string) {
 	c := f.c
 	region, _, _ := strings.Cut(domain, "-")
@@ -149,11 +151,11 @@
 	w, err := wire.New("127.0.0.1:0", h.peer)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(w.Close)
-	f.wires = append(f.wires, w)
+	f.peerProxies = append(f.peerProxies, w)
 	f.hosts = append(f.hosts, h)
 	var contacts []string
 	for j := range min(len(f.hosts), 4) {
-		contacts = append(contacts, f.wires[j].Addr())
+		contacts = append(contacts, f.peerProxies[j].Addr())
 	}
 	h.settings = filepath.Join(f.dir, h.name+".yaml")
 	text := fmt.Sprintf(`host: %s
@@ -172,12 +174,12 @@
 drain: 10s
 log: {format: json, level: info}
 `, h.name, h.domain, h.region, h.caller, h.call, h.peer, w.Addr(), h.operator, h.announce,
-		strings.Join(contacts, ", "), f.storeWire.Addr())
+		strings.Join(contacts, ", "), f.storeProxy.Addr())
 	c.Assert(os.WriteFile(h.settings, []byte(text), 0o600), qt.IsNil)
 }
 
 func (f *fleet) start(h *host) {
-	h.cmd = exec.Command(program, "--config", h.settings)
+	h.cmd = exec.Command(daemonPath, "--config", h.settings)
 	h.cmd.Stderr = h.log
 	f.c.Assert(h.cmd.Start(), qt.IsNil)
 }
@@ -196,8 +198,8 @@
 	}
 }
 
-// run runs the command line against a host and returns its exit code and what
-// it wrote.
+// run runs the command line against a host, with "no" as the input, and returns its
+// exit code and output.
 func (f *fleet) run(h *host, args ...string) (int, string) {
 	var out, errs bytes.Buffer
 	args = append(args, "--node", "http://"+h.operator)
@@ -205,28 +207,30 @@
 	return code, out.String() + errs.String()
 }
 
-// until waits for something that a command's output shows.
-func (f *fleet) until(what string, ok func() bool) {
+// waitUntil waits until ok returns true, and fails the test after testTimeout.
+func (f *fleet) waitUntil(what string, ok func() bool) {
 	f.c.Helper()
 	f.c.Assert(local.WaitUntil(testTimeout, ok), qt.IsNil, qt.Commentf("%s", what))
 }
 
-// ready waits until every host answers operators and knows all the others.
-func (f *fleet) ready() {
-	last := ""
+// waitReady waits until every host serves its operator API and its status lists all
+// hosts.
+func (f *fleet) waitReady() {
+	lastStatus := ""
 	err := local.WaitUntil(testTimeout, func() bool {
 		for _, h := range f.hosts {
 			s, err := f.status(h)
 			if err != nil || !s.Whole || members(s) != len(f.hosts) {
-				last = fmt.Sprintf("%s: %v %+v\n%s", h.name, err, s, h.log)
+				lastStatus = fmt.Sprintf("%s: %v %+v\n%s", h.name, err, s, h.log)
 				return false
 			}
 		}
 		return true
 	})
-	f.c.Assert(err, qt.IsNil, qt.Commentf("the hosts find each other: %s", last))
+	f.c.Assert(err, qt.IsNil, qt.Commentf("waiting for all hosts to join: %s", lastStatus))
 }
 
+// members returns the number of members in a status.
 func members(s api.Status) int {
 	n := 0
 	for _, d := range s.Domains {
@@ -241,9 +245,9 @@
 	return api.New(http.DefaultClient, "http://"+h.operator, "").Status(ctx)
 }
 
-// inForce waits until every host that runs serves a version.
-func (f *fleet) inForce(version uint64) {
-	f.until(fmt.Sprintf("version %d is in force", version), func() bool {
+// waitInForce waits until every running host serves a version or a newer one.
+func (f *fleet) waitInForce(version uint64) {
+	f.waitUntil(fmt.Sprintf("waiting for version %d to be in force", version), func() bool {
 		for _, h := range f.hosts {
 			s, err := f.status(h)
 			if h.cmd != nil && (err != nil || s.Version < version) {
@@ -254,6 +258,7 @@
 	})
 }
 
+// text writes a text with the given number of slots and returns its path.
 func (f *fleet) text(slots int) string {
 	path := filepath.Join(f.dir, fmt.Sprintf("mesh-%d.yaml", slots))
 	text := fmt.Sprintf("mesh: lakeshore\nservices:\n  - {name: posting, upstreams: 4, slots: %d, connections: 110, "+
@@ -262,8 +267,8 @@
 	return path
 }
 
-// versionsInUse reads from a host's log which versions its processes served.
-func versionsInUse(log string) []int {
+// servedVersions returns the versions that a host served, in order, from its log.
+func servedVersions(log string) []int {
 	var out []int
 	for _, line := range strings.Split(log, "\n") {
 		var e struct {
@@ -277,77 +282,80 @@
 	return out
 }
 
-// neverBack checks that no process of the host served an older version than
-// one before it.
-func (h *host) neverBack(c *qt.C) {
-	used := versionsInUse(h.log.String())
-	for i := 1; i < len(used); i++ {
-		c.Check(used[i] >= used[i-1], qt.IsTrue, qt.Commentf("%s served %v", h.name, used))
+// checkNoDowngrade checks that the host never served an older version after a newer
+// one, across all of its processes.
+func (h *host) checkNoDowngrade(c *qt.C) {
+	versions := servedVersions(h.log.String())
+	for i := 1; i < len(versions); i++ {
+		c.Check(versions[i] >= versions[i-1], qt.IsTrue, qt.Commentf("%s served %v", h.name, versions))
 	}
 }
 
-// TestDay is an operator's day on real processes: apply, edit, conflict, an
-// edit whose answer is lost, a host that is replaced, a graceful stop.
-func TestDay(t *testing.T) {
+// TestOperatorWorkflow runs an operator's commands against real processes: apply,
+// an invalid text, a conflict, an edit whose response is lost, prompts, a store
+// outage with a restarted host, revert, history, and a graceful stop.
+func TestOperatorWorkflow(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 1)
-	f.ready()
-	one := f.hosts[0]
+	f.waitReady()
+	first := f.hosts[0]
 
-	code, out := f.run(one, "apply", f.text(20), "--yes", "--wait", "--timeout", "60s")
+	code, out := f.run(first, "apply", f.text(20), "--yes", "--wait", "--timeout", "60s")
 	c.Assert(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
 	c.Assert(out, qt.Contains, "in force everywhere")
 
-	// A mistake changes nothing and names its place.
-	bad := filepath.Join(f.dir, "bad.yaml")
-	c.Assert(os.WriteFile(bad, []byte("mesh: lakeshore\nservices:\n  - {name: posting, upstreams: 0}\n"), 0o600), qt.IsNil)
-	code, out = f.run(one, "apply", bad)
+	// An invalid text is rejected with the position of the mistake.
+	invalid := filepath.Join(f.dir, "bad.yaml")
+	c.Assert(os.WriteFile(invalid, []byte("mesh: lakeshore\nservices:\n  - {name: posting, upstreams: 0}\n"), 0o600), qt.IsNil)
+	code, out = f.run(first, "apply", invalid)
 	c.Check(code, qt.Equals, command.ExitInvalid)
 	c.Check(out, qt.Contains, "bad.yaml:3:32:")
 
-	// Two operators begin from version 1; the second is shown the first.
-	code, out = f.run(one, "apply", f.text(21), "--base", "1")
+	// Two operators edit version 1; the second gets a conflict that shows the
+	// change of the first.
+	code, out = f.run(first, "apply", f.text(21), "--base", "1")
 	c.Assert(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
 	code, out = f.run(f.hosts[3], "apply", f.text(22), "--base", "1")
 	c.Check(code, qt.Equals, command.ExitConflict)
 	c.Check(out, qt.Contains, "Slots 20 → 21")
 
-	// The answer to the head's write is lost: accepted, once.
+	// The response to the write of the head is lost: the edit is accepted once.
 	f.store.Fault(standinplatform.Faults{LoseResponses: 1, SkipWrites: 2})
 	code, out = f.run(f.hosts[2], "apply", f.text(23), "--base", "2", "--write", "lost-answer")
 	c.Assert(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
 	f.store.Fault(standinplatform.Faults{})
-	code, out = f.run(one, "apply", f.text(23), "--yes", "--write", "lost-answer")
+	code, out = f.run(first, "apply", f.text(23), "--yes", "--write", "lost-answer")
 	c.Check(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
-	f.inForce(3)
+	f.waitInForce(3)
 
-	// A text that names no base is asked about, and so is one that takes a
-	// route away; "no" changes nothing.
-	code, out = f.run(one, "apply", f.text(24))
+	// A text without a base and a text that removes a route need confirmation;
+	// the answer "no" changes nothing.
+	code, out = f.run(first, "apply", f.text(24))
 	c.Check(code, qt.Equals, command.ExitRefused)
 	c.Check(out, qt.Contains, "does not say which version it began from")
-	gone := filepath.Join(f.dir, "gone.yaml")
-	c.Assert(os.WriteFile(gone, []byte("mesh: lakeshore\nservices:\n  - {name: posting, upstreams: 4}\n"), 0o600), qt.IsNil)
-	code, out = f.run(one, "apply", gone, "--base", "3")
+	removal := filepath.Join(f.dir, "gone.yaml")
+	c.Assert(os.WriteFile(removal, []byte("mesh: lakeshore\nservices:\n  - {name: posting, upstreams: 4}\n"), 0o600), qt.IsNil)
+	code, out = f.run(first, "apply", removal, "--base", "3")
 	c.Check(code, qt.Equals, command.ExitRefused)
 	c.Check(out, qt.Contains, "posting * /old")
 
-	// The store is down: what is in force goes on, edits are refused.
-	f.storeWire.Set(wire.Fault{Cut: true})
-	code, out = f.run(one, "apply", f.text(24), "--yes")
+	// The store is down: edits are refused, and the version in force stays in
+	// force.
+	f.storeProxy.Set(wire.Fault{Cut: true})
+	code, out = f.run(first, "apply", f.text(24), "--yes")
 	c.Check(code, qt.Equals, command.ExitRefused, qt.Commentf("%s", out))
 	c.Check(out, qt.Contains, "nothing changed")
-	// A host is replaced meanwhile: it serves what its peers hold.
+	// A host that restarts meanwhile gets the version from its peers.
 	f.kill(f.hosts[1])
 	f.start(f.hosts[1])
-	f.inForce(3)
-	f.storeWire.Set(wire.Fault{})
+	f.waitInForce(3)
+	f.storeProxy.Set(wire.Fault{})
 
-	f.until("the store is read again", func() bool {
-		code, out = f.run(one, "revert", "1", "--wait")
+	f.waitUntil("waiting for the store to be available", func() bool {
+		code, out = f.run(first, "revert", "1", "--wait")
 		return code == command.ExitDone
 	})
-	code, out = f.run(one, "history")
+	code, out = f.run(first, "history")
 	c.Check(code, qt.Equals, command.ExitDone)
 	c.Check(out, qt.Contains, "revert to version 1")
 	c.Check(strings.Count(out, "version 3 "), qt.Equals, 1, qt.Commentf("%s", out))
@@ -358,20 +366,20 @@
 	for _, h := range f.hosts {
 		c.Check(h.cmd.Wait(), qt.IsNil, qt.Commentf("graceful stop of %s", h.name))
 		h.cmd = nil
-		h.neverBack(c)
+		h.checkNoDowngrade(c)
 	}
 }
 
-// TestHerd kills half of the hosts and restarts them at once, twice, cuts a
-// domain off and heals it, and lets links go silent, with edits in between.
+// TestMassRestart kills half of the hosts and restarts them at once, twice,
+// partitions a domain and heals the partition, and blackholes all open links, with
+// edits in between.
 //
-// An operator sees all of it as a status that is whole again without his
-// help, on the newest version; and no host's log shows an older version after
-// a newer one.
-func TestHerd(t *testing.T) {
+// Without intervention the status must become complete again with the newest
+// version, and no host's log may show an older version after a newer one.
+func TestMassRestart(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 2)
-	f.ready()
+	f.waitReady()
 	code, out := f.run(f.hosts[0], "apply", f.text(20), "--yes", "--wait", "--timeout", "60s")
 	c.Assert(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
 	for round := range 2 {
@@ -387,72 +395,73 @@
 				f.start(h)
 			}
 		}
-		f.inForce(uint64(2 + round))
+		f.waitInForce(uint64(2 + round))
 	}
-	f.ready()
+	f.waitReady()
 
-	f.cut("superior-b", true)
+	f.setCut("superior-b", true)
 	code, out = f.run(f.hosts[0], "apply", f.text(30), "--yes")
 	c.Assert(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
-	f.cut("superior-b", false)
-	f.inForce(4)
+	f.setCut("superior-b", false)
+	f.waitInForce(4)
 
-	for _, w := range f.wires {
+	for _, w := range f.peerProxies {
 		w.Set(wire.Fault{Blackhole: true})
 	}
 	code, out = f.run(f.hosts[2], "apply", f.text(31), "--yes", "--wait", "--timeout", "60s")
 	c.Assert(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
-	f.ready()
+	f.waitReady()
 	for _, h := range f.hosts {
-		h.neverBack(c)
+		h.checkNoDowngrade(c)
 	}
 }
 
-// TestPaidLink puts one region behind a slow, narrow link: 20 ms each way and
-// 30 Mbit/s, to its peers and to the store.
+// TestSlowRegionLink puts the peer addresses of one region, and the store, behind
+// links of 20 ms one-way delay and 30 Mbit/s.
 //
-// An operator who edits there sees the same as anywhere: accepted, in force
-// everywhere, and the other region's hosts have it too.
-func TestPaidLink(t *testing.T) {
+// An edit must be accepted and get in force on all hosts, whichever region's host
+// it is sent to.
+func TestSlowRegionLink(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 2)
 	for i, h := range f.hosts {
 		if h.region == "superior" {
-			f.wires[i].Set(wire.Fault{Delay: 20 * time.Millisecond, Rate: 30e6 / 8})
+			f.peerProxies[i].Set(wire.Fault{Delay: 20 * time.Millisecond, Rate: 30e6 / 8})
 		}
 	}
-	f.storeWire.Set(wire.Fault{Delay: 20 * time.Millisecond, Rate: 30e6 / 8})
-	f.ready()
+	f.storeProxy.Set(wire.Fault{Delay: 20 * time.Millisecond, Rate: 30e6 / 8})
+	f.waitReady()
 	for n, h := range []*host{f.hosts[0], f.hosts[2], f.hosts[7]} {
 		code, out := f.run(h, "apply", f.text(20+n), "--yes", "--wait", "--timeout", "60s")
 		c.Assert(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
-		f.inForce(uint64(n + 1))
+		f.waitInForce(uint64(n + 1))
 	}
 }
 
-// cut cuts the peer addresses of a domain's hosts off, or heals them.
-func (f *fleet) cut(domain string, on bool) {
+// setCut makes the proxies of a domain's peer addresses refuse connections, or
+// restores them.
+func (f *fleet) setCut(domain string, on bool) {
 	for i, h := range f.hosts {
 		if h.domain == domain {
-			f.wires[i].Set(wire.Fault{Cut: on})
+			f.peerProxies[i].Set(wire.Fault{Cut: on})
 		}
 	}
 }
 
-// TestSettings starts the daemon with settings that are wrong: it says where,
-// all at once, and exits with 2.
+// TestSettings starts the daemon with invalid settings: it must report all mistakes
+// with their positions and exit with code 2.
 func TestSettings(t *testing.T) {
 	c := qt.New(t)
 	path := filepath.Join(c.TempDir(), "bad.yaml")
 	c.Assert(os.WriteFile(path, []byte("host: A\ndomain: erie-a\ncolour: blue\nstall: 1us\npeer: localhost:80\n"), 0o600), qt.IsNil)
-	out, err := exec.Command(program, "--config", path).CombinedOutput()
+	out, err := exec.Command(daemonPath, "--config", path).CombinedOutput()
 	var exit *exec.ExitError
 	c.Assert(err, qt.ErrorAs, &exit)
 	c.Check(exit.ExitCode(), qt.Equals, 2)
 	for _, place := range []string{":1:7:", ":3:1:", ":4:8:", ":5:7:", "needs the field \"platform\""} {
 		c.Check(string(out), qt.Contains, place)
 	}
-	out, err = exec.Command(program).CombinedOutput()
+	out, err = exec.Command(daemonPath).CombinedOutput()
 	c.Assert(err, qt.ErrorAs, &exit)
 	c.Check(exit.ExitCode(), qt.Equals, 2)
 	c.Check(string(out), qt.Contains, "--config is missing")
