--- a/bench/calls.go
+++ b/bench/calls.go
@@ -17,15 +17,16 @@
 	"briarrock.example/standin/target"
 )
 
-// The service that calls are measured on.
+// Service that the calls are sent to.
 const (
-	callService = "orderdesk"
-	callWork    = 10 * time.Millisecond
-	callSlots   = 6
-	callFor     = 4 * time.Second
+	callService  = "orderdesk"
+	callWork     = 10 * time.Millisecond
+	callSlots    = 6
+	callDuration = 4 * time.Second
 )
 
-// serviceText is a text of the one service, with so many slots a target.
+// serviceText returns a text with one service. slots is the number of slots of each
+// target, deadline that of GET calls.
 func serviceText(slots int, deadline time.Duration) []byte {
 	return fmt.Appendf(nil, `
 mesh: bench
@@ -41,8 +42,9 @@
 `, slots, max(2*slots, 8), deadline)
 }
 
-// callMesh starts nodes with one target of the service in each domain, and bare
-// nodes without a target beside them as entries.
+// callMesh starts a mesh in which half of the nodes of each domain have a target of
+// the service. The targets of the others belong to a service "spare" that gets no
+// calls; these nodes serve as entry nodes. work is the processing time of a request.
 func callMesh(http1 bool, work time.Duration, perDomain int) (*local.Mesh, error) {
 	m, err := local.Start(local.Spec{
 		Locations: fourDomains, NodesPerDomain: perDomain, Services: []string{callService, "spare"}, HTTP1: http1,
@@ -52,64 +54,67 @@
 	if err != nil {
 		return nil, err
 	}
-	return m, ready(m, serviceText(callSlots, loadUseful))
+	return m, applyAndWait(m, serviceText(callSlots, loadUseful))
 }
 
-// ready puts a text in force and waits until the targets are known.
-func ready(m *local.Mesh, text []byte) error {
-	if err := m.WaitJoined(joinWithin); err != nil {
-		return errors.Wrap(err, "join")
+// applyAndWait applies a text and waits until it is in force and all nodes see the
+// targets.
+func applyAndWait(m *local.Mesh, text []byte) error {
+	if err := m.WaitJoined(joinTimeout); err != nil {
+		return errors.Wrap(err, "waiting for the nodes to join")
 	}
 	res, err := m.Operator(0).Apply(context.Background(), api.Apply{Text: text, Write: "bench-calls"})
 	if err != nil || res.Outcome != api.Accepted {
 		return errors.Errorf("apply: %v %v", res, err)
 	}
-	if err := m.WaitInForce(1, forceWithin); err != nil {
-		return errors.Wrap(err, "in force")
+	if err := m.WaitInForce(1, inForceTimeout); err != nil {
+		return errors.Wrap(err, "waiting for the text to be in force")
 	}
-	return errors.Wrap(local.WaitUntil(joinWithin, func() bool {
+	return errors.Wrap(local.WaitUntil(joinTimeout, func() bool {
 		for _, n := range m.Nodes {
 			if n.LiveTargets(callService) < len(m.Nodes)/len(m.Spec.Services) {
 				return false
 			}
 		}
 		return true
-	}), "targets known")
+	}), "waiting for all nodes to see the targets")
 }
 
-// tally is what a load was told.
-type tally struct {
-	good, notRun, other atomic.Int64
-	mu                  sync.Mutex
-	hist                *hdrhistogram.Histogram
-	// limit, if set, is how late an answer may be and still be useful.
+// callResults counts the results of calls and records the latency of successful
+// ones.
+type callResults struct {
+	succeeded, notRun, failed atomic.Int64
+	mu                        sync.Mutex
+	histogram                 *hdrhistogram.Histogram
+	// limit, if set, is the latency above which a response counts as failed.
 	limit time.Duration
 }
 
-func newTally() *tally { return &tally{hist: hdrhistogram.New(1, 60e6, 3)} }
+func newCallResults() *callResults { return &callResults{histogram: hdrhistogram.New(1, 60e6, 3)} }
 
-func (t *tally) took(d time.Duration) {
+func (t *callResults) recordLatency(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = t.hist.RecordValue(max(d.Microseconds(), 1))
+	_ = t.histogram.RecordValue(max(d.Microseconds(), 1))
 }
 
-func (t *tally) ms(q float64) float64 { return float64(t.hist.ValueAtQuantile(q)) / 1000 }
+// ms returns the q-th percentile of the latency in milliseconds.
+func (t *callResults) ms(q float64) float64 { return float64(t.histogram.ValueAtQuantile(q)) / 1000 }
 
-// giveUp is when a caller of a load goes away.
-const giveUp = time.Second
+// callerTimeout is the time after which a caller of a load cancels its call.
+const callerTimeout = time.Second
 
-// callers is the client that loads are sent with.
-func callers() *http.Client {
+// newClient returns the HTTP client that loads are sent with.
+func newClient() *http.Client {
 	return &http.Client{
-		Timeout:   giveUp,
+		Timeout:   callerTimeout,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 2048, IdleConnTimeout: time.Minute},
 	}
 }
 
-// one sends a call and notes what came of it.
-func (t *tally) one(c *http.Client, addr string) {
-	began := time.Now()
+// sendCall sends a call and records its result.
+func (t *callResults) sendCall(c *http.Client, addr string) {
+	started := time.Now()
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+addr+"/orders/1", nil)
 	if err != nil {
 		return
@@ -117,100 +122,103 @@
 	req.Host = callService
 	res, err := c.Do(req)
 	if err != nil {
-		t.other.Add(1)
+		t.failed.Add(1)
 		return
 	}
 	_, err = io.Copy(io.Discard, res.Body)
 	_ = res.Body.Close()
 	switch {
-	case err == nil && res.StatusCode == http.StatusOK && t.limit > 0 && time.Since(began) > t.limit:
-		t.other.Add(1)
+	case err == nil && res.StatusCode == http.StatusOK && t.limit > 0 && time.Since(started) > t.limit:
+		t.failed.Add(1)
 	case err == nil && res.StatusCode == http.StatusOK:
-		t.good.Add(1)
-		t.took(time.Since(began))
+		t.succeeded.Add(1)
+		t.recordLatency(time.Since(started))
 	case res.Header.Get("Briarrock-Ran") == "no":
 		t.notRun.Add(1)
 	default:
-		t.other.Add(1)
+		t.failed.Add(1)
 	}
 }
 
-// openLoad sends calls at a steady rate, whatever becomes of them, to
-// addresses in turn. Each call's time counts from when it was due.
-func openLoad(t *tally, addrs []string, perSecond float64, d time.Duration) {
-	c := callers()
+// openLoad sends an open-loop load to addresses in turn: calls at a constant rate,
+// independent of the completion of earlier calls. The latency of a call counts from
+// its start, which is the time at which it is due.
+func openLoad(t *callResults, addrs []string, perSecond float64, d time.Duration) {
+	c := newClient()
 	var wg sync.WaitGroup
 	gap := time.Duration(float64(time.Second) / perSecond)
 	next := time.Now()
 	for i := 0; next.Before(time.Now().Add(d)) && i < int(perSecond*d.Seconds()); i++ {
 		time.Sleep(time.Until(next))
 		next = next.Add(gap)
-		wg.Go(func() { t.one(c, addrs[i%len(addrs)]) })
+		wg.Go(func() { t.sendCall(c, addrs[i%len(addrs)]) })
 	}
 	wg.Wait()
 	c.CloseIdleConnections()
 }
 
-func callsMeasure() measure {
-	return measure{name: "calls", help: "what one and two nodes add to a call, beside the direct call", run: calls}
+func callsBenchmark() benchmark {
+	return benchmark{name: "calls", help: "what one and two nodes add to a call, beside the direct call", run: calls}
 }
 
-// callShares are the loads, as shares of the targets' capacity.
-var callShares = []float64{0.1, 0.5, 0.8}
+// loadFractions are the loads as fractions of the capacity of the targets.
+var loadFractions = []float64{0.1, 0.5, 0.8}
 
-// calls measures latency at shares of the capacity: four targets of six slots
-// and 10 ms of work do 2,400 calls a second.
+// calls measures the latency at fractions of the capacity. Four targets with six
+// slots and 10 ms of work per call have a capacity of 2,400 calls per second.
 func calls(o options) (*table, error) {
 	t := &table{
 		Name: "added latency",
 		Note: fmt.Sprintf("GET of a few bytes, %v of work, 4 targets of %d slots, open load for %v; medians of %d runs; "+
-			"the load generator, the nodes and the targets share one process and the machine's cores", callWork, callSlots, callFor, o.runs),
+			"the load generator, the nodes and the targets share one process and the machine's cores", callWork, callSlots, callDuration, o.runs),
 		Heads: []string{"way", "load %", "p50 ms", "p99 ms", "+p50 ms", "+p99 ms", "core µs/call", "not run", "failed"},
 	}
-	ways, closeAll, err := callWays()
+	setups, closeAll, err := callSetups()
 	if err != nil {
 		return nil, err
 	}
 	defer closeAll()
 	capacity := float64(len(fourDomains)*callSlots) / callWork.Seconds()
-	for _, share := range callShares {
+	for _, share := range loadFractions {
 		var base [2]float64
-		for i, way := range ways {
-			var p50, p99, cpu, no, bad []float64
+		for i, callSetup := range setups {
+			var p50, p99, cpu, notRun, failed []float64
 			for range o.runs {
-				x := newTally()
-				from := cpuNow()
-				openLoad(x, way.addrs, capacity*share, callFor)
-				done := float64(max(x.good.Load(), 1))
-				p50, p99 = append(p50, x.ms(50)), append(p99, x.ms(99))
-				cpu = append(cpu, float64((cpuNow()-from).Microseconds())/done)
-				no, bad = append(no, float64(x.notRun.Load())), append(bad, float64(x.other.Load()))
+				r := newCallResults()
+				from := cpuTime()
+				openLoad(r, callSetup.addrs, capacity*share, callDuration)
+				done := float64(max(r.succeeded.Load(), 1))
+				p50, p99 = append(p50, r.ms(50)), append(p99, r.ms(99))
+				cpu = append(cpu, float64((cpuTime()-from).Microseconds())/done)
+				notRun, failed = append(notRun, float64(r.notRun.Load())), append(failed, float64(r.failed.Load()))
 			}
 			id := func(v float64) float64 { return v }
 			m50, m99 := median(p50, id), median(p99, id)
 			if i == 0 {
 				base = [2]float64{m50, m99}
 			}
-			t.add(way.name, int(share*100), m50, m99, m50-base[0], m99-base[1], median(cpu, id), int(median(no, id)), int(median(bad, id)))
+			t.add(callSetup.name, int(share*100), m50, m99, m50-base[0], m99-base[1], median(cpu, id), int(median(notRun, id)), int(median(failed, id)))
 		}
 	}
 	return t, nil
 }
 
-// way is one way for a call to a target.
-type way struct {
+// callSetup is one of the compared setups: the addresses that calls are sent to.
+type callSetup struct {
 	name  string
 	addrs []string
 }
 
-func callWays() ([]way, func(), error) {
+// callSetups starts the targets and meshes of all setups and returns the setups and
+// a function that stops them.
+func callSetups() ([]callSetup, func(), error) {
 	var closers []func()
 	closeAll := func() {
 		for _, c := range closers {
 			c()
 		}
 	}
-	direct := way{name: "direct"}
+	direct := callSetup{name: "direct"}
 	for range fourDomains {
 		l, _, err := listen()
 		if err != nil {
@@ -224,7 +232,7 @@
 		closers = append(closers, func() { _ = srv.Close() })
 		direct.addrs = append(direct.addrs, l.Addr().String())
 	}
-	ways := []way{direct}
+	setups := []callSetup{direct}
 	for _, proto := range []bool{false, true} {
 		m, err := callMesh(proto, callWork, 2)
 		if err != nil {
@@ -240,7 +248,7 @@
 				far = append(far, n.Cfg.CallerAddr)
 			}
 		}
-		ways = append(ways, way{"entry is the target's node, " + name, near}, way{"two nodes, " + name, far})
+		setups = append(setups, callSetup{"entry is the target's node, " + name, near}, callSetup{"two nodes, " + name, far})
 	}
-	return ways, closeAll, nil
+	return setups, closeAll, nil
 }
--- a/bench/converge.go
+++ b/bench/converge.go
@@ -23,11 +23,11 @@
 	"briarrock.example/standin/wire"
 )
 
-// The distances of the brief.
+// Network of the benchmarks.
 const (
-	nearDelay = time.Millisecond
-	paidDelay = 20 * time.Millisecond
-	paidRate  = 30e6 / 8 // bytes a second, each way
+	domainDelay = time.Millisecond      // one way, between domains of a region
+	regionDelay = 20 * time.Millisecond // one way, between regions
+	regionRate  = 30e6 / 8              // bytes per second between the regions, in each direction
 )
 
 var fourDomains = []local.Location{
@@ -45,8 +45,8 @@
 	tls      bool
 }{nodes: "16,64,256", services: 170, idle: 10 * time.Second, baseline: true}
 
-func convergeMeasure() measure {
-	return measure{
+func convergeBenchmark() benchmark {
+	return benchmark{
 		name: "converge", help: "convergence time and control bytes, beside every node polling whole snapshots",
 		flags: func(s *flaggy.Subcommand) {
 			s.String(&convergeFlags.nodes, "n", "nodes", "numbers of nodes")
@@ -59,24 +59,25 @@
 	}
 }
 
-// sample is what one run of one size showed.
+// sample holds the results of one run.
 type sample struct {
-	p50, p99, most time.Duration
-	change         float64 // control bytes a node and change
-	idle           float64 // control bytes a node and idle second
-	paid           float64 // bytes over the paid link, a change edited in the store's region
-	paidFar        float64 // and one edited in the other region
-	reads          float64 // store reads an idle second
-	join           time.Duration
-	cpu            float64 // share of a core a node, idle
-	heap           float64 // MB of heap a node
+	p50, p99, maximum time.Duration // from the acceptance of a change to its use by a node
+	bytesPerChange    float64       // control bytes per node and change
+	idleRate          float64       // control bytes per node and second, idle
+	linkNear          float64       // bytes over the link between the regions per change applied in the store's region
+	linkFar           float64       // the same per change applied in the other region
+	storeReads        float64       // store reads per second, idle
+	join              time.Duration // from the start to the join of all nodes
+	idleCPU           float64       // share of a core per node, idle
+	heapMB            float64       // heap and stacks per node
 }
 
-// changesPerRun is how many edits each run applies, editsNear how many of them
-// at nodes of the store's region.
 const (
+	// changesPerRun is the number of edits that each run applies.
 	changesPerRun = 10
-	editsNear     = 6
+	// editsInStoreRegion is how many of them are applied at nodes in the store's
+	// region.
+	editsInStoreRegion = 6
 )
 
 func converge(o options) (*table, error) {
@@ -89,52 +90,54 @@
 	for n := range strings.SplitSeq(convergeFlags.nodes, ",") {
 		nodes, err := strconv.Atoi(n)
 		if err != nil || nodes < len(fourDomains) {
-			return nil, errors.Errorf("--nodes %q", n)
+			return nil, errors.Errorf("--nodes: invalid number of nodes %q", n)
 		}
-		for _, way := range []struct {
+		for _, system := range []struct {
 			name string
 			run  func(nodes int) (sample, error)
 		}{
-			{"briarrock", convergeOnce},
-			{"polling whole", func(n int) (sample, error) { return pollOnce(n, false) }},
-			{"polling compressed", func(n int) (sample, error) { return pollOnce(n, true) }},
+			{"briarrock", runConverge},
+			{"polling whole", func(n int) (sample, error) { return runPolling(n, false) }},
+			{"polling compressed", func(n int) (sample, error) { return runPolling(n, true) }},
 		} {
-			if way.name != "briarrock" && !convergeFlags.baseline {
+			if system.name != "briarrock" && !convergeFlags.baseline {
 				continue
 			}
 			var all []sample
 			for range o.runs {
-				s, err := way.run(nodes)
+				s, err := system.run(nodes)
 				if err != nil {
 					return nil, err
 				}
 				all = append(all, s)
 			}
-			addSample(t, way.name, nodes, all)
+			addSample(t, system.name, nodes, all)
 		}
 	}
 	return t, nil
 }
 
-func addSample(t *table, way string, nodes int, all []sample) {
+// addSample adds a row with the medians of all samples.
+func addSample(t *table, system string, nodes int, all []sample) {
 	ms := func(get func(sample) time.Duration) float64 {
 		return median(all, func(s sample) float64 { return float64(get(s).Microseconds()) / 1000 })
 	}
-	t.add(way, nodes,
+	t.add(system, nodes,
 		ms(func(s sample) time.Duration { return s.p50 }),
 		ms(func(s sample) time.Duration { return s.p99 }),
-		ms(func(s sample) time.Duration { return s.most }),
-		median(all, func(s sample) float64 { return s.change }),
-		median(all, func(s sample) float64 { return s.paid }),
-		median(all, func(s sample) float64 { return s.paidFar }),
-		median(all, func(s sample) float64 { return s.idle }),
-		median(all, func(s sample) float64 { return s.reads }),
+		ms(func(s sample) time.Duration { return s.maximum }),
+		median(all, func(s sample) float64 { return s.bytesPerChange }),
+		median(all, func(s sample) float64 { return s.linkNear }),
+		median(all, func(s sample) float64 { return s.linkFar }),
+		median(all, func(s sample) float64 { return s.idleRate }),
+		median(all, func(s sample) float64 { return s.storeReads }),
 		ms(func(s sample) time.Duration { return s.join }),
-		median(all, func(s sample) float64 { return s.cpu * 100 }),
-		median(all, func(s sample) float64 { return s.heap }),
+		median(all, func(s sample) float64 { return s.idleCPU * 100 }),
+		median(all, func(s sample) float64 { return s.heapMB }),
 	)
 }
 
+// median returns the median of a property of all elements.
 func median[T any](all []T, get func(T) float64) float64 {
 	v := make([]float64, 0, len(all))
 	for _, x := range all {
@@ -144,30 +147,32 @@
 	return v[len(v)/2]
 }
 
-// uses collects when nodes began to serve versions.
-type uses struct {
+// versionTimes records the times at which nodes began to serve each version.
+type versionTimes struct {
 	mu sync.Mutex
-	at map[uint64][]time.Time
+	at map[uint64][]time.Time // by version
 }
 
-func (u *uses) note(_ string, version uint64) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.at[version] = append(u.at[version], time.Now())
+func (v *versionTimes) record(_ string, version uint64) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.at[version] = append(v.at[version], time.Now())
 }
 
-func (u *uses) since(version uint64, from time.Time) []time.Duration {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+// latencies returns the time from the given time to the use of a version by each
+// node that serves it.
+func (v *versionTimes) latencies(version uint64, from time.Time) []time.Duration {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	var out []time.Duration
-	for _, t := range u.at[version] {
+	for _, t := range v.at[version] {
 		out = append(out, t.Sub(from))
 	}
 	return out
 }
 
-// text makes a text of so many services, the edit-th one of a series that
-// changes one number at a time.
+// makeText returns a text with the given number of services. Texts with different
+// edit numbers differ in the slots of one or two services.
 func makeText(services, edit int) []byte {
 	var b strings.Builder
 	b.WriteString("mesh: bench\nservices:\n")
@@ -187,42 +192,45 @@
 }
 
 const (
-	joinWithin  = 90 * time.Second
-	forceWithin = 30 * time.Second
+	joinTimeout    = 90 * time.Second
+	inForceTimeout = 30 * time.Second
 )
 
-func convergeOnce(nodes int) (sample, error) {
+// runConverge measures a mesh of the given number of nodes once.
+func runConverge(nodes int) (sample, error) {
 	var out sample
-	link := wire.NewLink(paidRate)
-	u := &uses{at: make(map[uint64][]time.Time)}
-	before := heapNow()
-	began := time.Now()
-	m, end, err := farMesh(nodes, link, u)
+	link := wire.NewLink(regionRate)
+	times := &versionTimes{at: make(map[uint64][]time.Time)}
+	before := heapBytes()
+	started := time.Now()
+	m, stop, err := regionalMesh(nodes, link, times)
 	if err != nil {
 		return out, err
 	}
-	defer end()
-	if err := m.WaitJoined(joinWithin); err != nil {
-		return out, errors.Wrap(err, "join")
+	defer stop()
+	if err := m.WaitJoined(joinTimeout); err != nil {
+		return out, errors.Wrap(err, "waiting for the nodes to join")
 	}
-	out.join = time.Since(began)
-	if err := applyTo(m, 0); err != nil {
+	out.join = time.Since(started)
+	if err := applyAtFirst(m, 0); err != nil {
 		return out, err
 	}
-	if err := m.WaitInForce(1, forceWithin); err != nil {
-		return out, errors.Wrap(err, "first version")
+	if err := m.WaitInForce(1, inForceTimeout); err != nil {
+		return out, errors.Wrap(err, "waiting for the first version to be in force")
 	}
-	settle()
-	paidIdle := out.idleFigures(m, link, nodes)
-	out.heap = (heapNow() - before) / float64(nodes) / 1e6
-	return out, out.changes(m, link, u, nodes, paidIdle)
+	waitIdle()
+	linkIdleRate := out.measureIdle(m, link, nodes)
+	out.heapMB = (heapBytes() - before) / float64(nodes) / 1e6
+	return out, out.measureChanges(m, link, times, nodes, linkIdleRate)
 }
 
-// farMesh starts a mesh with the distances of the brief.
-func farMesh(nodes int, link *wire.Link, u *uses) (*local.Mesh, func(), error) {
+// regionalMesh starts a mesh in four domains of two regions, with the network delays
+// above and link between the regions. It returns the mesh and a function that stops
+// it.
+func regionalMesh(nodes int, link *wire.Link, times *versionTimes) (*local.Mesh, func(), error) {
 	spec := local.Spec{
 		Locations: fourDomains, NodesPerDomain: nodes / len(fourDomains), StoreRegion: fourDomains[0].Region,
-		BetweenDomains: wire.Path{Delay: nearDelay}, BetweenRegions: wire.Path{Delay: paidDelay, Link: link}, OnVersion: u.note,
+		BetweenDomains: wire.Path{Delay: domainDelay}, BetweenRegions: wire.Path{Delay: regionDelay, Link: link}, OnVersion: times.record,
 	}
 	dir, err := os.MkdirTemp("", "bench")
 	if err != nil {
@@ -240,19 +248,20 @@
 	return m, func() { m.Close(); _ = os.RemoveAll(dir) }, nil
 }
 
-// settle lets a mesh come to rest.
-func settle() { time.Sleep(5 * time.Second) }
+// waitIdle waits until the traffic of a new mesh or of a change has ended.
+func waitIdle() { time.Sleep(5 * time.Second) }
 
-func heapNow() float64 {
+// heapBytes returns the memory in use by heap and stacks after a garbage collection.
+func heapBytes() float64 {
 	runtime.GC()
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
 	return float64(s.HeapInuse + s.StackInuse)
 }
 
-// control adds up the control bytes of all nodes, each byte counted at both
-// of its ends, halved.
-func control(m *local.Mesh) float64 {
+// controlBytes returns the control bytes that all nodes exchanged. The sum over the
+// nodes is halved, since both ends of a connection count each byte.
+func controlBytes(m *local.Mesh) float64 {
 	sum := uint64(0)
 	for _, n := range m.Nodes {
 		t := n.Peers().Traffic()
@@ -261,47 +270,51 @@
 	return float64(sum) / 2
 }
 
-func (s *sample) idleFigures(m *local.Mesh, link *wire.Link, nodes int) float64 {
+// measureIdle measures an idle mesh for the time of --idle, and returns the bytes per
+// second over the link between the regions.
+func (s *sample) measureIdle(m *local.Mesh, link *wire.Link, nodes int) float64 {
 	d := convergeFlags.idle
-	from, paid, reads, cpu := control(m), link.Bytes(), m.Platform.Counts().Reads, cpuNow()
+	from, linkBytes, reads, cpu := controlBytes(m), link.Bytes(), m.Platform.Counts().Reads, cpuTime()
 	time.Sleep(d)
-	s.idle = (control(m) - from) / float64(nodes) / d.Seconds()
-	s.reads = float64(m.Platform.Counts().Reads-reads) / d.Seconds()
-	s.cpu = (cpuNow() - cpu).Seconds() / d.Seconds() / float64(nodes)
-	return float64(link.Bytes()-paid) / d.Seconds()
+	s.idleRate = (controlBytes(m) - from) / float64(nodes) / d.Seconds()
+	s.storeReads = float64(m.Platform.Counts().Reads-reads) / d.Seconds()
+	s.idleCPU = (cpuTime() - cpu).Seconds() / d.Seconds() / float64(nodes)
+	return float64(link.Bytes()-linkBytes) / d.Seconds()
 }
 
-// changes applies edits in turn at nodes of each domain: the first two domains
-// are in the store's region.
-func (s *sample) changes(m *local.Mesh, link *wire.Link, u *uses, nodes int, paidIdle float64) error {
+// measureChanges applies edits at a node of each domain in turn; the first two
+// domains are in the store's region. linkIdleRate is the traffic over the link between
+// the regions of the idle mesh, in bytes per second, which is subtracted.
+func (s *sample) measureChanges(m *local.Mesh, link *wire.Link, times *versionTimes, nodes int, linkIdleRate float64) error {
 	var all []time.Duration
-	var paid [2]float64
-	from := control(m)
-	began := time.Now()
+	var linkBytes [2]float64
+	from := controlBytes(m)
+	started := time.Now()
 	for i := range changesPerRun {
 		before, at := link.Bytes(), time.Now()
-		accepted, err := applyAt(m, i%len(fourDomains), i+1)
+		accepted, err := applyEdit(m, i%len(fourDomains), i+1)
 		if err != nil {
 			return err
 		}
 		version := uint64(i + 2)
-		if err := m.WaitInForce(version, forceWithin); err != nil {
-			return errors.Wrapf(err, "version %d", version)
+		if err := m.WaitInForce(version, inForceTimeout); err != nil {
+			return errors.Wrapf(err, "waiting for version %d to be in force", version)
 		}
-		all = append(all, u.since(version, accepted)...)
+		all = append(all, times.latencies(version, accepted)...)
 		time.Sleep(300 * time.Millisecond)
 		far := i % len(fourDomains) / 2
-		paid[far] += float64(link.Bytes()-before) - paidIdle*time.Since(at).Seconds()
+		linkBytes[far] += float64(link.Bytes()-before) - linkIdleRate*time.Since(at).Seconds()
 	}
-	took := time.Since(began).Seconds()
-	// What the mesh would have sent anyway in that time is not the changes'.
-	s.change = (control(m)-from)/float64(nodes)/changesPerRun - s.idle*took/changesPerRun
-	s.paid, s.paidFar = paid[0]/editsNear, paid[1]/(changesPerRun-editsNear)
-	s.p50, s.p99, s.most = quantiles(all)
+	took := time.Since(started).Seconds()
+	// Subtract the traffic of an idle mesh in the same time.
+	s.bytesPerChange = (controlBytes(m)-from)/float64(nodes)/changesPerRun - s.idleRate*took/changesPerRun
+	s.linkNear, s.linkFar = linkBytes[0]/editsInStoreRegion, linkBytes[1]/(changesPerRun-editsInStoreRegion)
+	s.p50, s.p99, s.maximum = percentiles(all)
 	return nil
 }
 
-func quantiles(all []time.Duration) (time.Duration, time.Duration, time.Duration) {
+// percentiles returns the 50th and the 99th percentile and the maximum. It sorts all.
+func percentiles(all []time.Duration) (time.Duration, time.Duration, time.Duration) {
 	slices.Sort(all)
 	if len(all) == 0 {
 		return 0, 0, 0
@@ -309,14 +322,16 @@
 	return all[len(all)/2], all[len(all)*99/100], all[len(all)-1]
 }
 
-func applyTo(m *local.Mesh, edit int) error {
-	_, err := applyAt(m, 0, edit)
+// applyAtFirst applies an edit at the first node.
+func applyAtFirst(m *local.Mesh, edit int) error {
+	_, err := applyEdit(m, 0, edit)
 	return err
 }
 
-// applyAt applies an edit at a node and returns when its answer came.
-func applyAt(m *local.Mesh, node, edit int) (time.Time, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), forceWithin)
+// applyEdit applies an edit at a node and returns the time at which the response
+// arrived.
+func applyEdit(m *local.Mesh, node, edit int) (time.Time, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), inForceTimeout)
 	defer cancel()
 	res, err := m.Operator(node).Apply(ctx, api.Apply{
 		Text: makeText(convergeFlags.services, edit), Head: true, Write: fmt.Sprintf("bench-%08d", edit),
@@ -330,21 +345,21 @@
 	return time.Now(), nil
 }
 
-// pollEach is how often a node of the baseline asks for the head.
-const pollEach = time.Second
+// pollInterval is the interval at which a node of the baseline reads the head.
+const pollInterval = time.Second
 
-// poller is a node of the baseline: it asks the store for the head each
-// second, and for the whole snapshot when that has changed.
+// poller is a node of the baseline: it reads the head from the store every second,
+// and the full snapshot when the head has changed.
 type poller struct {
 	store platform.Store
-	// packed reads the snapshot compressed.
-	packed bool
-	at     uint64
-	u      *uses
+	// compressed reads the snapshot in compressed form.
+	compressed bool
+	version    uint64
+	times      *versionTimes
 }
 
 func (p *poller) run(ctx context.Context) {
-	tick := time.NewTicker(pollEach)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -357,18 +372,18 @@
 			continue
 		}
 		head, hash, err := platform.ParseHead(row.Value)
-		if err != nil || head.Version <= p.at {
+		if err != nil || head.Version <= p.version {
 			continue
 		}
-		if p.read(ctx, hash) == nil {
-			p.at = head.Version
-			p.u.note("", head.Version)
+		if p.fetch(ctx, hash) == nil {
+			p.version = head.Version
+			p.times.record("", head.Version)
 		}
 	}
 }
 
-func (p *poller) read(ctx context.Context, hash snapshot.Hash) error {
-	if p.packed {
+func (p *poller) fetch(ctx context.Context, hash snapshot.Hash) error {
+	if p.compressed {
 		_, err := platform.GetContent(ctx, p.store, hash)
 		return errors.WithStack(err)
 	}
@@ -376,7 +391,9 @@
 	return errors.WithStack(err)
 }
 
-func pollOnce(nodes int, packed bool) (sample, error) {
+// runPolling measures a baseline of the given number of nodes once. The nodes poll
+// the store, those of two of the four domains over the link between the regions.
+func runPolling(nodes int, compressed bool) (sample, error) {
 	var out sample
 	st := standinplatform.New()
 	l, addr, err := listen()
@@ -386,46 +403,46 @@
 	srv := &http.Server{Handler: st, ReadHeaderTimeout: time.Minute}
 	go func() { _ = srv.Serve(l) }()
 	defer func() { _ = srv.Close() }()
-	near, paid := wire.NewLink(1<<30), wire.NewLink(paidRate)
-	u := &uses{at: make(map[uint64][]time.Time)}
+	sameRegion, betweenRegions := wire.NewLink(1<<30), wire.NewLink(regionRate)
+	times := &versionTimes{at: make(map[uint64][]time.Time)}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for i := range nodes {
-		path := wire.Path{Delay: nearDelay, Link: near}
+		path := wire.Path{Delay: domainDelay, Link: sameRegion}
 		if i%len(fourDomains) >= len(fourDomains)/2 {
-			path = wire.Path{Delay: paidDelay, Link: paid}
+			path = wire.Path{Delay: regionDelay, Link: betweenRegions}
 		}
-		p := &poller{packed: packed, store: platform.NewHTTP(slowClient(path), addr, ""), u: u}
+		p := &poller{compressed: compressed, store: platform.NewHTTP(shapedClient(path), addr, ""), times: times}
 		go func() {
-			time.Sleep(pollEach * time.Duration(i) / time.Duration(nodes))
+			time.Sleep(pollInterval * time.Duration(i) / time.Duration(nodes))
 			p.run(ctx)
 		}()
 	}
-	bytes := func() float64 { return float64(near.Bytes() + paid.Bytes()) }
+	bytes := func() float64 { return float64(sameRegion.Bytes() + betweenRegions.Bytes()) }
 	writer := platform.NewHTTP(http.DefaultClient, addr, "")
-	if _, err := publish(ctx, writer, 0, u, nodes); err != nil {
+	if _, err := commitToStore(ctx, writer, 0, times, nodes); err != nil {
 		return out, err
 	}
-	from, paidFrom, reads := bytes(), paid.Bytes(), st.Counts().Reads
+	from, linkBytesBefore, reads := bytes(), betweenRegions.Bytes(), st.Counts().Reads
 	time.Sleep(convergeFlags.idle)
 	seconds := convergeFlags.idle.Seconds()
-	out.idle = (bytes() - from) / float64(nodes) / seconds
-	paidIdle := float64(paid.Bytes()-paidFrom) / seconds
-	out.reads = float64(st.Counts().Reads-reads) / seconds
-	from, paidFrom = bytes(), paid.Bytes()
-	began := time.Now()
+	out.idleRate = (bytes() - from) / float64(nodes) / seconds
+	linkIdleRate := float64(betweenRegions.Bytes()-linkBytesBefore) / seconds
+	out.storeReads = float64(st.Counts().Reads-reads) / seconds
+	from, linkBytesBefore = bytes(), betweenRegions.Bytes()
+	started := time.Now()
 	var all []time.Duration
 	for i := range changesPerRun {
-		d, err := publish(ctx, writer, i+1, u, nodes)
+		d, err := commitToStore(ctx, writer, i+1, times, nodes)
 		if err != nil {
 			return out, err
 		}
 		all = append(all, d...)
 	}
-	took := time.Since(began).Seconds()
-	out.change = (bytes()-from)/float64(nodes)/changesPerRun - out.idle*took/changesPerRun
-	out.paid = (float64(paid.Bytes()-paidFrom) - paidIdle*took) / changesPerRun
-	out.paidFar = out.paid
-	out.p50, out.p99, out.most = quantiles(all)
+	took := time.Since(started).Seconds()
+	out.bytesPerChange = (bytes()-from)/float64(nodes)/changesPerRun - out.idleRate*took/changesPerRun
+	out.linkNear = (float64(betweenRegions.Bytes()-linkBytesBefore) - linkIdleRate*took) / changesPerRun
+	out.linkFar = out.linkNear
+	out.p50, out.p99, out.maximum = percentiles(all)
 	return out, nil
 }
--- a/bench/delta.go
+++ b/bench/delta.go
@@ -9,12 +9,12 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-func deltaMeasure() measure {
-	return measure{name: "delta", help: "bytes and time of the ways to send a version after a change of one line", run: delta}
+func deltaBenchmark() benchmark {
+	return benchmark{name: "delta", help: "bytes and time of the ways to send a version after a change of one line", run: delta}
 }
 
-// resourceDiff is the losing way: the services that changed, and the names of
-// those that went.
+// resourceDiff is an encoding that briarrock does not use, since it lost in the
+// comparison: the services that changed, and the names of those that were removed.
 type resourceDiff struct {
 	Changed []snapshot.Service `cbor:"1,keyasint,omitempty"`
 	Removed []string           `cbor:"2,keyasint,omitempty"`
@@ -27,39 +27,41 @@
 		Heads: []string{"services", "whole B", "compressed B", "by dictionary B", "by resource B", "pack ms", "unpack ms"},
 	}
 	for _, n := range []int{4, 170, 500} {
-		a, old, err := compiled(n, 1)
+		a, old, err := compile(n, 1)
 		if err != nil {
 			return nil, err
 		}
-		b, now, err := compiled(n, 2)
+		b, now, err := compile(n, 2)
 		if err != nil {
 			return nil, err
 		}
-		alone, err := snapshot.Pack(nil, now)
+		standalone, err := snapshot.Pack(nil, now)
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
-		began := time.Now()
-		dict, err := snapshot.Pack(old, now)
-		packed := time.Since(began)
+		started := time.Now()
+		packed, err := snapshot.Pack(old, now)
+		packTime := time.Since(started)
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
-		began = time.Now()
-		back, err := snapshot.Unpack(old, dict)
-		unpacked := time.Since(began)
-		if err != nil || snapshot.Sum(back) != snapshot.Sum(now) {
-			return nil, errors.New("delta does not lead back")
+		started = time.Now()
+		unpacked, err := snapshot.Unpack(old, packed)
+		unpackTime := time.Since(started)
+		if err != nil || snapshot.Sum(unpacked) != snapshot.Sum(now) {
+			return nil, errors.New("the unpacked snapshot differs from the original")
 		}
 		diff, err := cbor.Marshal(diffOf(a, b))
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
-		t.add(n, len(now), len(alone), len(dict), len(diff), packed.Seconds()*1000, unpacked.Seconds()*1000)
+		t.add(n, len(now), len(standalone), len(packed), len(diff), packTime.Seconds()*1000, unpackTime.Seconds()*1000)
 	}
 	return t, nil
 }
 
+// diffOf returns the services of b that differ from a. Removed is left empty, since
+// the edits of makeText remove no service.
 func diffOf(a, b *snapshot.Snapshot) resourceDiff {
 	var d resourceDiff
 	changed := make(map[string]bool)
--- a/bench/load.go
+++ b/bench/load.go
@@ -13,17 +13,19 @@
 	"briarrock.example/standin/target"
 )
 
-// The service under overload: four targets that really work on two requests
-// of 10 ms at a time do 800 a second.
+// Service under overload: each of four targets processes two requests of 10 ms
+// concurrently, a capacity of 800 requests per second.
 const (
-	loadSlots   = 2
-	loadFor     = 6 * time.Second
-	loadUseful  = 300 * time.Millisecond
-	loadTimeout = 5 * time.Second
+	loadSlots    = 2
+	loadDuration = 6 * time.Second
+	loadUseful   = 300 * time.Millisecond // latency within which a response is useful
+	loadTimeout  = 5 * time.Second
 )
 
 var loadCapacity = float64(len(fourDomains)*loadSlots) / callWork.Seconds()
 
+// loadMesh starts a mesh with one node and target in each domain. announced is the
+// number of slots that each target announces.
 func loadMesh(announced int) (*local.Mesh, error) {
 	m, err := local.Start(local.Spec{
 		Locations: fourDomains, NodesPerDomain: 1, Services: []string{callService}, StoreRegion: fourDomains[0].Region,
@@ -32,10 +34,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return m, ready(m, serviceText(loadSlots, loadUseful))
+	return m, applyAndWait(m, serviceText(loadSlots, loadUseful))
 }
 
-func entries(m *local.Mesh) []string {
+// callerAddrs returns the addresses at which the nodes accept calls.
+func callerAddrs(m *local.Mesh) []string {
 	var out []string
 	for _, n := range m.Nodes {
 		out = append(out, n.Cfg.CallerAddr)
@@ -43,58 +46,59 @@
 	return out
 }
 
-func overloadMeasure() measure {
-	return measure{name: "overload", help: "useful answers in time beyond capacity, beside round robin without limits", run: overload}
+func overloadBenchmark() benchmark {
+	return benchmark{name: "overload", help: "useful answers in time beyond capacity, beside round robin without limits", run: overload}
 }
 
 func overload(o options) (*table, error) {
 	t := &table{
 		Name: "useful answers under overload",
 		Note: fmt.Sprintf("capacity %.0f calls/s (4 targets, 2 workers of 10 ms); useful is answered within %v; open load for %v; medians of %d runs",
-			loadCapacity, loadUseful, loadFor, o.runs),
+			loadCapacity, loadUseful, loadDuration, o.runs),
 		Heads: []string{"way", "load x", "useful/s", "% of peak", "not run/s", "late or failed/s", "p99 ms of useful"},
 	}
-	for _, w := range []struct {
+	for _, system := range []struct {
 		name  string
 		start func() ([]string, func(), error)
-	}{{"briarrock", briarrockLoad}, {"round robin", directLoad}} {
+	}{{"briarrock", startBriarrock}, {"round robin", startRoundRobin}} {
 		peak := 0.0
-		for _, x := range []float64{1, 2, 5} {
-			var useful, notRun, bad, p99 []float64
+		for _, load := range []float64{1, 2, 5} {
+			var useful, notRun, failed, p99 []float64
 			for range o.runs {
-				addrs, stop, err := w.start()
+				addrs, stop, err := system.start()
 				if err != nil {
 					return nil, err
 				}
-				r := newTally()
+				r := newCallResults()
 				r.limit = loadUseful
-				openLoad(r, addrs, loadCapacity*x, loadFor)
+				openLoad(r, addrs, loadCapacity*load, loadDuration)
 				stop()
-				s := loadFor.Seconds()
-				useful = append(useful, float64(r.good.Load())/s)
+				s := loadDuration.Seconds()
+				useful = append(useful, float64(r.succeeded.Load())/s)
 				notRun = append(notRun, float64(r.notRun.Load())/s)
-				bad = append(bad, float64(r.other.Load())/s)
+				failed = append(failed, float64(r.failed.Load())/s)
 				p99 = append(p99, r.ms(99))
 			}
 			id := func(v float64) float64 { return v }
 			u := median(useful, id)
 			peak = max(peak, u)
-			t.add(w.name, x, u, 100*u/peak, median(notRun, id), median(bad, id), median(p99, id))
+			t.add(system.name, load, u, 100*u/peak, median(notRun, id), median(failed, id), median(p99, id))
 		}
 	}
 	return t, nil
 }
 
-func briarrockLoad() ([]string, func(), error) {
+func startBriarrock() ([]string, func(), error) {
 	m, err := loadMesh(loadSlots)
 	if err != nil {
 		return nil, nil, err
 	}
-	return entries(m), m.Close, nil
+	return callerAddrs(m), m.Close, nil
 }
 
-// directLoad is the baseline: callers go round the targets themselves.
-func directLoad() ([]string, func(), error) {
+// startRoundRobin is the baseline: callers send calls to the targets directly, round
+// robin.
+func startRoundRobin() ([]string, func(), error) {
 	var addrs []string
 	var servers []*http.Server
 	for range fourDomains {
@@ -117,14 +121,14 @@
 	}, nil
 }
 
-func faultsMeasure() measure {
-	return measure{name: "faults", help: "calls while one of four targets fails, and while all do", run: faults}
+func faultsBenchmark() benchmark {
+	return benchmark{name: "faults", help: "calls while one of four targets fails, and while all do", run: faults}
 }
 
-// faultCase is one fault of a target and how it ends.
+// faultCase is a fault of a target and the function that injects it.
 type faultCase struct {
-	name  string
-	begin func(m *local.Mesh, n *local.Node)
+	name   string
+	inject func(m *local.Mesh, n *local.Node)
 }
 
 func faultCases() []faultCase {
@@ -139,53 +143,55 @@
 	}
 }
 
-// faultAfter is when the fault begins.
-const faultAfter = 2 * time.Second
+// faultDelay is the time from the start of the load to the fault.
+const faultDelay = 2 * time.Second
 
+// faults measures the calls under each fault of one of four targets.
 func faults(o options) (*table, error) {
 	t := &table{
 		Name: "calls while one of four targets fails",
 		Note: fmt.Sprintf("half load (%.0f calls/s) through the three other nodes for %v, the fault begins after %v; medians of %d runs",
-			loadCapacity/2, loadFor, faultAfter, o.runs),
+			loadCapacity/2, loadDuration, faultDelay, o.runs),
 		Heads: []string{"the target", "answered %", "not run %", "late or failed %", "p99 ms", "attempts/call"},
 	}
 	for _, f := range faultCases() {
-		var good, notRun, bad, p99, tries []float64
+		var succeeded, notRun, failed, p99, attemptsPerCall []float64
 		for range o.runs {
-			r, attempts, err := faultOnce(f)
+			r, attempts, err := runFault(f)
 			if err != nil {
 				return nil, err
 			}
-			all := float64(r.good.Load() + r.notRun.Load() + r.other.Load())
-			good = append(good, 100*float64(r.good.Load())/all)
+			all := float64(r.succeeded.Load() + r.notRun.Load() + r.failed.Load())
+			succeeded = append(succeeded, 100*float64(r.succeeded.Load())/all)
 			notRun = append(notRun, 100*float64(r.notRun.Load())/all)
-			bad = append(bad, 100*float64(r.other.Load())/all)
+			failed = append(failed, 100*float64(r.failed.Load())/all)
 			p99 = append(p99, r.ms(99))
-			tries = append(tries, attempts/all)
+			attemptsPerCall = append(attemptsPerCall, attempts/all)
 		}
 		id := func(v float64) float64 { return v }
-		t.add(f.name, median(good, id), median(notRun, id), median(bad, id), median(p99, id), median(tries, id))
+		t.add(f.name, median(succeeded, id), median(notRun, id), median(failed, id), median(p99, id), median(attemptsPerCall, id))
 	}
 	return t, outageRow(t)
 }
 
-func faultOnce(f faultCase) (*tally, float64, error) {
+func runFault(f faultCase) (*callResults, float64, error) {
 	m, err := loadMesh(loadSlots)
 	if err != nil {
 		return nil, 0, err
 	}
 	defer m.Close()
-	r := newTally()
+	r := newCallResults()
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		time.Sleep(faultAfter)
-		f.begin(m, m.Nodes[3])
+		time.Sleep(faultDelay)
+		f.inject(m, m.Nodes[3])
 	})
-	openLoad(r, entries(m)[:3], loadCapacity/2, loadFor)
+	openLoad(r, callerAddrs(m)[:3], loadCapacity/2, loadDuration)
 	wg.Wait()
 	return r, attempts(m), nil
 }
 
+// attempts returns the number of attempts that all nodes made.
 func attempts(m *local.Mesh) float64 {
 	sum := uint64(0)
 	for _, n := range m.Nodes {
@@ -194,11 +200,11 @@
 	return float64(sum)
 }
 
-// outage is how long the whole service is down.
-const outage = 10 * time.Second
+// outageDuration is how long all targets are down.
+const outageDuration = 10 * time.Second
 
-// outageRow takes the whole service down, and measures the attempts meanwhile
-// and the time until it answers again.
+// outageRow stops all targets and measures the attempts per call during the outage
+// and the time to recovery after it.
 func outageRow(t *table) error {
 	m, err := loadMesh(loadSlots)
 	if err != nil {
@@ -208,52 +214,54 @@
 	for _, n := range m.Nodes {
 		n.StopTarget()
 	}
-	r, from := newTally(), attempts(m)
-	openLoad(r, entries(m), loadCapacity/2, outage)
-	all := float64(r.good.Load() + r.notRun.Load() + r.other.Load())
-	t.add("all four down for 10 s", 100*float64(r.good.Load())/all, 100*float64(r.notRun.Load())/all,
-		100*float64(r.other.Load())/all, r.ms(99), (attempts(m)-from)/all)
+	r, from := newCallResults(), attempts(m)
+	openLoad(r, callerAddrs(m), loadCapacity/2, outageDuration)
+	all := float64(r.succeeded.Load() + r.notRun.Load() + r.failed.Load())
+	t.add("all four down for 10 s", 100*float64(r.succeeded.Load())/all, 100*float64(r.notRun.Load())/all,
+		100*float64(r.failed.Load())/all, r.ms(99), (attempts(m)-from)/all)
 	for _, n := range m.Nodes {
 		if err := m.StartTarget(n); err != nil {
 			return err
 		}
 	}
-	began := time.Now()
-	client := callers()
+	started := time.Now()
+	client := newClient()
 	streak := 0
 	err = local.WaitUntil(loadTimeout, func() bool {
-		x := newTally()
-		x.one(client, entries(m)[streak%len(m.Nodes)])
-		if x.good.Load() == 0 {
+		probe := newCallResults()
+		probe.sendCall(client, callerAddrs(m)[streak%len(m.Nodes)])
+		if probe.succeeded.Load() == 0 {
 			streak = 0
 			return false
 		}
 		streak++
-		return streak >= recovered
+		return streak >= recoveryCalls
 	})
 	if err != nil {
-		return errors.Wrap(err, "recovery")
+		return errors.Wrap(err, "waiting for recovery after the outage")
 	}
-	t.Note += fmt.Sprintf("; after 10 s with all down, %d calls in a row were answered %d ms after the targets came back", recovered, time.Since(began).Milliseconds())
+	t.Note += fmt.Sprintf("; after 10 s with all down, %d calls in a row were answered %d ms after the targets came back", recoveryCalls, time.Since(started).Milliseconds())
 	return nil
 }
 
-// recovered is how many answered calls in a row count as recovery.
-const recovered = 40
+// recoveryCalls is the number of consecutive successful calls that count as
+// recovery.
+const recoveryCalls = 40
 
-func onceMeasure() measure {
-	return measure{name: "once", help: "what an idempotency key costs, in time and store writes", run: once}
+func onceBenchmark() benchmark {
+	return benchmark{name: "once", help: "what an idempotency key costs, in time and store writes", run: once}
 }
 
-// onceFor is how many orders each size sends at a time, and in all.
-var onceAtOnce = []int{1, 8, 32}
+// onceConcurrency are the numbers of orders that are sent concurrently.
+var onceConcurrency = []int{1, 8, 32}
 
-const onceAll = 640
+// onceOrders is the number of orders of each measurement.
+const onceOrders = 640
 
 func once(o options) (*table, error) {
 	t := &table{
 		Name:  "at most once",
-		Note:  fmt.Sprintf("POST with a key through all nodes in turn, no work at the target, store at %v; %d orders", 2*time.Millisecond, onceAll),
+		Note:  fmt.Sprintf("POST with a key through all nodes in turn, no work at the target, store at %v; %d orders", 2*time.Millisecond, onceOrders),
 		Heads: []string{"nodes", "at a time", "without key p50 ms", "with key p50 ms", "with key p99 ms", "store writes/order", "orders/s"},
 	}
 	for _, perDomain := range []int{2, 16} {
@@ -270,36 +278,38 @@
 		return err
 	}
 	defer m.Close()
-	m.Platform.Fault(storeDelay)
-	for _, n := range onceAtOnce {
+	m.Platform.Fault(storeFaults)
+	for _, n := range onceConcurrency {
 		plain := sendOrders(m, n, "")
 		writes := m.Platform.Counts().Writes
-		began := time.Now()
+		started := time.Now()
 		keyed := sendOrders(m, n, fmt.Sprintf("key-%d-%d-%d", o.seed, perDomain, n))
-		took := time.Since(began)
-		time.Sleep(time.Second) // outcomes are kept a moment later
-		perOrder := float64(m.Platform.Counts().Writes-writes) / onceAll
-		t.add(len(m.Nodes), n, plain.ms(50), keyed.ms(50), keyed.ms(99), perOrder, float64(onceAll)/took.Seconds())
+		took := time.Since(started)
+		time.Sleep(time.Second) // outcomes are written to the store after the response
+		perOrder := float64(m.Platform.Counts().Writes-writes) / onceOrders
+		t.add(len(m.Nodes), n, plain.ms(50), keyed.ms(50), keyed.ms(99), perOrder, float64(onceOrders)/took.Seconds())
 	}
 	return nil
 }
 
-func sendOrders(m *local.Mesh, atOnce int, key string) *tally {
-	r := newTally()
-	client := callers()
+// sendOrders sends orders through all nodes in turn, with idempotency keys that start
+// with key if it is not empty.
+func sendOrders(m *local.Mesh, concurrency int, key string) *callResults {
+	r := newCallResults()
+	client := newClient()
 	var wg sync.WaitGroup
-	for w := range atOnce {
+	for worker := range concurrency {
 		wg.Go(func() {
-			for i := range onceAll / atOnce {
-				began := time.Now()
-				addr := m.Nodes[(w+i)%len(m.Nodes)].Cfg.CallerAddr
+			for i := range onceOrders / concurrency {
+				started := time.Now()
+				addr := m.Nodes[(worker+i)%len(m.Nodes)].Cfg.CallerAddr
 				req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+addr+"/orders", nil)
 				if err != nil {
 					continue
 				}
 				req.Host = callService
 				if key != "" {
-					req.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d-%d", key, w, i))
+					req.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d-%d", key, worker, i))
 				}
 				res, err := client.Do(req)
 				if err != nil {
@@ -307,8 +317,8 @@
 				}
 				_ = res.Body.Close()
 				if res.StatusCode == http.StatusOK {
-					r.good.Add(1)
-					r.took(time.Since(began))
+					r.succeeded.Add(1)
+					r.recordLatency(time.Since(started))
 				}
 			}
 		})
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,16 +1,16 @@
-// Command bench measures briarrock on one machine, each table with one
-// command, beside the baselines that it keeps:
+// Command bench runs benchmarks of briarrock and of the baselines on one machine.
+// Each command prints one table:
 //
 //	go run ./bench converge --nodes 16,64,256   convergence and control bytes
-//	go run ./bench delta                        ways to send a version
-//	go run ./bench calls                        what nodes add to a call
-//	go run ./bench overload                     useful answers beyond capacity
+//	go run ./bench delta                        sizes of the encodings of a version
+//	go run ./bench calls                        latency that nodes add to a call
+//	go run ./bench overload                     goodput beyond capacity
 //	go run ./bench faults                       calls while targets fail
-//	go run ./bench once                         claims of at-most-once calls
-//	go run ./bench slopes                       memory and time by size
+//	go run ./bench once                         cost of at-most-once calls
+//	go run ./bench slopes                       memory and CPU time by mesh size
 //
-// Every command prints its seed and takes --json. Absolute times are those of
-// the machine; the ratios between columns of one run are what counts.
+// Every command prints its seed and accepts --json. Absolute times depend on the
+// machine; compare the ratios between the columns of one run.
 package main
 
 import (
@@ -64,23 +64,24 @@
 	fmt.Println()
 }
 
-// options are the flags that commands share.
+// options are the flags that all commands share.
 type options struct {
 	seed uint64
 	runs int
 	json bool
-	// profile is a file for a processor profile of the whole run.
+	// profile is the file for a CPU profile of the whole run.
 	profile string
 }
 
-// startProfile begins the profile, if one is wanted, and returns what ends it.
+// startProfile starts the CPU profile, if --profile is set, and returns a function
+// that stops it.
 func (o options) startProfile() func() {
 	if o.profile == "" {
 		return func() {}
 	}
 	f, err := os.Create(o.profile)
 	if err != nil || pprof.StartCPUProfile(f) != nil {
-		fmt.Fprintln(os.Stderr, "bench: no profile:", err)
+		fmt.Fprintln(os.Stderr, "bench: CPU profile not started:", err)
 		return func() {}
 	}
 	return func() {
@@ -89,17 +90,17 @@
 	}
 }
 
-// measure is one command of the tool.
-type measure struct {
+// benchmark is one command of the tool.
+type benchmark struct {
 	name, help string
 	flags      func(s *flaggy.Subcommand)
 	run        func(o options) (*table, error)
 }
 
-// defaultRuns is how often each figure is taken; medians are printed.
+// defaultRuns is the default number of runs, whose medians are printed.
 const defaultRuns = 3
 
-// gcPercent is that of the node's program.
+// gcPercent is the garbage collection target that briarrockd uses.
 const gcPercent = 400
 
 func main() {
@@ -111,7 +112,7 @@
 	p.Int(&o.runs, "r", "runs", "runs of each figure")
 	p.Bool(&o.json, "j", "json", "write JSON")
 	p.String(&o.profile, "p", "profile", "write a processor profile to this file")
-	all := measures()
+	all := benchmarks()
 	subs := make([]*flaggy.Subcommand, 0, len(all))
 	for _, m := range all {
 		s := flaggy.NewSubcommand(m.name)
--- a/bench/mutate.go
+++ b/bench/mutate.go
@@ -13,11 +13,12 @@
 	"go.yaml.in/yaml/v3"
 )
 
-func mutateMeasure() measure {
-	return measure{name: "mutate", help: "break one safeguard at a time: a named test must fail (run from the root)", run: mutate}
+func mutateBenchmark() benchmark {
+	return benchmark{name: "mutate", help: "break one safeguard at a time: a named test must fail (run from the root)", run: mutate}
 }
 
-// mutation breaks one safeguard.
+// mutation is a mutation test: a change to one file that breaks a safeguard, and the
+// test that must fail with it.
 type mutation struct {
 	Name    string `yaml:"name"`
 	File    string `yaml:"file"`
@@ -29,8 +30,8 @@
 
 const mutationsFile = "bench/testdata/mutations.yaml"
 
-// mutate runs each named test on a copy of one file in which the safeguard is
-// broken. The tree itself is not touched.
+// mutate runs each named test with a build overlay that replaces one file by a copy
+// in which the safeguard is broken. The working tree is not changed.
 func mutate(options) (*table, error) {
 	b, err := os.ReadFile(mutationsFile)
 	if err != nil {
@@ -46,7 +47,7 @@
 	}
 	missed := 0
 	for _, m := range all {
-		began := time.Now()
+		started := time.Now()
 		caught, err := m.run()
 		if err != nil {
 			return nil, err
@@ -54,7 +55,7 @@
 		if caught != "yes" {
 			missed++
 		}
-		t.add(m.Name, m.Test, caught, time.Since(began).Seconds())
+		t.add(m.Name, m.Test, caught, time.Since(started).Seconds())
 	}
 	if missed > 0 {
 		t.Note += fmt.Sprintf("; %d NOT CAUGHT", missed)
@@ -62,13 +63,15 @@
 	return t, nil
 }
 
+// run returns "yes" if the test failed with the mutation, "NO" if it passed, or
+// "does not build".
 func (m mutation) run() (string, error) {
 	src, err := os.ReadFile(m.File)
 	if err != nil {
 		return "", errors.WithStack(err)
 	}
 	if strings.Count(string(src), m.Old) != 1 {
-		return "", errors.Errorf("%s: %q stands there %d times, not once", m.File, m.Old, strings.Count(string(src), m.Old))
+		return "", errors.Errorf("%s: %q occurs %d times, want 1", m.File, m.Old, strings.Count(string(src), m.Old))
 	}
 	dir, err := os.MkdirTemp("", "mutate")
 	if err != nil {
@@ -77,7 +80,7 @@
 	defer func() { _ = os.RemoveAll(dir) }()
 	broken := filepath.Join(dir, filepath.Base(m.File))
 	text := strings.Replace(string(src), m.Old, m.New, 1)
-	if err := os.WriteFile(broken, []byte(text), 0o600); err != nil { //nolint:gosec // our own temporary folder
+	if err := os.WriteFile(broken, []byte(text), 0o600); err != nil { //nolint:gosec // temporary directory created above
 		return "", errors.WithStack(err)
 	}
 	abs, err := filepath.Abs(m.File)
@@ -92,7 +95,7 @@
 	if err := os.WriteFile(list, overlay, 0o600); err != nil {
 		return "", errors.WithStack(err)
 	}
-	cmd := exec.Command("go", "test", "-vet=off", "-overlay", list, "-run", m.Test, "-timeout", "120s", m.Package) //nolint:gosec // from our own list
+	cmd := exec.Command("go", "test", "-vet=off", "-overlay", list, "-run", m.Test, "-timeout", "120s", m.Package) //nolint:gosec // arguments from mutationsFile
 	out, err := cmd.CombinedOutput()
 	if strings.Contains(string(out), "build failed") {
 		return "does not build", nil
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -13,17 +13,18 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-func slopesMeasure() measure {
-	return measure{name: "slopes", help: "memory, processor time and bytes by members, domains and services", run: slopes}
+func slopesBenchmark() benchmark {
+	return benchmark{name: "slopes", help: "memory, processor time and bytes by members, domains and services", run: slopes}
 }
 
-// Sizes of the slopes: members in all, sixteen domains in four regions.
-var slopeMembers = []int{250, 500, 1000, 2000, 4000}
+// memberCounts are the numbers of members of the mesh, in sixteen domains of four
+// regions.
+var memberCounts = []int{250, 500, 1000, 2000, 4000}
 
-const slopeDomains = 16
+const domainCount = 16
 
-// slopes measures one Core and what the rest of its node keeps, at sizes that
-// don't fit on one machine as whole nodes.
+// slopes measures one peer.Core and the data that the rest of its node holds, at
+// mesh sizes that don't fit on one machine as complete nodes.
 func slopes(options) (*table, error) {
 	t := &table{
 		Name: "slopes of one node",
@@ -34,8 +35,8 @@
 			"listing B/domain", "join B", "change µs", "push B",
 		},
 	}
-	for _, n := range slopeMembers {
-		row, err := slope(n)
+	for _, n := range memberCounts {
+		row, err := measureNode(n)
 		if err != nil {
 			return nil, err
 		}
@@ -44,8 +45,8 @@
 	return t, nil
 }
 
-func slopeMember(i int) peer.Member {
-	d := i % slopeDomains
+func member(i int) peer.Member {
+	d := i % domainCount
 	return peer.Member{
 		Host: fmt.Sprintf("host-%04d", i), Domain: fmt.Sprintf("domain-%02d", d), Region: fmt.Sprintf("region-%d", d/4),
 		Peer: fmt.Sprintf("10.%d.%d.%d:7103", d, i/250, i%250), Call: fmt.Sprintf("10.%d.%d.%d:7102", d, i/250, i%250),
@@ -53,70 +54,73 @@
 	}
 }
 
-// node is a Core with what its node keeps beside it.
-type slopeNode struct {
-	heart   *peer.Core
+// benchNode is a peer.Core with the data that the rest of its node holds.
+type benchNode struct {
+	core    *peer.Core
 	now     time.Time
 	members []peer.Member
 	table   *caller.Table
 	snap    *snapshot.Snapshot
 }
 
-func (s *slopeNode) step(m peer.Msg) {
-	for _, c := range s.heart.Step(s.now, m) {
+// step passes a message to the core and stores the members that it publishes.
+func (s *benchNode) step(m peer.Msg) {
+	for _, c := range s.core.Step(s.now, m) {
 		if p, ok := c.(peer.Publish); ok {
 			s.members = p.Members
 		}
 	}
 }
 
-func slope(n int) ([]any, error) {
-	snap, old, err := compiled(170, 1)
+// measureNode measures a node of a mesh with n members and returns a row.
+func measureNode(n int) ([]any, error) {
+	snap, old, err := compile(170, 1)
 	if err != nil {
 		return nil, err
 	}
-	before := heapNow()
-	s := &slopeNode{now: time.Now(), snap: snap}
-	s.heart = peer.New(peer.Config{Self: slopeMember(0), StoreRegion: "region-0"}, rand.New(rand.NewPCG(1, 1)), s.now)
-	s.step(peer.LinkUp{Link: 1, Hello: peer.Hello{Member: slopeMember(16)}, Addr: "x"})
-	joined := 0
+	before := heapBytes()
+	s := &benchNode{now: time.Now(), snap: snap}
+	s.core = peer.New(peer.Config{Self: member(0), StoreRegion: "region-0"}, rand.New(rand.NewPCG(1, 1)), s.now)
+	s.step(peer.LinkUp{Link: 1, Hello: peer.Hello{Member: member(16)}, Addr: "x"})
+	joinBytes := 0
 	for i := 1; i < n; i += 200 {
 		var batch []peer.Member
 		for j := i; j < min(i+200, n); j++ {
-			batch = append(batch, slopeMember(j))
+			batch = append(batch, member(j))
 		}
 		f := peer.Records{Members: batch}
-		joined += frameSize(f)
+		joinBytes += frameSize(f)
 		s.step(peer.Received{Link: 1, Frame: f})
 	}
 	s.step(peer.Tick{})
 	s.table = caller.NewTable(1, s.snap, s.members)
-	mem := heapNow() - before
-	if s.heart.Members() != n {
-		return nil, errors.Errorf("%d members, not %d", s.heart.Members(), n)
+	mem := heapBytes() - before
+	if s.core.Members() != n {
+		return nil, errors.Errorf("got %d members, want %d", s.core.Members(), n)
 	}
-	tick := timed(200, func(int) { s.now = s.now.Add(10 * time.Microsecond); s.step(peer.Tick{}) })
-	m := slopeMember(n / 2)
-	news := timed(200, func(i int) {
+	tick := meanMicros(200, func(int) { s.now = s.now.Add(10 * time.Microsecond); s.step(peer.Tick{}) })
+	m := member(n / 2)
+	update := meanMicros(200, func(i int) {
 		m.Seq = uint64(i + 1)
 		s.now = s.now.Add(10 * time.Microsecond)
 		s.step(peer.Received{Link: 1, Frame: peer.Records{Members: []peer.Member{m}}})
 		s.step(peer.Tick{})
 	})
-	retable := timed(50, func(int) { s.table = caller.NewTable(1, s.snap, s.members) })
-	change, push, err := s.change(old)
+	rebuildTable := meanMicros(50, func(int) { s.table = caller.NewTable(1, s.snap, s.members) })
+	change, push, err := s.measureChange(old)
 	if err != nil {
 		return nil, err
 	}
 	runtime.KeepAlive(s)
 	return []any{
-		n, mem / 1e3, mem / float64(n), tick, news, retable, frameSize(peer.Records{Members: []peer.Member{m}}),
-		frameSize(listingOf(n)), joined, change, push,
+		n, mem / 1e3, mem / float64(n), tick, update, rebuildTable, frameSize(peer.Records{Members: []peer.Member{m}}),
+		frameSize(listing(n)), joinBytes, change, push,
 	}, nil
 }
 
-// change measures a pushed version, from the frame to the table, and its size.
-func (s *slopeNode) change(old []byte) (float64, int, error) {
+// measureChange measures the processing of a pushed version, from its frame to the
+// call table, in microseconds, and the size of the frame in bytes.
+func (s *benchNode) measureChange(old []byte) (float64, int, error) {
 	hash := snapshot.Sum(old)
 	s.step(peer.Committed{Version: 1, Hash: hash, Content: old})
 	base, version := old, uint64(1)
@@ -126,7 +130,7 @@
 	frames := make([]peer.Content, 0, rounds)
 	snaps := make([]*snapshot.Snapshot, 0, rounds)
 	for i := range rounds {
-		snap, b, err := compiled(170, i+2)
+		snap, b, err := compile(170, i+2)
 		if err != nil {
 			return 0, 0, err
 		}
@@ -139,25 +143,26 @@
 		frames, snaps = append(frames, f), append(snaps, snap)
 		base, size = b, frameSize(f)
 	}
-	took := timed(rounds, func(i int) {
+	took := meanMicros(rounds, func(i int) {
 		s.step(peer.Received{Link: 1, Frame: frames[i]})
 		s.table = caller.NewTable(frames[i].Version, snaps[i], s.members)
-		if got, _ := s.heart.Version(); got != frames[i].Version {
-			failed = errors.Errorf("version %d, not %d", got, frames[i].Version)
+		if got, _ := s.core.Version(); got != frames[i].Version {
+			failed = errors.Errorf("got version %d, want %d", got, frames[i].Version)
 		}
 	})
 	return took, size, failed
 }
 
-// timed is the mean time of f in microseconds.
-func timed(rounds int, f func(i int)) float64 {
-	began := time.Now()
+// meanMicros returns the mean duration of f in microseconds.
+func meanMicros(rounds int, f func(i int)) float64 {
+	started := time.Now()
 	for i := range rounds {
 		f(i)
 	}
-	return float64(time.Since(began).Nanoseconds()) / float64(rounds) / 1000
+	return float64(time.Since(started).Nanoseconds()) / float64(rounds) / 1000
 }
 
+// frameSize returns the size of a frame in bytes.
 func frameSize(f peer.Frame) int {
 	b, err := peer.EncodeFrame(f)
 	if err != nil {
@@ -166,10 +171,11 @@
 	return len(b)
 }
 
-func listingOf(n int) peer.Listing {
+// listing returns the listing of one domain of a mesh with n members.
+func listing(n int) peer.Listing {
 	f := peer.Listing{Domain: "domain-00"}
-	for i := 0; i < n; i += slopeDomains {
-		m := slopeMember(i)
+	for i := 0; i < n; i += domainCount {
+		m := member(i)
 		f.Entries = append(f.Entries, peer.Entry{Host: m.Host, Incarnation: m.Incarnation})
 	}
 	return f
--- a/bench/util.go
+++ b/bench/util.go
@@ -18,13 +18,15 @@
 	"briarrock.example/standin/wire"
 )
 
-func measures() []measure {
-	return []measure{convergeMeasure(), deltaMeasure(), callsMeasure(), overloadMeasure(), faultsMeasure(), onceMeasure(), slopesMeasure(), mutateMeasure(), stormMeasure()}
+func benchmarks() []benchmark {
+	return []benchmark{convergeBenchmark(), deltaBenchmark(), callsBenchmark(), overloadBenchmark(), faultsBenchmark(), onceBenchmark(), slopesBenchmark(), mutateBenchmark(), stormBenchmark()}
 }
 
-// storeDelay makes the stand-in platform as far as one in the same region.
-var storeDelay = standinplatform.Faults{Delay: 2 * time.Millisecond}
+// storeFaults adds the latency of a store in the same region to the stand-in
+// platform.
+var storeFaults = standinplatform.Faults{Delay: 2 * time.Millisecond}
 
+// listen opens a listener on loopback and returns it with its URL.
 func listen() (net.Listener, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +35,9 @@
 	return l, "http://" + l.Addr().String(), nil
 }
 
-func slowClient(p wire.Path) *http.Client {
+// shapedClient returns an HTTP client whose connections have the delay and bandwidth
+// of a path.
+func shapedClient(p wire.Path) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := new(net.Dialer).DialContext(ctx, network, addr)
@@ -45,15 +49,15 @@
 	}}
 }
 
-// cpuNow is the processor time of this process so far.
-func cpuNow() time.Duration {
-	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// compiled is the snapshot of a text that makeText made.
-func compiled(services, edit int) (*snapshot.Snapshot, []byte, error) {
+// compile returns the snapshot of a text of makeText, and its encoding.
+func compile(services, edit int) (*snapshot.Snapshot, []byte, error) {
 	s, err := text.Compile(makeText(services, edit))
 	if err != nil {
 		return nil, nil, errors.WithStack(err)
@@ -62,10 +66,10 @@
 	return s, b, errors.WithStack(err)
 }
 
-// publish commits an edit straight to the store and waits until all pollers
-// have it.
-func publish(ctx context.Context, st platform.Store, edit int, u *uses, nodes int) ([]time.Duration, error) {
-	_, b, err := compiled(convergeFlags.services, edit)
+// commitToStore commits an edit directly to the store and waits until all pollers
+// have read it. It returns their latencies.
+func commitToStore(ctx context.Context, st platform.Store, edit int, times *versionTimes, nodes int) ([]time.Duration, error) {
+	_, b, err := compile(convergeFlags.services, edit)
 	if err != nil {
 		return nil, err
 	}
@@ -73,15 +77,15 @@
 	if err := st.PutObject(ctx, "whole-"+hash.String(), b); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	fin := platform.Apply(ctx, st, platform.Edit{
+	result := platform.Apply(ctx, st, platform.Edit{
 		Audit: platform.Audit{Base: uint64(edit), Hash: hash.String(), Text: hash.String(), Write: fmt.Sprintf("bench-%08d", edit)},
 		Text:  b, Snapshot: b,
 	}, platform.Row{})
-	if fin.Outcome != platform.Accepted {
-		return nil, errors.New("baseline: not accepted")
+	if result.Outcome != platform.Accepted {
+		return nil, errors.New("baseline: edit not accepted")
 	}
 	accepted := time.Now()
 	version := uint64(edit + 1)
-	err = local.WaitUntil(forceWithin, func() bool { return len(u.since(version, accepted)) >= nodes })
-	return u.since(version, accepted), err
+	err = local.WaitUntil(inForceTimeout, func() bool { return len(times.latencies(version, accepted)) >= nodes })
+	return times.latencies(version, accepted), err
 }
