--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -49,7 +49,7 @@
 	d := i % domainCount
 	return peer.Member{
 		Host: fmt.Sprintf("host-%04d", i), Domain: fmt.Sprintf("domain-%02d", d), Region: fmt.Sprintf("region-%d", d/4),
-		Peer: fmt.Sprintf("10.%d.%d.%d:7103", d, i/250, i%250), Call: fmt.Sprintf("10.%d.%d.%d:7102", d, i/250, i%250),
+		PeerAddr: fmt.Sprintf("10.%d.%d.%d:7103", d, i/250, i%250), CallAddr: fmt.Sprintf("10.%d.%d.%d:7102", d, i/250, i%250),
 		Incarnation: 1796256000000 + uint64(i), Targets: []peer.Target{{Service: fmt.Sprintf("service-%03d", i%170), Slots: 6}},
 	}
 }
@@ -66,7 +66,7 @@
 // step passes a message to the core and stores the members that it publishes.
 func (s *benchNode) step(m peer.Msg) {
 	for _, c := range s.core.Step(s.now, m) {
-		if p, ok := c.(peer.Publish); ok {
+		if p, ok := c.(peer.PublishMembers); ok {
 			s.members = p.Members
 		}
 	}
@@ -139,7 +139,7 @@
 			return 0, 0, errors.WithStack(err)
 		}
 		version++
-		f := peer.Content{Version: version, Hash: snapshot.Sum(b), Base: snapshot.Sum(base), Packed: p, Push: true, Out: true}
+		f := peer.Content{Version: version, Hash: snapshot.Sum(b), Base: snapshot.Sum(base), Packed: p, Push: true, HeldRemotely: true}
 		frames, snaps = append(frames, f), append(snaps, snap)
 		base, size = b, frameSize(f)
 	}
--- a/briarrock/local/secure_test.go
+++ b/briarrock/local/secure_test.go
@@ -99,25 +99,25 @@
 // linkAs tries to open a link to a node under a name, and reports whether the node
 // accepted it and sent its members.
 func linkAs(c *qt.C, addr string, k *keys.Keys, name string) bool {
-	var p peer.Keys
+	var p peer.Credentials
 	if k != nil {
-		p = peer.Keys{
+		p = peer.Credentials{
 			Client: k.ClientConfig, Server: k.ServerConfig,
-			Peer: func(cs tls.ConnectionState) (string, error) { return keys.PeerName(cs, keys.Node) },
+			VerifyPeer: func(cs tls.ConnectionState) (string, error) { return keys.PeerName(cs, keys.Node) },
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	links := peer.NewLinks(peer.Config{
-		Self:     peer.Member{Host: name, Domain: "elsewhere", Region: "elsewhere", Peer: l.Addr().String(), Call: "127.0.0.1:1", Incarnation: 1},
+	links := peer.NewTransport(peer.Config{
+		Self:     peer.Member{Host: name, Domain: "elsewhere", Region: "elsewhere", PeerAddr: l.Addr().String(), CallAddr: "127.0.0.1:1", Incarnation: 1},
 		Contacts: []string{addr},
-	}, peer.Deps{Store: unavailableStore{}, Keys: p, Listener: l, Hooks: peer.Hooks{
-		Use: func(peer.Use) {}, Publish: func(peer.Publish) {}, Held: func(peer.Held) {},
+	}, peer.Deps{Store: unavailableStore{}, Credentials: p, Listener: l, Hooks: peer.Hooks{
+		ServeVersion: func(peer.ServeVersion) {}, PublishMembers: func(peer.PublishMembers) {}, HeldRequest: func(peer.HeldRequest) {},
 	}})
 	defer links.Close()
 	linked := func() bool {
 		n := 0
-		links.Ask(func(h *peer.Core) { n = h.Members() })
+		links.WithCore(func(h *peer.Core) { n = h.Members() })
 		return n > 1
 	}
 	return local.WaitUntil(linkTimeout, linked) == nil
--- a/briarrockd/caller/caller.go
+++ b/briarrockd/caller/caller.go
@@ -246,7 +246,7 @@
 		return c, refusal{kind: k}
 	}
 	c.fingerprint = claim.Fingerprint(c.service.Name, r.Method, r.URL.RequestURI(), r.ContentLength, c.body)
-	if p.deps.CrashCount(c.fingerprint) >= peer.HoldAt {
+	if p.deps.CrashCount(c.fingerprint) >= peer.HoldThreshold {
 		return c, refusal{kind: kind.Held}
 	}
 	return c, refusal{}
--- a/briarrockd/caller/race_test.go
+++ b/briarrockd/caller/race_test.go
@@ -108,7 +108,7 @@
 	}
 	ms := members()
 	for i := range ms {
-		ms[i].Call = ms[i].Host + ":1"
+		ms[i].CallAddr = ms[i].Host + ":1"
 	}
 	p.SetTable(NewTable(1, s, ms))
 	method := http.MethodGet
--- a/briarrockd/operator/apply.go
+++ b/briarrockd/operator/apply.go
@@ -165,7 +165,7 @@
 	res.Outcome, res.Version, res.Text = api.Accepted, a.Version, "accepted"
 	hash, err := snapshot.ParseHash(a.Hash)
 	if err == nil {
-		e.api.deps.Peers.Tell(peer.Committed{Version: a.Version, Hash: hash, Content: e.encoded})
+		e.api.deps.Peers.Post(peer.Committed{Version: a.Version, Hash: hash, Content: e.encoded})
 	}
 	e.api.deps.Log.Emit(event.EditAccepted, event.Fields{"version": a.Version, "who": e.operator, "write": e.request.Write})
 	e.api.wg.Go(func() { e.api.recordConvergence(a) })
--- a/briarrockd/peer/contact.go
+++ b/briarrockd/peer/contact.go
@@ -5,151 +5,152 @@
 	"time"
 )
 
-// Contacts in the table are the second way to find the others, after those of
-// the settings. A node that was started long after its settings were written
-// may find none of its contacts any more: all hosts are replaced in time. Its
-// symptom would be a host that stays by itself.
+// Rows of contacts in the platform's table are the second means to join the mesh, after
+// the contacts in the settings. All hosts are replaced over time, so none of the
+// contacts in the settings may be left when a node starts long after they were written.
+// Without the rows that node would stay isolated.
 const (
-	// keptContacts is how many addresses a domain leaves: one more than a domain
-	// has whose members all watch the platform, so that a node which starts can
-	// tell whether its domain is one of these.
-	keptContacts = wholeDomain + 1
-	// contactsEvery is how often the root of a domain looks whether the row
-	// still names the right addresses, and writes it if not.
-	contactsEvery = 5 * time.Second
-	// isolatedAfter is about how long a node is without any link before it reads the
-	// rows: all of its contacts would have answered by then. One that was given no
-	// contacts reads them at once. Until it knows the others it can serve nobody.
-	// contactsAgain is how long after that it reads them again, at first and at
-	// most.
-	isolatedAfter    = 300 * time.Millisecond
-	contactsAgain    = 2200 * time.Millisecond
-	maxContactsAgain = 20 * time.Second
-	// bootSpread is the time over which nodes that all start for the first time
-	// spread their reads: the first of them finds nothing and leaves its
-	// address, and most of the others find that. Of 83 that read within 0.3 s
-	// each would write as well, and read again.
-	bootSpread = time.Second
-	// rootFor is how long a node must have been the first of its domain before
-	// it writes the row: while it gets to know the others, it may think so for a
-	// moment.
-	rootFor = 2 * time.Second
-	// maxContacts bounds what is taken from the table.
+	// contactsPerDomain is how many addresses a domain publishes: one more than the
+	// size of a domain in which all members poll the platform, so that a starting node
+	// can tell whether its domain is one of these.
+	contactsPerDomain = smallDomainSize + 1
+	// contactsInterval is the interval at which the root of a domain checks whether its
+	// row still has the right addresses. It writes the row if not.
+	contactsInterval = 5 * time.Second
+	// isolatedDelay is the approximate time that a node is without any link before it
+	// reads the rows: by then all of its contacts would have answered. A node without
+	// contacts reads them at once, since it can't serve calls until it knows other
+	// members. minContactsRetry and maxContactsRetry bound the interval between further
+	// reads.
+	isolatedDelay    = 300 * time.Millisecond
+	minContactsRetry = 2200 * time.Millisecond
+	maxContactsRetry = 20 * time.Second
+	// bootstrapJitter is the time over which nodes that all start for the first time
+	// spread their reads. The first of them finds no row and publishes its address, and
+	// most of the others find that. Of 83 nodes that read within 0.3 s each would write
+	// the row as well, and read again.
+	bootstrapJitter = time.Second
+	// rootSettleTime is how long a node must have been the root of its domain before it
+	// writes the row: a node that has just started may be the root of its own table for
+	// a moment, until it knows the other members.
+	rootSettleTime = 2 * time.Second
+	// maxContacts is the maximum number of addresses that are taken from the rows.
 	maxContacts = 256
 )
 
-// contacts is what a node knows of the rows.
-type contacts struct {
-	written []string
-	writeAt time.Time
-	readAt  time.Time
-	addrs   []string
-	// readFrom is from when on a node without links reads the rows.
-	readFrom time.Time
-	// rootAt is since when this node has been the first of its domain.
-	rootAt time.Time
-	// reads counts the reads since the node was last linked, and came is set
-	// once one has been answered.
-	reads int
-	came  bool
-	// small is set where the row of the own domain names no more members than
-	// may all watch the platform.
-	small bool
+// contactRows is the state of reading and writing the rows of contacts.
+type contactRows struct {
+	written   []string
+	nextWrite time.Time
+	lastRead  time.Time
+	addrs     []string
+	// readAfter is the earliest time at which a node without links reads the rows; zero
+	// while it has links.
+	readAfter time.Time
+	// rootSince is when this node became the root of its domain; zero if it is not.
+	rootSince time.Time
+	// reads counts the reads since this node last had a link. loaded is set once a read
+	// has been answered.
+	reads  int
+	loaded bool
+	// smallDomain is set if the row of this node's domain has at most smallDomainSize
+	// addresses, so that all of its members may poll the platform.
+	smallDomain bool
 }
 
-func (h *Core) tickContacts() {
-	if h.self.State == Leaving {
+func (c *Core) tickContacts() {
+	if c.self.State == Leaving {
 		return
 	}
-	h.leaveContacts()
-	if len(h.links) > 0 {
-		h.stored.readFrom = time.Time{}
-		h.stored.reads = 0
+	c.publishContacts()
+	if len(c.links) > 0 {
+		c.contacts.readAfter = time.Time{}
+		c.contacts.reads = 0
 		return
 	}
-	if h.stored.readFrom.IsZero() {
-		h.stored.readFrom = h.now.Add(h.readPause())
+	if c.contacts.readAfter.IsZero() {
+		c.contacts.readAfter = c.now.Add(c.contactsReadDelay())
 	}
-	again := min(contactsAgain<<min(h.stored.reads, 3), maxContactsAgain)
-	if h.now.Before(h.stored.readFrom) || h.now.Sub(h.stored.readAt) < again {
+	retry := min(minContactsRetry<<min(c.contacts.reads, 3), maxContactsRetry)
+	if c.now.Before(c.contacts.readAfter) || c.now.Sub(c.contacts.lastRead) < retry {
 		return
 	}
-	h.stored.readAt = h.now
-	h.stored.reads++
-	h.do(ReadContacts{})
+	c.contacts.lastRead = c.now
+	c.contacts.reads++
+	c.emit(ReadContacts{})
 }
 
-// readPause is how long a node that has lost its last link, or has none yet,
-// waits before it reads the rows.
-func (h *Core) readPause() time.Duration {
-	if h.askFirst() {
+// contactsReadDelay returns how long a node without links waits before it reads the
+// rows.
+func (c *Core) contactsReadDelay() time.Duration {
+	if c.readContactsAtOnce() {
 		return 0
 	}
-	spread, pause := joinSpread, time.Duration(0)
-	if h.cfg.Bootstrap {
-		spread = bootSpread
+	spread, pause := startJitter, time.Duration(0)
+	if c.cfg.Bootstrap {
+		spread = bootstrapJitter
 	}
-	if len(h.cfg.Contacts) > 0 {
-		pause = isolatedAfter
+	if len(c.cfg.Contacts) > 0 {
+		pause = isolatedDelay
 	}
-	return pause + h.jitter(spread)
+	return pause + c.jitter(spread)
 }
 
-// askFirst tells whether this node has just been started, beside others that may
-// have been stopped with it. The rows then also tell it whether it may read the
-// configuration at once, instead of waiting for a peer that has it: after the
-// loss of a whole mesh nobody has.
-func (h *Core) askFirst() bool {
-	return h.cfg.HeadFed && !h.cfg.Bootstrap && !h.version.peered && !h.stored.came
+// readContactsAtOnce reports whether this process has just started and has neither had
+// a link nor read the rows. Other nodes may have been stopped with it. The rows then
+// also show whether this node may read the configuration at once instead of waiting for
+// a peer that has it: after the loss of a whole mesh no peer has it.
+func (c *Core) readContactsAtOnce() bool {
+	return c.cfg.DelegatePolling && !c.cfg.Bootstrap && !c.version.everLinked && !c.contacts.loaded
 }
 
-// leaveContacts writes the row of this domain, at its root, when the first
-// members are others than those in it. A node that has read the rows and still
-// has no link may be the first of all: it leaves its address for the others.
-func (h *Core) leaveContacts() {
-	c := &h.stored
-	if !h.isRoot() {
-		c.rootAt = time.Time{}
+// publishContacts writes the row of this domain, at its root, if its first members
+// differ from the row. A node that has read the rows, found no address and has no link
+// may be the first node of the mesh: it publishes its own address without waiting.
+func (c *Core) publishContacts() {
+	s := &c.contacts
+	if !c.isRoot() {
+		s.rootSince = time.Time{}
 		return
 	}
-	if c.rootAt.IsZero() {
-		c.rootAt = h.now
+	if s.rootSince.IsZero() {
+		s.rootSince = c.now
 	}
-	first := len(h.links) == 0 && c.came && len(c.addrs) == 0
-	if h.now.Before(c.writeAt) || (!first && h.now.Sub(c.rootAt) < rootFor) || (len(h.links) == 0 && !c.came) {
+	firstNode := len(c.links) == 0 && s.loaded && len(s.addrs) == 0
+	if c.now.Before(s.nextWrite) || (!firstNode && c.now.Sub(s.rootSince) < rootSettleTime) || (len(c.links) == 0 && !s.loaded) {
 		return
 	}
-	c.writeAt = h.now.Add(contactsEvery + h.jitter(contactsEvery/4))
+	s.nextWrite = c.now.Add(contactsInterval + c.jitter(contactsInterval/4))
 	var addrs []string
-	for _, r := range h.table.members(h.self.Domain) {
-		if len(addrs) < keptContacts {
-			addrs = append(addrs, r.Peer)
+	for _, r := range c.table.members(c.self.Domain) {
+		if len(addrs) < contactsPerDomain {
+			addrs = append(addrs, r.PeerAddr)
 		}
 	}
-	if slices.Equal(addrs, c.written) {
+	if slices.Equal(addrs, s.written) {
 		return
 	}
-	c.written = addrs
-	h.do(WriteContacts{addrs})
+	s.written = addrs
+	c.emit(WriteContacts{addrs})
 }
 
-func (h *Core) contactsRead(m ContactsRead) {
+func (c *Core) onContactsRead(m ContactsRead) {
 	addrs := m.Addrs
-	h.stored.came = true
-	h.stored.small = m.Near > 0 && m.Near <= wholeDomain
+	c.contacts.loaded = true
+	c.contacts.smallDomain = m.OwnDomain > 0 && m.OwnDomain <= smallDomainSize
 	for _, a := range addrs[:min(len(addrs), maxContacts)] {
-		if len(a) <= maxNameSize && a != h.self.Peer {
-			h.stored.addrs = append(h.stored.addrs, a)
+		if len(a) <= maxNameSize && a != c.self.PeerAddr {
+			c.contacts.addrs = append(c.contacts.addrs, a)
 		}
 	}
-	if extra := len(h.stored.addrs) - maxContacts; extra > 0 {
-		h.stored.addrs = h.stored.addrs[extra:]
+	if extra := len(c.contacts.addrs) - maxContacts; extra > 0 {
+		c.contacts.addrs = c.contacts.addrs[extra:]
 	}
-	if !h.cfg.HeadFed || len(h.links) > 0 {
+	if !c.cfg.DelegatePolling || len(c.links) > 0 {
 		return
 	}
-	// Callers wait for a node that has just been started, so it doesn't wait for
-	// the next tick.
-	h.updateWatchRole()
-	h.rejoin()
+	// Callers are waiting for a node that has just started, so it doesn't wait for the
+	// next tick.
+	c.updatePollRole()
+	c.rejoin()
 }
--- a/briarrockd/peer/hold.go
+++ b/briarrockd/peer/hold.go
@@ -8,107 +8,110 @@
 )
 
 const (
-	// HoldAt is how many crashes make a request one that is held back, here and
-	// wherever calls are admitted.
-	HoldAt = 2
-	// holdFor is how long a request is held back after its last crash, and
-	// how long a first crash is remembered.
-	holdFor = 10 * time.Minute
-	// maxHolds bounds the table; past it nothing new is suspected.
-	maxHolds = 4096
-	// clearedFor is how long a request that has run to its end is remembered
-	// with the reports about it, and maxReports how many of these are kept.
-	clearedFor = 30 * time.Second
-	maxReports = 64
+	// HoldThreshold is the number of crashes from which on a request is held back, both
+	// in this package and where calls are admitted.
+	HoldThreshold = 2
+	// crashTTL is how long a request is held back after its last crash, and how long
+	// the first crash is remembered.
+	crashTTL = 10 * time.Minute
+	// maxCrashRecords is the maximum number of suspected requests. While the table is
+	// full no further requests are suspected.
+	maxCrashRecords = 4096
+	// clearedTTL is how long a request that has completed is kept together with the
+	// reports about it, and maxCrashReports how many reports are kept per request.
+	clearedTTL      = 30 * time.Second
+	maxCrashReports = 64
 )
 
-// held is what is known of one request that was in flight at a crash.
-type held struct {
-	service string
-	seen    map[uint64]bool // reports, so that a relayed one counts once
-	crashes int             // 0 once it has run to its end
-	at      time.Time
+// crashRecord is the state of one request that was in flight during a crash.
+type crashRecord struct {
+	service   string
+	reportIDs map[uint64]bool // IDs of the reports, so that a relayed report counts once
+	crashes   int             // 0 once the request has completed
+	updatedAt time.Time
 }
 
-// holds are the requests that are suspected of crashing targets.
-type holds struct {
-	prints map[uint64]*held
+// crashTable holds the requests that are suspected of crashing targets, by fingerprint.
+type crashTable struct {
+	records map[uint64]*crashRecord
 }
 
-func newHolds() holds { return holds{prints: make(map[uint64]*held)} }
+func newCrashTable() crashTable { return crashTable{records: make(map[uint64]*crashRecord)} }
 
-// crashed takes what this node saw at its own target.
-func (h *Core) crashed(m Crashed) {
-	f := Hold{Print: m.Print, Service: m.Service, Crashes: 1, Clear: m.Clear, ID: h.rng.Uint64()}
-	if p := h.holds.prints[m.Print]; m.Clear && (p == nil || p.crashes == 0) {
+// onCrashed processes a crash, or the completion of a suspected request, at one of this
+// node's targets.
+func (c *Core) onCrashed(m Crashed) {
+	f := CrashReport{Print: m.Print, Service: m.Service, Crashes: 1, Clear: m.Clear, ID: c.rng.Uint64()}
+	if r := c.crashes.records[m.Print]; m.Clear && (r == nil || r.crashes == 0) {
 		return
 	}
-	h.takeHold(0, f)
+	c.applyCrashReport(0, f)
 }
 
-func (h *Core) hold(l *link, f Hold) { h.takeHold(l.id, f) }
+func (c *Core) onCrashReport(l *link, f CrashReport) { c.applyCrashReport(l.id, f) }
 
-// takeHold counts a report once and passes it on to every link, the lazy ones
-// included: a request that crashes targets must not get through to another
-// region because one link was quiet.
+// applyCrashReport counts a report once and floods it over all links, the lazy ones
+// included: a request that crashes targets must not reach another region because a lazy
+// link did not carry the report.
 //
-// What was seen of a request outlives its clearing. A crash and the word that the
-// request has run to its end go round the mesh close to each other; a node that
-// forgot the first on hearing the second would take the first for news when it
-// comes by another way, and the two would chase each other for good.
-func (h *Core) takeHold(from LinkID, f Hold) {
-	p := h.holds.prints[f.Print]
-	if p == nil {
-		if f.Clear || len(h.holds.prints) >= maxHolds {
+// The record of a request is kept for a while after the request has been cleared. The
+// report of a crash and the report that clears it spread through the mesh shortly after
+// one another. A node that deleted the record on receiving the second would take the
+// first for a new report when it arrives by another path, and the two reports would
+// circulate forever.
+func (c *Core) applyCrashReport(from LinkID, f CrashReport) {
+	r := c.crashes.records[f.Print]
+	if r == nil {
+		if f.Clear || len(c.crashes.records) >= maxCrashRecords {
 			return
 		}
-		p = &held{service: f.Service, seen: make(map[uint64]bool)}
-		h.holds.prints[f.Print] = p
+		r = &crashRecord{service: f.Service, reportIDs: make(map[uint64]bool)}
+		c.crashes.records[f.Print] = r
 	}
-	if p.seen[f.ID] || len(p.seen) >= maxReports || (f.Clear && p.crashes >= HoldAt) {
+	if r.reportIDs[f.ID] || len(r.reportIDs) >= maxCrashReports || (f.Clear && r.crashes >= HoldThreshold) {
 		return
 	}
-	p.seen[f.ID] = true
-	p.at = h.now
+	r.reportIDs[f.ID] = true
+	r.updatedAt = c.now
 	if f.Clear {
-		p.crashes = 0
+		r.crashes = 0
 	} else {
-		p.crashes++
+		r.crashes++
 	}
-	h.do(Held{f.Print, p.service, p.crashes})
-	if p.crashes == HoldAt && !f.Clear {
-		h.log(event.RequestHeld, event.Fields{event.Subject: f.Service, "print": f.Print})
+	c.emit(HeldRequest{f.Print, r.service, r.crashes})
+	if r.crashes == HoldThreshold && !f.Clear {
+		c.log(event.RequestHeld, event.Fields{event.Subject: f.Service, "print": f.Print})
 	}
-	h.relayHold(from, f)
+	c.relayCrashReport(from, f)
 }
 
-func (h *Core) relayHold(from LinkID, f Hold) {
-	for _, l := range h.sortedLinks() {
+func (c *Core) relayCrashReport(from LinkID, f CrashReport) {
+	for _, l := range c.sortedLinks() {
 		if l.id != from {
-			h.send(l, f)
+			c.send(l, f)
 		}
 	}
 }
 
-func (h *Core) tickHolds() {
-	for mark, p := range h.holds.prints {
-		kept := holdFor
-		if p.crashes == 0 {
-			kept = clearedFor
+func (c *Core) tickCrashes() {
+	for fingerprint, r := range c.crashes.records {
+		ttl := crashTTL
+		if r.crashes == 0 {
+			ttl = clearedTTL
 		}
-		if h.now.Sub(p.at) > kept {
-			delete(h.holds.prints, mark)
-			h.do(Held{mark, p.service, 0})
+		if c.now.Sub(r.updatedAt) > ttl {
+			delete(c.crashes.records, fingerprint)
+			c.emit(HeldRequest{fingerprint, r.service, 0})
 		}
 	}
 }
 
-// list returns what is held back now.
-func (h *holds) list() []Held {
-	var out []Held
-	for mark, p := range h.prints {
-		if p.crashes >= HoldAt {
-			out = append(out, Held{mark, p.service, p.crashes})
+// heldRequests returns the requests that are held back now.
+func (t *crashTable) heldRequests() []HeldRequest {
+	var out []HeldRequest
+	for fingerprint, r := range t.records {
+		if r.crashes >= HoldThreshold {
+			out = append(out, HeldRequest{fingerprint, r.service, r.crashes})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Print < out[j].Print })
--- a/briarrockd/peer/links.go
+++ b/briarrockd/peer/links.go
@@ -22,276 +22,279 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// The remote procedures of a node. Link is a stream of frames in both
-// directions that lasts; Status asks once; Claims hands claims to the first node
-// of the domain.
+// The remote procedures of a node. Link is a long-lived bidirectional stream of frames.
+// Status returns the status of the mesh. Claims forwards claims to the root of the
+// domain.
 const (
 	rpcLink   = "/peer/Link"
 	rpcStatus = "/peer/Status"
 	rpcClaims = "/peer/Claims"
 )
 
-// Bounds of the shell.
+// Limits of a Transport.
 const (
-	// inboxSize and outboxSize bound what waits for the Core and for a link.
-	// A peer that doesn't read fills its outbox and loses the link.
+	// inboxSize is the capacity of the queue of messages to the Core, outboxSize that
+	// of each link's queue of frames. If a peer doesn't read, its outbox fills up and
+	// the link is closed.
 	inboxSize  = 1024
 	outboxSize = 512
-	// helloWithin bounds the time until a peer has said hello.
-	helloWithin = 3 * time.Second
-	// maxInbound bounds the connections that peers may hold open.
+	// helloTimeout is the time limit for a connection's handshake and its Hello.
+	helloTimeout = 3 * time.Second
+	// maxInbound is the maximum number of open inbound connections.
 	maxInbound = 2 * maxLinks
-	// storeWithin bounds one question to the platform.
-	storeWithin = 4 * time.Second
-	// sendWithin bounds the writing of one frame.
-	sendWithin = silentAfter
+	// storeTimeout is the time limit for one request to the platform.
+	storeTimeout = 4 * time.Second
+	// sendTimeout is the time limit for writing one frame.
+	sendTimeout = linkSilenceTimeout
 )
 
-// Hooks are what the rest of the node does with a Core's decisions. They are
-// called one after the other and must return soon.
+// Hooks are the callbacks that carry a Core's decisions to the rest of the node. They
+// are called one at a time and must return quickly.
 type Hooks struct {
-	Use     func(Use)
-	Publish func(Publish)
-	Held    func(Held)
-	// Watch may be nil where the Core reads the head itself.
+	ServeVersion   func(ServeVersion)
+	PublishMembers func(PublishMembers)
+	HeldRequest    func(HeldRequest)
+	// Watch may be nil if the Core reads the head itself.
 	Watch func(Watch)
 }
 
-// Links is the shell around a Core: it owns the goroutines and sockets. Make
-// one with New.
-type Links struct {
-	heart  *Core
-	store  platform.Store
-	log    *event.Log
-	hooks  Hooks
-	keys   Keys
-	domain string
-	inbox  chan Msg
-	asks   chan func(*Core)
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
+// Transport runs a Core: it owns the goroutines, the connections to peers and the
+// requests to the platform. Use NewTransport to make one.
+type Transport struct {
+	core      *Core
+	store     platform.Store
+	log       *event.Log
+	hooks     Hooks
+	creds     Credentials
+	domain    string
+	inbox     chan Msg
+	coreCalls chan func(*Core)
+	ctx       context.Context
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
 
 	mu      sync.Mutex
 	streams map[LinkID]*stream
 	lastID  LinkID
 
-	inbound atomic.Int64
-	refused *metrics.Counter
-	claims  func(ctx context.Context, orders []byte) ([]byte, error)
-	root    rootConn
-	traffic *traffic
-	dialTCP func(ctx context.Context, network, addr string) (net.Conn, error)
+	inbound      atomic.Int64
+	refused      *metrics.Counter
+	commitClaims func(ctx context.Context, batch []byte) ([]byte, error)
+	claimsConn   claimsConn
+	traffic      *traffic
+	dialTCP      func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Keys give the TLS settings of the moment; nil functions mean plain TCP.
-type Keys struct {
+// Credentials provide the current TLS settings; if the functions are nil, connections
+// are plain TCP.
+type Credentials struct {
 	Server func() *tls.Config
 	Client func() *tls.Config
-	// Peer returns the name in the certificate of the other side, or an
-	// error if it may not be a peer.
-	Peer func(tls.ConnectionState) (string, error)
+	// VerifyPeer returns the host name in the other side's certificate, or an error if
+	// the certificate does not authorize a peer.
+	VerifyPeer func(tls.ConnectionState) (string, error)
 }
 
-// Deps are what Links needs from outside.
+// Deps holds the dependencies of a Transport.
 type Deps struct {
-	Store    platform.Store
-	Log      *event.Log
-	Hooks    Hooks
-	Keys     Keys
-	Metrics  *metrics.Set
-	Listener net.Listener
-	// Seed starts the random numbers of the Core.
+	Store       platform.Store
+	Log         *event.Log
+	Hooks       Hooks
+	Credentials Credentials
+	Metrics     *metrics.Set
+	Listener    net.Listener
+	// Seed seeds the Core's random number generator.
 	Seed uint64
-	// Dial opens connections; nil for the usual way.
+	// Dial opens connections; if nil, a net.Dialer is used.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Claims commits the claims of other nodes of the domain.
-	Claims func(ctx context.Context, orders []byte) ([]byte, error)
+	// CommitClaims commits claims that other nodes of the domain have forwarded.
+	CommitClaims func(ctx context.Context, batch []byte) ([]byte, error)
 }
 
-// NewLinks starts a Core with its shell. Close stops it.
-func NewLinks(cfg Config, d Deps) *Links {
+// NewTransport starts a Core and its Transport. Close stops both.
+func NewTransport(cfg Config, d Deps) *Transport {
 	if d.Metrics == nil {
 		d.Metrics = metrics.NewSet()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Links{
-		heart:   New(cfg, rand.New(rand.NewPCG(d.Seed, score(cfg.Self.Host))), time.Now()),
-		store:   d.Store,
-		log:     d.Log,
-		hooks:   d.Hooks,
-		keys:    d.Keys,
-		domain:  cfg.Self.Domain,
-		claims:  d.Claims,
-		inbox:   make(chan Msg, inboxSize),
-		asks:    make(chan func(*Core)),
-		ctx:     ctx,
-		cancel:  cancel,
-		streams: make(map[LinkID]*stream),
-		traffic: newTraffic(d.Metrics, cfg.Self),
-		refused: d.Metrics.GetOrCreateCounter("briarrock_peers_refused_total"),
+	t := &Transport{
+		core:         New(cfg, rand.New(rand.NewPCG(d.Seed, score(cfg.Self.Host))), time.Now()),
+		store:        d.Store,
+		log:          d.Log,
+		hooks:        d.Hooks,
+		creds:        d.Credentials,
+		domain:       cfg.Self.Domain,
+		commitClaims: d.CommitClaims,
+		inbox:        make(chan Msg, inboxSize),
+		coreCalls:    make(chan func(*Core)),
+		ctx:          ctx,
+		cancel:       cancel,
+		streams:      make(map[LinkID]*stream),
+		traffic:      newTraffic(d.Metrics, cfg.Self),
+		refused:      d.Metrics.GetOrCreateCounter("briarrock_peers_refused_total"),
 	}
-	s.dialTCP = d.Dial
-	if s.dialTCP == nil {
-		s.dialTCP = new(net.Dialer).DialContext
+	t.dialTCP = d.Dial
+	if t.dialTCP == nil {
+		t.dialTCP = new(net.Dialer).DialContext
 	}
-	s.wg.Go(s.run)
-	s.wg.Go(func() { s.accept(d.Listener) })
+	t.wg.Go(t.run)
+	t.wg.Go(func() { t.accept(d.Listener) })
 	context.AfterFunc(ctx, func() { _ = d.Listener.Close() })
-	return s
+	return t
 }
 
-// Close ends all links and waits for the goroutines. Say Leave first.
-func (s *Links) Close() {
-	s.cancel()
-	s.wg.Wait()
-	s.root.close()
+// Close closes all links and waits for the goroutines. Post Leave beforehand.
+func (t *Transport) Close() {
+	t.cancel()
+	t.wg.Wait()
+	t.claimsConn.close()
 }
 
-// Tell gives the Core a message. It returns false when Links is closed.
-func (s *Links) Tell(m Msg) bool {
+// Post enqueues a message for the Core. It returns false if the Transport is closed.
+func (t *Transport) Post(m Msg) bool {
 	select {
-	case s.inbox <- m:
+	case t.inbox <- m:
 		return true
-	case <-s.ctx.Done():
+	case <-t.ctx.Done():
 		return false
 	}
 }
 
-// Ask runs f with the Core, between two steps.
-func (s *Links) Ask(f func(*Core)) bool {
+// WithCore calls f with the Core, between two steps. It returns false if the Transport
+// is closed.
+func (t *Transport) WithCore(f func(*Core)) bool {
 	done := make(chan struct{})
 	select {
-	case s.asks <- func(h *Core) { f(h); close(done) }:
+	case t.coreCalls <- func(core *Core) { f(core); close(done) }:
 		<-done
 		return true
-	case <-s.ctx.Done():
+	case <-t.ctx.Done():
 		return false
 	}
 }
 
-// run is the only goroutine that touches the Core.
-func (s *Links) run() {
-	tick := time.NewTicker(TickEvery)
+// run is the only goroutine that accesses the Core.
+func (t *Transport) run() {
+	tick := time.NewTicker(TickInterval)
 	defer tick.Stop()
-	s.step(Tick{})
+	t.step(Tick{})
 	for {
 		select {
-		case <-s.ctx.Done():
+		case <-t.ctx.Done():
 			return
-		case f := <-s.asks:
-			f(s.heart)
-		case m := <-s.inbox:
-			s.step(m)
+		case f := <-t.coreCalls:
+			f(t.core)
+		case m := <-t.inbox:
+			t.step(m)
 		case <-tick.C:
-			s.step(Tick{})
+			t.step(Tick{})
 		}
 	}
 }
 
-func (s *Links) step(m Msg) {
-	for _, c := range s.heart.Step(time.Now(), m) {
-		s.carryOut(c)
+func (t *Transport) step(m Msg) {
+	for _, c := range t.core.Step(time.Now(), m) {
+		t.execute(c)
 	}
 }
 
-func (s *Links) carryOut(c Cmd) {
+func (t *Transport) execute(c Cmd) {
 	switch c := c.(type) {
 	case Dial:
-		s.wg.Go(func() { s.dial(c) })
-	case Greet:
-		s.send(c.Link, c.Hello)
-	case Close:
-		s.closeLink(c.Link)
+		t.wg.Go(func() { t.dial(c) })
+	case SendHello:
+		t.send(c.Link, c.Hello)
+	case CloseLink:
+		t.closeLink(c.Link)
 	case Send:
-		s.send(c.Link, c.Frame)
+		t.send(c.Link, c.Frame)
 	case ReadHead:
-		s.wg.Go(s.readHead)
+		t.wg.Go(t.readHead)
 	case ReadObject:
-		s.wg.Go(func() { s.readObject(c.Hash) })
+		t.wg.Go(func() { t.readObject(c.Hash) })
 	case ReadContacts:
-		s.wg.Go(s.readContacts)
+		t.wg.Go(t.readContacts)
 	case WriteContacts:
-		s.wg.Go(func() { s.writeContacts(c.Addrs) })
-	case Use:
-		s.hooks.Use(c)
-	case Publish:
-		s.hooks.Publish(c)
-	case Held:
-		s.hooks.Held(c)
+		t.wg.Go(func() { t.writeContacts(c.Addrs) })
+	case ServeVersion:
+		t.hooks.ServeVersion(c)
+	case PublishMembers:
+		t.hooks.PublishMembers(c)
+	case HeldRequest:
+		t.hooks.HeldRequest(c)
 	case Watch:
-		s.hooks.Watch(c)
+		t.hooks.Watch(c)
 	case Log:
-		s.log.Emit(c.Event, c.Fields)
+		t.log.Emit(c.Event, c.Fields)
 	}
 }
 
-func (s *Links) readHead() {
-	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
+func (t *Transport) readHead() {
+	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
-	row, err := s.store.Get(ctx, platform.HeadKey)
+	row, err := t.store.Get(ctx, platform.HeadKey)
 	if errors.Is(err, platform.ErrMissing) {
-		s.Tell(HeadRead{})
+		t.Post(HeadRead{})
 		return
 	}
 	if err != nil {
-		s.Tell(HeadRead{Err: err})
+		t.Post(HeadRead{Err: err})
 		return
 	}
 	head, hash, err := platform.ParseHead(row.Value)
-	s.Tell(HeadRead{Version: head.Version, Hash: hash, Err: err})
+	t.Post(HeadRead{Version: head.Version, Hash: hash, Err: err})
 }
 
-func (s *Links) readObject(hash snapshot.Hash) {
-	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
+func (t *Transport) readObject(hash snapshot.Hash) {
+	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
-	b, err := platform.GetContent(ctx, s.store, hash)
-	s.Tell(ObjectRead{Hash: hash, Content: b, Err: err})
+	b, err := platform.GetContent(ctx, t.store, hash)
+	t.Post(ObjectRead{Hash: hash, Content: b, Err: err})
 }
 
-// contactsPrefix begins the key of each domain's row of contacts.
+// contactsPrefix is the prefix of the key of each domain's row of contacts.
 const contactsPrefix = "contacts/"
 
-func (s *Links) readContacts() {
-	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
+func (t *Transport) readContacts() {
+	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
-	rows, err := s.store.List(ctx, platform.Scan{Prefix: contactsPrefix, Limit: maxDomains})
+	rows, err := t.store.List(ctx, platform.Scan{Prefix: contactsPrefix, Limit: maxDomains})
 	if err != nil {
-		return // asked again later
+		return // the Core repeats the request later
 	}
 	var m ContactsRead
 	for _, row := range rows {
-		var some []string
-		if json.Unmarshal(row.Value, &some) != nil {
+		var addrs []string
+		if json.Unmarshal(row.Value, &addrs) != nil {
 			continue
 		}
-		m.Addrs = append(m.Addrs, some...)
-		if row.Key == contactsPrefix+s.domain {
-			m.Near = len(some)
+		m.Addrs = append(m.Addrs, addrs...)
+		if row.Key == contactsPrefix+t.domain {
+			m.OwnDomain = len(addrs)
 		}
 	}
-	s.Tell(m)
+	t.Post(m)
 }
 
-// writeContacts leaves the addresses without a condition: whichever root of a
-// domain writes last, they are addresses of its members.
-func (s *Links) writeContacts(addrs []string) {
-	ctx, cancel := context.WithTimeout(s.ctx, storeWithin)
+// writeContacts writes the row unconditionally: if several roots of a domain write it,
+// any of them writes addresses of members.
+func (t *Transport) writeContacts(addrs []string) {
+	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
 	b, err := json.Marshal(addrs)
 	if err != nil {
 		return
 	}
-	key := contactsPrefix + s.domain
-	_ = s.store.Transact(ctx, platform.Transaction{Writes: []platform.Write{{Key: key, Value: b}}})
+	key := contactsPrefix + t.domain
+	_ = t.store.Transact(ctx, platform.Transaction{Writes: []platform.Write{{Key: key, Value: b}}})
 }
 
-// send puts a frame in a link's outbox. A full one means that the peer has
-// stopped reading: the link is given up, so that memory stays bounded.
-func (s *Links) send(id LinkID, f Frame) {
-	s.mu.Lock()
-	st := s.streams[id]
-	s.mu.Unlock()
+// send enqueues a frame in a link's outbox. If the outbox is full, the peer has stopped
+// reading, and the link is closed so that memory stays bounded.
+func (t *Transport) send(id LinkID, f Frame) {
+	t.mu.Lock()
+	st := t.streams[id]
+	t.mu.Unlock()
 	if st == nil {
 		return
 	}
@@ -306,50 +309,51 @@
 	}
 }
 
-func (s *Links) closeLink(id LinkID) {
-	s.mu.Lock()
-	st := s.streams[id]
-	s.mu.Unlock()
+func (t *Transport) closeLink(id LinkID) {
+	t.mu.Lock()
+	st := t.streams[id]
+	t.mu.Unlock()
 	if st != nil {
 		st.drain()
 	}
 }
 
-// Content returns a version's bytes if this node holds them.
-func (s *Links) Content(hash snapshot.Hash) ([]byte, bool) {
+// Content returns the content of a version if this node holds it.
+func (t *Transport) Content(hash snapshot.Hash) ([]byte, bool) {
 	var b []byte
-	s.Ask(func(h *Core) { b = h.version.content[hash] })
+	t.WithCore(func(core *Core) { b = core.version.content[hash] })
 	return b, b != nil
 }
 
-// Status answers for the whole mesh: from this node's Core if it is the root
-// of its domain, or else by asking the root.
-func (s *Links) Status(ctx context.Context) Status {
+// Status returns the status of the whole mesh: from this node's Core if it is the root
+// of its domain, otherwise from the root. If the root does not answer, it returns what
+// this node's Core knows. Version and Hash are always those of this node.
+func (t *Transport) Status(ctx context.Context) Status {
 	var st Status
 	var root string
-	s.Ask(func(h *Core) { st, root = h.Status(time.Now()) })
+	t.WithCore(func(core *Core) { st, root = core.Status(time.Now()) })
 	if root == "" {
 		return st
 	}
-	whole, err := s.askStatus(ctx, root)
+	remote, err := t.requestStatus(ctx, root)
 	if err != nil {
 		return st
 	}
-	whole.Version, whole.Hash = st.Version, st.Hash
-	return whole
+	remote.Version, remote.Hash = st.Version, st.Hash
+	return remote
 }
 
-func (s *Links) askStatus(ctx context.Context, addr string) (Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, helloWithin)
+func (t *Transport) requestStatus(ctx context.Context, addr string) (Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	conn, err := s.connect(ctx, addr)
+	conn, err := t.connect(ctx, addr)
 	if err != nil {
 		return Status{}, err
 	}
 	rpc := drpcconn.New(conn)
 	defer func() { _ = rpc.Close() }()
-	var in, out blob
-	if err := rpc.Invoke(ctx, rpcStatus, encoding{}, &in, &out); err != nil {
+	var in, out rawMessage
+	if err := rpc.Invoke(ctx, rpcStatus, rawEncoding{}, &in, &out); err != nil {
 		return Status{}, errors.Wrap(err, "peer: status")
 	}
 	var st Status
@@ -360,67 +364,67 @@
 }
 
 // HandleRPC implements drpc.Handler.
-func (s *Links) HandleRPC(rpc drpc.Stream, name string) error {
+func (t *Transport) HandleRPC(rpc drpc.Stream, name string) error {
 	switch name {
 	case rpcLink:
-		return s.serveLink(rpc)
+		return t.serveLink(rpc)
 	case rpcStatus:
-		return s.serveStatus(rpc)
+		return t.serveStatus(rpc)
 	case rpcClaims:
-		return s.serveClaims(rpc)
+		return t.serveClaims(rpc)
 	default:
-		return errors.Errorf("peer: no procedure %q", name)
+		return errors.Errorf("peer: unknown procedure %q", name)
 	}
 }
 
-func (s *Links) serveStatus(rpc drpc.Stream) error {
-	var in blob
-	if err := rpc.MsgRecv(&in, encoding{}); err != nil {
+func (t *Transport) serveStatus(rpc drpc.Stream) error {
+	var in rawMessage
+	if err := rpc.MsgRecv(&in, rawEncoding{}); err != nil {
 		return errors.Wrap(err, "peer: status")
 	}
 	var st Status
-	s.Ask(func(h *Core) { st, _ = h.Status(time.Now()) })
+	t.WithCore(func(core *Core) { st, _ = core.Status(time.Now()) })
 	b, err := codec.Encode(st)
 	if err != nil {
 		return errors.Wrap(err, "peer: status")
 	}
-	return rpc.MsgSend(&blob{b}, encoding{})
+	return rpc.MsgSend(&rawMessage{b}, rawEncoding{})
 }
 
-// accept takes connections from peers, a bounded number at a time.
-func (s *Links) accept(l net.Listener) {
+// accept accepts connections from peers, at most maxInbound at a time.
+func (t *Transport) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
-			if s.ctx.Err() != nil {
+			if t.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(dialFirst) // out of descriptors, say: don't spin
+			time.Sleep(minDialBackoff) // for example out of file descriptors; avoids a busy loop
 			continue
 		}
-		if s.inbound.Add(1) > maxInbound {
-			s.inbound.Add(-1)
+		if t.inbound.Add(1) > maxInbound {
+			t.inbound.Add(-1)
 			_ = conn.Close()
 			continue
 		}
-		s.wg.Go(func() {
-			defer s.inbound.Add(-1)
-			s.serveConn(conn)
+		t.wg.Go(func() {
+			defer t.inbound.Add(-1)
+			t.serveConn(conn)
 		})
 	}
 }
 
-func (s *Links) serveConn(conn net.Conn) {
-	stop := context.AfterFunc(s.ctx, func() { _ = conn.Close() })
+func (t *Transport) serveConn(conn net.Conn) {
+	stop := context.AfterFunc(t.ctx, func() { _ = conn.Close() })
 	defer stop()
-	secured, name, err := s.secureServer(conn)
+	secured, name, err := t.secureServer(conn)
 	if err != nil {
-		s.refused.Inc()
-		s.log.Emit(event.PeerRefused, event.Fields{event.Subject: conn.RemoteAddr().String(), "error": err.Error()})
+		t.refused.Inc()
+		t.log.Emit(event.PeerRefused, event.Fields{event.Subject: conn.RemoteAddr().String(), "error": err.Error()})
 		_ = conn.Close()
 		return
 	}
-	counted := s.traffic.wrap(secured)
-	ctx := withPeer(s.ctx, &inboundPeer{name: name, conn: counted})
-	_ = drpcserver.New(s).ServeOne(ctx, counted)
+	counted := t.traffic.wrap(secured)
+	ctx := withPeer(t.ctx, &inboundPeer{name: name, conn: counted})
+	_ = drpcserver.New(t).ServeOne(ctx, counted)
 }
--- a/briarrockd/peer/version.go
+++ b/briarrockd/peer/version.go
@@ -8,113 +8,123 @@
 )
 
 const (
-	// keepVersions is how many versions' contents a node keeps, to make
-	// differences from and to answer peers that are behind, keepBytes how many
-	// bytes of them at most beside the newest two: eight of 400 KB would be the
-	// largest thing in a node's memory.
-	keepVersions = 8
-	keepBytes    = 512 << 10
-	// hedgeAfter is how long a fetch may take before another source is asked.
-	hedgeAfter = 400 * time.Millisecond
-	// lazyAfter is how much later a lazy link is told of a version.
-	lazyAfter = 400 * time.Millisecond
-	// maxSources bounds the links that are remembered as having a version.
+	// maxKeptVersions is the number of versions whose encoded snapshots a node
+	// caches, as delta bases and to answer fetches from peers with an older
+	// version. maxKeptBytes bounds the cache in bytes; the newest two versions
+	// are kept even above it. Eight snapshots of 400 KB would be the largest
+	// part of a node's memory.
+	maxKeptVersions = 8
+	maxKeptBytes    = 512 << 10
+	// hedgeDelay is how long a fetch may take before it is sent to another source.
+	hedgeDelay = 400 * time.Millisecond
+	// lazyDelay is the minimum delay before a version is announced over a lazy
+	// link; see notifyLazy.
+	lazyDelay = 400 * time.Millisecond
+	// maxSources bounds the links recorded as sources of the pending version.
 	maxSources = 16
-	// maxTries bounds the attempts at one version, after which the node goes
-	// back to believing its peers and the head anew.
-	maxTries = 12
-	// quarantineAfter is the number of attempts from which on a version that the
-	// head has not reached is given up; before, the head may have been read
-	// just before the version was accepted.
-	quarantineAfter = 4
-	// pushNear and pushPaid bound the differences that are pushed unasked, in
-	// bytes, within a region and over the paid link.
-	pushNear = 256
-	pushPaid = 4 << 10
-	// confirmWithin bounds the wait for a neighbour to remember a version.
-	confirmWithin = 250 * time.Millisecond
-	// serveAfter is how long a node that has just started waits for word that
-	// is newer than its start, before it serves what its peers hold.
-	serveAfter = 3 * time.Second
-	// joinedAfter is how long a link is open until all that its peer remembers has
-	// come over it.
-	joinedAfter = 500 * time.Millisecond
+	// maxFetchTries bounds the attempts to fetch one version. After that the
+	// version is dropped, and the next notice or head read starts a new fetch.
+	maxFetchTries = 12
+	// minTriesBeforeDrop is the number of fetch attempts before a version above
+	// the head is dropped. With fewer attempts, the head may have been read just
+	// before the version was committed.
+	minTriesBeforeDrop = 4
+	// maxPushInRegion and maxPushInterRegion bound, in bytes, the deltas that are
+	// pushed without a fetch: within a region, and over a paid inter-region link.
+	maxPushInRegion    = 256
+	maxPushInterRegion = 4 << 10
+	// confirmTimeout bounds how long a version waits to be served until other
+	// nodes have recorded that this one holds it; see serve.
+	confirmTimeout = 250 * time.Millisecond
+	// startServeDelay is how long a restarted node waits for a head read that is
+	// newer than its start before it serves the version of its peers.
+	startServeDelay = 3 * time.Second
+	// linkSettleTime is how long after a link opens the version floors known to
+	// its peer are taken to have arrived over it.
+	linkSettleTime = 500 * time.Millisecond
 )
 
-// versions is what a node holds of the configuration.
+// versions is a node's state of the configuration: the version in use, cached
+// snapshots, the pending fetch, and the version floor.
 type versions struct {
-	number  uint64
-	hash    snapshot.Hash
-	content map[snapshot.Hash][]byte
-	kept    []snapshot.Hash // the keys of content, oldest first
-	// before and numberBefore are the version that was in use before.
-	before       snapshot.Hash
-	numberBefore uint64
+	number       uint64
+	hash         snapshot.Hash
+	content      map[snapshot.Hash][]byte
+	contentOrder []snapshot.Hash // the keys of content, oldest first
+	// previousHash and previousNumber identify the version in use before this one.
+	previousHash   snapshot.Hash
+	previousNumber uint64
 	// floor is the highest version that this host is known to have served,
-	// before a restart too.
+	// including before a restart. A node below its floor is not ready.
 	floor uint64
-	// ready is set once the node may serve; it is never unset.
+	// ready is set once the node may serve, and stays set.
 	ready bool
-	// started is the time of the first Tick.
-	started time.Time
-	// peered is set once any peer has been linked with.
-	peered bool
-	// seen is the highest version that each neighbour was seen to use.
-	seen map[string]uint64
-	want want
-	pack packed
-	// staged is verified but not yet served: the node is not ready, or nobody
-	// else is known to remember it yet.
+	// startedAt is the time of the first Tick.
+	startedAt time.Time
+	// everLinked is set once a link to any peer has been open.
+	everLinked bool
+	// peerVersions is, by host, the highest version recorded for each peer of
+	// this node's domain.
+	peerVersions map[string]uint64
+	pending      pendingFetch
+	lastDelta    delta
+	// staged is verified but not yet served, because the node is not ready or
+	// because no other node has confirmed the version; see serve. It was staged
+	// at stagedAt.
 	staged   *snapshot.Snapshot
 	stagedAt time.Time
-	// known is set once another node of the domain is known to remember that
-	// this one holds the version.
-	known bool
-	// outside is the highest version that is known to be held in another
-	// domain, with the knowledge that this one uses it.
-	outside uint64
-	// domains is the highest version that each domain was seen to use.
-	domains map[string]uint64
+	// confirmedInDomain is set once another node of the domain has recorded that
+	// this node holds the version in use.
+	confirmedInDomain bool
+	// remoteFloor is the highest version that nodes of another domain hold and
+	// have recorded as used by this node's domain.
+	remoteFloor uint64
+	// domainVersions is, by domain, the highest version recorded for any of its
+	// nodes.
+	domainVersions map[string]uint64
 }
 
-// want is a version that is being fetched.
-type want struct {
-	number  uint64
-	hash    snapshot.Hash
-	sources []LinkID // who has it, best last
-	asked   bool
-	askedAt time.Time
-	tries   int
-	// whole is set when a difference turned out not to fit.
-	whole bool
-	// reading is set while the object store is asked.
-	reading bool
+// pendingFetch is the version that is being fetched; its number is 0 if none is.
+type pendingFetch struct {
+	number      uint64
+	hash        snapshot.Hash
+	sources     []LinkID // links whose peers hold it, preferred last
+	requested   bool
+	requestedAt time.Time
+	tries       int
+	// fullOnly is set after a delta could not be applied: the next fetch requests
+	// the full snapshot.
+	fullOnly bool
+	// readingStore is set while a read from the object store is outstanding.
+	readingStore bool
 }
 
-// packed is the last difference that was made: the children of a node mostly
-// ask for the same one.
-type packed struct {
+// delta is a packed delta from one snapshot to another. The last one is cached,
+// since the children of a node in the tree mostly fetch the same delta.
+type delta struct {
 	base, hash snapshot.Hash
 	bytes      []byte
 }
 
 func newVersions() versions {
 	return versions{
-		content: make(map[snapshot.Hash][]byte),
-		seen:    make(map[string]uint64),
-		domains: make(map[string]uint64),
+		content:        make(map[snapshot.Hash][]byte),
+		peerVersions:   make(map[string]uint64),
+		domainVersions: make(map[string]uint64),
 	}
 }
 
+// keep caches the encoded snapshot b, and evicts the oldest snapshots beyond
+// maxKeptVersions and maxKeptBytes.
 func (v *versions) keep(hash snapshot.Hash, b []byte) {
 	if _, ok := v.content[hash]; ok {
 		return
 	}
 	v.content[hash] = b
-	v.kept = append(v.kept, hash)
-	for len(v.kept) > keepVersions || (len(v.kept) > 2 && v.keptBytes() > keepBytes) {
-		delete(v.content, v.kept[0])
-		v.kept = v.kept[1:]
+	v.contentOrder = append(v.contentOrder, hash)
+	for len(v.contentOrder) > maxKeptVersions || (len(v.contentOrder) > 2 && v.keptBytes() > maxKeptBytes) {
+		delete(v.content, v.contentOrder[0])
+		v.contentOrder = v.contentOrder[1:]
 	}
 }
 
@@ -126,235 +136,243 @@
 	return n
 }
 
-// quarantine gives up a version above the head: the head is the authority, and
-// a number that it has not reached can only have come from a peer in error.
-func (v *versions) quarantine(head uint64) {
-	if v.want.number > head && v.want.tries >= quarantineAfter {
-		v.want = want{}
+// dropAboveHead drops the pending fetch if its version is above the head. The
+// head is authoritative, so a higher number can only come from a faulty peer.
+func (v *versions) dropAboveHead(head uint64) {
+	if v.pending.number > head && v.pending.tries >= minTriesBeforeDrop {
+		v.pending = pendingFetch{}
 	}
 }
 
-func (v *versions) linkGone(id LinkID) {
-	for i, s := range v.want.sources {
+func (v *versions) removeSource(id LinkID) {
+	for i, s := range v.pending.sources {
 		if s == id {
-			v.want.sources = append(v.want.sources[:i:i], v.want.sources[i+1:]...)
+			v.pending.sources = append(v.pending.sources[:i:i], v.pending.sources[i+1:]...)
 			return
 		}
 	}
 }
 
-// heardVersion notes that a peer holds a version.
-func (h *Core) heardVersion(l *link, number uint64, hash snapshot.Hash) {
+// onPeerVersion handles the information that a peer holds a version: it starts a
+// fetch if the version is newer than the one in use, and else notifies the peer
+// if it is behind.
+func (c *Core) onPeerVersion(l *link, number uint64, hash snapshot.Hash) {
 	l.version = max(l.version, number)
-	if number > h.version.number {
-		h.wantVersion(number, hash, l.id)
+	if number > c.version.number {
+		c.requestVersion(number, hash, l.id)
 		return
 	}
-	h.peerBehind(l, number)
+	c.notifyIfBehind(l, number)
 }
 
-// wantVersion starts to fetch a version, or adds one more source for it.
-func (h *Core) wantVersion(number uint64, hash snapshot.Hash, from LinkID) {
-	w := &h.version.want
-	if number < w.number || number <= h.version.number {
+// requestVersion starts to fetch a version, or adds a source to the fetch that is
+// pending for it. A from of 0 adds no source.
+func (c *Core) requestVersion(number uint64, hash snapshot.Hash, from LinkID) {
+	p := &c.version.pending
+	if number < p.number || number <= c.version.number {
 		return
 	}
-	if number > w.number || hash != w.hash {
-		h.version.want = want{number: number, hash: hash}
-		w = &h.version.want
+	if number > p.number || hash != p.hash {
+		c.version.pending = pendingFetch{number: number, hash: hash}
+		p = &c.version.pending
 	}
-	if from != 0 && len(w.sources) < maxSources {
-		w.sources = append(w.sources, from)
+	if from != 0 && len(p.sources) < maxSources {
+		p.sources = append(p.sources, from)
 	}
-	if b, ok := h.version.content[hash]; ok {
-		h.arrived(number, hash, b)
+	if b, ok := c.version.content[hash]; ok {
+		c.acceptVersion(number, hash, b)
 		return
 	}
-	if w.asked {
+	if p.requested {
 		return
 	}
-	if at := h.fetchAt(); at.After(h.now) {
-		// As if it had been asked for then in vain: retryRequest goes on from there.
-		w.asked, w.askedAt, w.tries = true, at.Add(-hedgeAfter), 1
+	if at := c.earliestFetch(); at.After(c.now) {
+		// Record an attempt that times out at that moment: retryFetch then sends
+		// the first fetch.
+		p.requested, p.requestedAt, p.tries = true, at.Add(-hedgeDelay), 1
 		return
 	}
-	h.ask()
+	c.requestFromNext()
 }
 
-// ask asks the next source for the wanted version, in the end the store.
-func (h *Core) ask() {
-	w := &h.version.want
-	w.asked = true
-	w.askedAt = h.now
-	w.tries++
-	for len(w.sources) > 0 {
-		id := w.sources[len(w.sources)-1]
-		w.sources = w.sources[:len(w.sources)-1]
-		l := h.links[id]
+// requestFromNext sends a fetch for the pending version to the next source. With no
+// source left, it reads the version from the object store, unless polling is delegated.
+func (c *Core) requestFromNext() {
+	p := &c.version.pending
+	p.requested = true
+	p.requestedAt = c.now
+	p.tries++
+	for len(p.sources) > 0 {
+		id := p.sources[len(p.sources)-1]
+		p.sources = p.sources[:len(p.sources)-1]
+		l := c.links[id]
 		if l == nil {
 			continue
 		}
-		have := h.version.hash
-		if w.whole {
-			have = snapshot.Hash{}
+		base := c.version.hash
+		if p.fullOnly {
+			base = snapshot.Hash{}
 		}
-		h.send(l, Fetch{w.number, w.hash, have})
+		c.send(l, Fetch{p.number, p.hash, base})
 		return
 	}
-	if w.reading || h.cfg.HeadFed {
+	if p.readingStore || c.cfg.DelegatePolling {
 		return
 	}
-	w.reading = true
-	h.do(ReadObject{w.hash})
+	p.readingStore = true
+	c.emit(ReadObject{p.hash})
 }
 
-func (h *Core) tickVersion() {
-	v := &h.version
-	if v.started.IsZero() {
-		v.started = h.now
+func (c *Core) tickVersion() {
+	v := &c.version
+	if v.startedAt.IsZero() {
+		v.startedAt = c.now
 	}
-	h.retryRequest()
-	for _, l := range h.sortedLinks() {
-		h.tellLazy(l)
+	c.retryFetch()
+	for _, l := range c.sortedLinks() {
+		c.notifyLazy(l)
 	}
-	h.becomeReady()
-	h.serve()
+	c.becomeReady()
+	c.serve()
 }
 
-// retryRequest goes on to the next source when one has not answered in time. A
-// version that nobody can give in the end is given up: its number may have
-// come from a peer in error, and must not keep the node from the true head.
-func (h *Core) retryRequest() {
-	w := &h.version.want
-	if !w.asked || h.now.Sub(w.askedAt) <= hedgeAfter*time.Duration(w.tries) {
+// retryFetch requests the pending version from the next source if the last one has
+// not answered in time; the timeout grows by hedgeDelay with each attempt. After
+// maxFetchTries the version is dropped: its number may come from a faulty peer,
+// and must not block the fetch of the true head.
+func (c *Core) retryFetch() {
+	p := &c.version.pending
+	if !p.requested || c.now.Sub(p.requestedAt) <= hedgeDelay*time.Duration(p.tries) {
 		return
 	}
-	if w.tries >= maxTries {
-		h.log(event.VersionNotFound, event.Fields{"version": w.number, "tries": w.tries})
-		h.version.want = want{}
+	if p.tries >= maxFetchTries {
+		c.log(event.VersionNotFound, event.Fields{"version": p.number, "tries": p.tries})
+		c.version.pending = pendingFetch{}
 		return
 	}
-	if len(w.sources) == 0 {
-		h.addSources()
+	if len(p.sources) == 0 {
+		c.addSources()
 	}
-	h.ask()
+	c.requestFromNext()
 }
 
-// addSources collects the links whose peers are known to have the version.
-func (h *Core) addSources() {
-	w := &h.version.want
-	for _, l := range h.sortedLinks() {
-		if l.version >= w.number && len(w.sources) < maxSources {
-			w.sources = append(w.sources, l.id)
+// addSources adds the links whose peers are known to hold the pending version.
+func (c *Core) addSources() {
+	p := &c.version.pending
+	for _, l := range c.sortedLinks() {
+		if l.version >= p.number && len(p.sources) < maxSources {
+			p.sources = append(p.sources, l.id)
 		}
 	}
 }
 
-// fetch answers a peer that asks for a version.
-func (h *Core) fetch(l *link, f Fetch) {
-	h.remembered(l, f.Version)
-	b, ok := h.version.content[f.Hash]
+// onFetch answers a peer's fetch: with a delta if this node holds the base that the
+// peer named, else with the full snapshot, or empty if it doesn't hold the version.
+func (c *Core) onFetch(l *link, f Fetch) {
+	c.confirmInDomain(l, f.Version)
+	b, ok := c.version.content[f.Hash]
 	if !ok {
-		h.send(l, Content{Version: f.Version, Hash: f.Hash})
+		c.send(l, Content{Version: f.Version, Hash: f.Hash})
 		return
 	}
-	out := Content{Version: f.Version, Hash: f.Hash}
+	resp := Content{Version: f.Version, Hash: f.Hash}
 	var base []byte
-	if have, ok := h.version.content[f.Have]; ok {
-		base = have
-		out.Base = f.Have
+	if cached, ok := c.version.content[f.Base]; ok {
+		base = cached
+		resp.Base = f.Base
 	}
-	p, err := h.packOnce(out.Base, f.Hash, base, b)
+	packed, err := c.cachedDelta(resp.Base, f.Hash, base, b)
 	if err != nil {
 		return
 	}
-	out.Packed = p
-	h.sawUse(l, f.Version)
-	h.send(l, out)
+	resp.Packed = packed
+	c.recordPeerVersion(l, f.Version)
+	c.send(l, resp)
 }
 
-// content takes a version from a peer. What doesn't fit is dropped whole: the
-// node goes on with the version that it has and asks somebody else.
-func (h *Core) content(l *link, f Content) {
-	if f.Push && f.Version > h.version.number && h.unpackPush(f) {
-		h.pushed(l, f)
+// onContent handles a version sent by a peer, pushed or in answer to a fetch.
+// Content that can't be applied is dropped as a whole: the node keeps the version
+// in use and requests the new one from another source.
+func (c *Core) onContent(l *link, f Content) {
+	if f.Push && f.Version > c.version.number && c.applyPush(f) {
+		c.onPush(l, f)
 		return
 	}
 	if f.Push {
-		h.pushed(l, f)
+		c.onPush(l, f)
 	}
-	w := &h.version.want
-	if f.Push || f.Version != w.number || f.Hash != w.hash || f.Version <= h.version.number {
+	p := &c.version.pending
+	if f.Push || f.Version != p.number || f.Hash != p.hash || f.Version <= c.version.number {
 		return
 	}
 	if len(f.Packed) == 0 {
-		h.ask()
+		c.requestFromNext()
 		return
 	}
-	base := h.version.content[f.Base]
+	base := c.version.content[f.Base]
 	if !f.Base.IsZero() && base == nil {
-		w.whole = true
-		h.requestAgain(l)
+		p.fullOnly = true
+		c.requestFull(l)
 		return
 	}
-	if !h.unpack(l.host, base, f) {
-		w.whole = true
-		h.ask()
+	if !c.applyContent(l.host, base, f) {
+		p.fullOnly = true
+		c.requestFromNext()
 		return
 	}
-	h.acknowledge(l, f.Version)
-	h.remembered(l, f.Version)
+	c.acknowledge(l, f.Version)
+	c.confirmInDomain(l, f.Version)
 }
 
-// requestAgain asks the same source once more, for the whole this time.
-func (h *Core) requestAgain(l *link) {
-	h.version.want.sources = append(h.version.want.sources, l.id)
-	h.ask()
+// requestFull repeats the fetch at the same source, for the full snapshot.
+func (c *Core) requestFull(l *link) {
+	c.version.pending.sources = append(c.version.pending.sources, l.id)
+	c.requestFromNext()
 }
 
-func (h *Core) refuse(from string, number uint64, err error) {
-	h.log(event.VersionRefused, event.Fields{event.Subject: from, "version": number, "error": err.Error()})
+func (c *Core) logRefused(from string, number uint64, err error) {
+	c.log(event.VersionRefused, event.Fields{event.Subject: from, "version": number, "error": err.Error()})
 }
 
-func (h *Core) objectRead(m ObjectRead) {
-	w := &h.version.want
-	if m.Hash != w.hash || w.number <= h.version.number {
+func (c *Core) onObjectRead(m ObjectRead) {
+	p := &c.version.pending
+	if m.Hash != p.hash || p.number <= c.version.number {
 		return
 	}
-	w.reading = false
+	p.readingStore = false
 	if m.Err != nil {
-		h.log(event.VersionNotFound, event.Fields{"version": w.number, "error": m.Err.Error()})
+		c.log(event.VersionNotFound, event.Fields{"version": p.number, "error": m.Err.Error()})
 		return
 	}
-	h.arrived(w.number, m.Hash, m.Content)
+	c.acceptVersion(p.number, m.Hash, m.Content)
 }
 
-func (h *Core) committed(m Committed) {
-	h.arrived(m.Version, m.Hash, m.Content)
+func (c *Core) onCommitted(m Committed) {
+	c.acceptVersion(m.Version, m.Hash, m.Content)
 	at := m.At
 	if at.IsZero() {
-		at = h.now
+		at = c.now
 	}
-	h.watch.seen = max(h.watch.seen, m.Seen)
-	h.headIs(m.Version, at)
-	if m.Seen > 0 {
-		h.broadcastPoll(at)
+	c.watch.cursor = max(c.watch.cursor, m.Cursor)
+	c.recordHeadRead(m.Version, at)
+	if m.Cursor > 0 {
+		c.broadcastPoll(at)
 	}
 }
 
-// arrived verifies a version and, if it is whole and newer, puts it into use.
-// It tells whether the content was whole.
-func (h *Core) arrived(number uint64, hash snapshot.Hash, b []byte) bool {
+// acceptVersion verifies the encoded snapshot b of a version and puts it into use
+// if it is newer than the one in use. It reports whether b is valid.
+func (c *Core) acceptVersion(number uint64, hash snapshot.Hash, b []byte) bool {
 	s, err := snapshot.Open(b, hash)
 	if err != nil {
-		h.refuse("", number, err)
+		c.logRefused("", number, err)
 		return false
 	}
-	if number <= h.version.number {
-		h.log(event.VersionOld, event.Fields{"version": number, "inuse": h.version.number})
+	if number <= c.version.number {
+		c.log(event.VersionOld, event.Fields{"version": number, "inuse": c.version.number})
 		return true
 	}
-	h.version.keep(hash, b)
-	h.use(number, hash, s)
+	c.version.keep(hash, b)
+	c.setVersion(number, hash, s)
 	return true
 }
--- a/briarrockd/peer/watch.go
+++ b/briarrockd/peer/watch.go
@@ -7,237 +7,241 @@
 	"briarrock.example/mesh/snapshot"
 )
 
-// How old the last read of the head, by anybody, may grow before this node
-// reads it, by its place. The first of the list reads as a rule; the others
-// only notice that nobody else has, and so the role needs no handover.
+// The head is the platform's row that names the version in force. A node reads it
+// when the last known read, by any node, is older than the node's threshold below.
+// Normally only the leader reads. The other nodes take over when its last read gets too
+// old, so the role needs no handover. The thresholds are for the leader, the roots of
+// the other domains, the second bridge node of each domain, and all other nodes; see
+// readThreshold.
 const (
-	leadReads   = 1 * time.Second
-	rootReads   = 5 * time.Second
-	bridgeReads = 8 * time.Second
-	otherReads  = 20 * time.Second
-	// otherSpread spreads out those who are left when all bridges are gone.
-	otherSpread = 30 * time.Second
-	// firstSpread is the time over which firstPer nodes that start together
-	// spread their first read, if no peer spares them it: together they take a
-	// quarter of the platform's two thousand reads a second.
-	firstSpread = time.Second
-	firstPer    = 500
-	// freshMargin is how much later than this node's start a peer's read must
-	// seem to be to count as later: more than a message is ever on its way.
-	freshMargin = time.Second
-	// maxBackoff bounds the pause after reads that failed.
-	maxBackoff = 20 * time.Second
+	leaderReadAge = 1 * time.Second
+	rootReadAge   = 5 * time.Second
+	bridgeReadAge = 8 * time.Second
+	otherReadAge  = 20 * time.Second
+	// otherReadJitter spreads out the reads of the remaining nodes when all bridge
+	// nodes are gone.
+	otherReadJitter = 30 * time.Second
+	// startReadSpread is the time over which startReadsPerSpread nodes that start
+	// together spread their first reads, unless a peer's read makes them unnecessary.
+	// Together they use a quarter of the platform's limit of 2000 reads a second.
+	startReadSpread     = time.Second
+	startReadsPerSpread = 500
+	// headAgeMargin is how much later than this node's start a peer's read must
+	// appear to be to count as later. It exceeds the transit time of any message.
+	headAgeMargin = time.Second
+	// maxReadBackoff bounds the backoff after failed reads.
+	maxReadBackoff = 20 * time.Second
 )
 
-// watch is what a node knows of the head row.
-type watch struct {
+// headWatch is a node's state of reading the head.
+type headWatch struct {
 	startedAt time.Time
-	// freshAt is when the head was last read by anybody, as far as is known.
-	// This node's version is never below what the head was then: a read counts
-	// only once the version that it named has arrived, here and at whoever
-	// passes the time on.
-	freshAt time.Time
-	// own is set once a read of this node itself has counted.
-	own bool
-	// ahead is a poll that named a version which has not arrived.
-	ahead poll
-	// seen is the position in the platform's record of changes up to which this
-	// node holds everything; 0 where that is not known or not used.
-	seen    uint64
-	role    role
-	nextAt  time.Time
-	reading bool
-	readAt  time.Time
-	fails   int
-}
-
-func newWatch(now time.Time, spread time.Duration) watch {
-	return watch{startedAt: now, nextAt: now.Add(spread)}
+	// headReadAt is the time of the last known read of the head, by any node.
+	// This node's version is never below the head of that time: a read is recorded
+	// only once the version it found has arrived, both here and at each node that
+	// forwards the time of the read.
+	headReadAt time.Time
+	// ownPollCounted is set once a read by this node itself has been recorded.
+	ownPollCounted bool
+	// pendingPoll is a poll that found a version which has not arrived yet.
+	pendingPoll poll
+	// cursor is the position in the platform's change feed up to which this node
+	// holds all changes; 0 if it is unknown or not used.
+	cursor   uint64
+	role     pollRole
+	nextRead time.Time
+	reading  bool
+	lastRead time.Time
+	failures int
+}
+
+func newWatch(now time.Time, firstDelay time.Duration) headWatch {
+	return headWatch{startedAt: now, nextRead: now.Add(firstDelay)}
 }
 
 // poll is one read of the head, by this node or another one.
 type poll struct {
 	version uint64 // the newest version at that time
-	seen    uint64 // position in the platform's record of changes
+	cursor  uint64 // position in the platform's change feed
 	at      time.Time
-	own     bool
-	// told is when a freshness notice of the poll came; zero for one that is a part
-	// of what a peer knows.
-	told time.Time
+	own     bool // by this node
+	// noticedAt is when a PollNotice of the poll arrived; zero if the poll is known
+	// from a peer's Hello or Heartbeat, or is this node's own.
+	noticedAt time.Time
 }
 
-// ago is the time that a peer says was so many milliseconds ago; zero for 0,
-// which stands for never. The age counts from the peer's sending, so the way
-// here only makes it look younger by the delay of one message, which the
-// thresholds are far above.
-func (h *Core) ago(ms uint64) time.Time {
+// ago converts an age in milliseconds, received from a peer, to a time; an age of 0
+// stands for never and gives the zero time. The age counts from when the peer sent
+// it, so the time is too late by the delay of one message. The thresholds are far
+// above that delay.
+func (c *Core) ago(ms uint64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
-	return h.now.Add(-time.Duration(ms) * time.Millisecond)
+	return c.now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// heardFresh takes a peer's word of a read of the head.
-//
-// The peer's version is at least the head of that time, so the word counts
-// only once this node has that version too.
-func (h *Core) heardFresh(k poll) {
-	if k.at.IsZero() || k.at.After(h.now) {
+// onPeerPoll handles a peer's report of a read of the head. The peer's version is at
+// least the head of that time, so the read is recorded only once this node holds that
+// version too.
+func (c *Core) onPeerPoll(p poll) {
+	if p.at.IsZero() || p.at.After(c.now) {
 		return
 	}
-	if k.version > h.version.number {
-		if k.at.After(h.watch.ahead.at) {
-			h.watch.ahead = k
+	if p.version > c.version.number {
+		if p.at.After(c.watch.pendingPoll.at) {
+			c.watch.pendingPoll = p
 		}
 		return
 	}
-	h.counts(k)
+	c.recordPoll(p)
 }
 
-// counts takes in a poll whose version this node has.
-func (h *Core) counts(k poll) {
-	w := &h.watch
-	if k.at.After(w.freshAt) {
-		w.freshAt = k.at
+// recordPoll records a poll whose version this node holds.
+func (c *Core) recordPoll(p poll) {
+	w := &c.watch
+	if p.at.After(w.headReadAt) {
+		w.headReadAt = p.at
 	}
-	w.seen = max(w.seen, k.seen)
-	if k.own {
-		w.own = true
-		w.fails = 0
-		w.role.ownAt = later(w.role.ownAt, k.at)
+	w.cursor = max(w.cursor, p.cursor)
+	if p.own {
+		w.ownPollCounted = true
+		w.failures = 0
+		w.role.ownPollAt = laterOf(w.role.ownPollAt, p.at)
 		return
 	}
-	w.role.heardAt = later(w.role.heardAt, k.told)
+	w.role.noticedAt = laterOf(w.role.noticedAt, p.noticedAt)
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// threshold is how old the last read may be before this node reads itself.
-func (h *Core) threshold() time.Duration {
-	i := h.position()
+// readThreshold returns how old the last read may be before this node reads the head.
+func (c *Core) readThreshold() time.Duration {
+	i := c.orderIndex()
 	switch {
-	case i == 0 && h.leads():
-		return leadReads
+	case i == 0 && c.inLeaderDomain():
+		return leaderReadAge
 	case i == 0:
-		return rootReads
-	case i > 0 && i < bridges:
-		return bridgeReads
+		return rootReadAge
+	case i > 0 && i < bridgesPerDomain:
+		return bridgeReadAge
 	default:
-		return otherReads
+		return otherReadAge
 	}
 }
 
-// Leads tells whether this node is the one that reads the head as a rule, and
-// does the mesh's other small regular work at the platform.
-func (h *Core) Leads() bool { return h.isRoot() && h.leads() }
+// IsLeader reports whether this node is the one that normally reads the head, and does
+// the mesh's other small periodic work at the platform.
+func (c *Core) IsLeader() bool { return c.isRoot() && c.inLeaderDomain() }
 
-// leads tells whether this node's domain is the first of all, those in the
-// store's region before the others.
-func (h *Core) leads() bool {
+// inLeaderDomain reports whether this node's domain sorts first of all domains. The
+// domains in the store's region sort before the others.
+func (c *Core) inLeaderDomain() bool {
 	first := ""
-	for _, name := range h.table.names() {
-		d := h.table.domains[name]
-		if first == "" || (d.region == h.cfg.StoreRegion && h.table.domains[first].region != h.cfg.StoreRegion) {
+	for _, name := range c.table.names() {
+		d := c.table.domains[name]
+		if first == "" || (d.region == c.cfg.StoreRegion && c.table.domains[first].region != c.cfg.StoreRegion) {
 			first = name
 		}
 	}
-	return first == h.self.Domain
+	return first == c.self.Domain
 }
 
-// tickWatch reads the head when nobody else seems to.
-func (h *Core) tickWatch() {
-	w := &h.watch
-	if h.cfg.HeadFed || w.reading || h.now.Before(w.nextAt) || h.self.State == Leaving {
+// tickWatch reads the head if no recent read by another node is known.
+func (c *Core) tickWatch() {
+	w := &c.watch
+	if c.cfg.DelegatePolling || w.reading || c.now.Before(w.nextRead) || c.self.State == Leaving {
 		return
 	}
-	if h.version.ready && h.now.Sub(w.freshAt) < h.threshold() {
+	if c.version.ready && c.now.Sub(w.headReadAt) < c.readThreshold() {
 		return
 	}
-	if h.now.Sub(w.startedAt) < h.firstRead() {
+	if c.now.Sub(w.startedAt) < c.firstReadDelay() {
 		return
 	}
 	w.reading = true
-	w.readAt = h.now
-	h.do(ReadHead{})
+	w.lastRead = c.now
+	c.emit(ReadHead{})
 }
 
-// firstRead spreads the first reads of a herd that starts together, by the
-// number of nodes and this node's place among the hosts.
-func (h *Core) firstRead() time.Duration {
-	n := time.Duration(max(h.Members(), h.cfg.Hosts))
-	whole := firstSpread * n / firstPer
-	return whole * time.Duration(score(h.self.Host)%1000) / 1000
+// firstReadDelay returns the delay of this node's first read. It spreads the reads of
+// nodes that start together: the spread grows with the number of nodes, and a node's
+// delay within it is set by the hash of its host name.
+func (c *Core) firstReadDelay() time.Duration {
+	n := time.Duration(max(c.Members(), c.cfg.ExpectedHosts))
+	spread := startReadSpread * n / startReadsPerSpread
+	return spread * time.Duration(score(c.self.Host)%1000) / 1000
 }
 
-func (h *Core) headRead(m HeadRead) {
-	w := &h.watch
+func (c *Core) onHeadRead(m HeadRead) {
+	w := &c.watch
 	w.reading = false
 	if m.Err != nil {
-		h.headFailed(m.Err)
+		c.headFailed(m.Err)
 		return
 	}
-	if w.fails > 0 {
-		h.log(event.StoreUp, event.Fields{"fails": w.fails})
+	if w.failures > 0 {
+		c.log(event.StoreUp, event.Fields{"fails": w.failures})
 	}
-	w.fails = 0
-	w.nextAt = h.now.Add(leadReads/2 + h.jitter(leadReads/4))
-	if h.position() >= bridges {
-		w.nextAt = h.now.Add(h.jitter(otherSpread))
+	w.failures = 0
+	w.nextRead = c.now.Add(leaderReadAge/2 + c.jitter(leaderReadAge/4))
+	if c.orderIndex() >= bridgesPerDomain {
+		w.nextRead = c.now.Add(c.jitter(otherReadJitter))
 	}
-	h.version.quarantine(m.Version)
-	if m.Version > h.version.number {
-		w.ahead = poll{version: m.Version, at: w.readAt, own: true}
-		h.headAhead(m.Version, m.Hash)
+	c.version.dropAboveHead(m.Version)
+	if m.Version > c.version.number {
+		w.pendingPoll = poll{version: m.Version, at: w.lastRead, own: true}
+		c.fetchHead(m.Version, m.Hash)
 		return
 	}
-	h.headIs(h.version.number, w.readAt)
+	c.recordHeadRead(c.version.number, w.lastRead)
 }
 
-// headIs notes that the head was read no earlier than at, and that this node
-// has the version that it named.
-func (h *Core) headIs(version uint64, at time.Time) {
-	if h.version.number < version {
+// recordHeadRead records this node's own read of the head, if the version it found has
+// arrived. The read took place at the given time or later.
+func (c *Core) recordHeadRead(version uint64, at time.Time) {
+	if c.version.number < version {
 		return
 	}
-	h.counts(poll{version: version, at: at, own: true})
-	h.becomeReady()
+	c.recordPoll(poll{version: version, at: at, own: true})
+	c.becomeReady()
 }
 
-// caughtUp lets a poll count once the version that it named has arrived.
-func (h *Core) caughtUp() {
-	k := h.watch.ahead
-	if k.version == 0 || h.version.number < k.version {
+// recordPendingPoll records the pending poll once the version it found has arrived.
+func (c *Core) recordPendingPoll() {
+	p := c.watch.pendingPoll
+	if p.version == 0 || c.version.number < p.version {
 		return
 	}
-	h.watch.ahead = poll{}
-	h.counts(k)
+	c.watch.pendingPoll = poll{}
+	c.recordPoll(p)
 }
 
-func (h *Core) headFailed(err error) {
-	w := &h.watch
-	if w.fails == 0 {
-		h.log(event.StoreDown, event.Fields{"error": err.Error()})
+func (c *Core) headFailed(err error) {
+	w := &c.watch
+	if w.failures == 0 {
+		c.log(event.StoreDown, event.Fields{"error": err.Error()})
 	}
-	w.fails++
-	pause := min(leadReads<<min(w.fails, 6), maxBackoff)
-	if h.position() >= bridges {
-		pause = otherSpread
+	w.failures++
+	backoff := min(leaderReadAge<<min(w.failures, 6), maxReadBackoff)
+	if c.orderIndex() >= bridgesPerDomain {
+		backoff = otherReadJitter
 	}
-	w.nextAt = h.now.Add(pause/2 + h.jitter(pause))
+	w.nextRead = c.now.Add(backoff/2 + c.jitter(backoff))
 }
 
-// headAhead fetches a version that the head names: from a peer that is known
-// to have it, or else from the store.
-func (h *Core) headAhead(number uint64, hash snapshot.Hash) {
-	for _, l := range h.sortedLinks() {
+// fetchHead fetches the version that the head names from a peer that is known to
+// hold it, or else from the store.
+func (c *Core) fetchHead(number uint64, hash snapshot.Hash) {
+	for _, l := range c.sortedLinks() {
 		if l.version >= number {
-			h.wantVersion(number, hash, l.id)
+			c.requestVersion(number, hash, l.id)
 		}
 	}
-	h.wantVersion(number, hash, 0)
+	c.requestVersion(number, hash, 0)
 }
