--- a/bench/calls.go
+++ b/bench/calls.go
@@ -158,7 +158,7 @@
 }
 
 func callsBenchmark() benchmark {
-	return benchmark{name: "calls", help: "what one and two nodes add to a call, beside the direct call", run: calls}
+	return benchmark{name: "calls", help: "latency that one and two nodes add to a call, compared with a direct call", run: calls}
 }
 
 // loadFractions are the loads as fractions of the capacity of the targets.
@@ -233,22 +233,22 @@
 		direct.addrs = append(direct.addrs, l.Addr().String())
 	}
 	setups := []callSetup{direct}
-	for _, proto := range []bool{false, true} {
-		m, err := callMesh(proto, callWork, 2)
+	for _, http1 := range []bool{false, true} {
+		m, err := callMesh(http1, callWork, 2)
 		if err != nil {
 			return nil, closeAll, err
 		}
 		closers = append(closers, m.Close)
-		name := map[bool]string{false: "HTTP/2", true: "HTTP/1.1"}[proto]
-		var near, far []string
+		name := map[bool]string{false: "HTTP/2", true: "HTTP/1.1"}[http1]
+		var targetNodes, otherNodes []string
 		for _, n := range m.Nodes {
 			if n.Target.Service() == callService {
-				near = append(near, n.Cfg.CallerAddr)
+				targetNodes = append(targetNodes, n.Cfg.CallerAddr)
 			} else {
-				far = append(far, n.Cfg.CallerAddr)
+				otherNodes = append(otherNodes, n.Cfg.CallerAddr)
 			}
 		}
-		setups = append(setups, callSetup{"entry is the target's node, " + name, near}, callSetup{"two nodes, " + name, far})
+		setups = append(setups, callSetup{"entry is the target's node, " + name, targetNodes}, callSetup{"two nodes, " + name, otherNodes})
 	}
 	return setups, closeAll, nil
 }
--- a/bench/converge.go
+++ b/bench/converge.go
@@ -47,13 +47,13 @@
 
 func convergeBenchmark() benchmark {
 	return benchmark{
-		name: "converge", help: "convergence time and control bytes, beside every node polling whole snapshots",
+		name: "converge", help: "convergence time and control bytes, compared with nodes that poll whole snapshots",
 		flags: func(s *flaggy.Subcommand) {
 			s.String(&convergeFlags.nodes, "n", "nodes", "numbers of nodes")
 			s.Int(&convergeFlags.services, "", "services", "services in the text")
-			s.Bool(&convergeFlags.tls, "", "tls", "with certificates")
+			s.Bool(&convergeFlags.tls, "", "tls", "use TLS between the nodes")
 			s.Bool(&convergeFlags.baseline, "", "baseline", "measure the baselines too (--baseline=false)")
-			s.Duration(&convergeFlags.idle, "", "idle", "how long to watch an idle mesh")
+			s.Duration(&convergeFlags.idle, "", "idle", "how long to measure an idle mesh")
 		},
 		run: converge,
 	}
@@ -302,8 +302,8 @@
 		}
 		all = append(all, times.latencies(version, accepted)...)
 		time.Sleep(300 * time.Millisecond)
-		far := i % len(fourDomains) / 2
-		linkBytes[far] += float64(link.Bytes()-before) - linkIdleRate*time.Since(at).Seconds()
+		region := i % len(fourDomains) / 2
+		linkBytes[region] += float64(link.Bytes()-before) - linkIdleRate*time.Since(at).Seconds()
 	}
 	took := time.Since(started).Seconds()
 	// Subtract the traffic of an idle mesh in the same time.
--- a/bench/delta.go
+++ b/bench/delta.go
@@ -10,7 +10,7 @@
 )
 
 func deltaBenchmark() benchmark {
-	return benchmark{name: "delta", help: "bytes and time of the ways to send a version after a change of one line", run: delta}
+	return benchmark{name: "delta", help: "size and time of the encodings of a version after a change of one line", run: delta}
 }
 
 // resourceDiff is an encoding that briarrock does not use, since it lost in the
--- a/bench/load.go
+++ b/bench/load.go
@@ -19,7 +19,7 @@
 	loadSlots    = 2
 	loadDuration = 6 * time.Second
 	loadUseful   = 300 * time.Millisecond // latency within which a response is useful
-	loadTimeout  = 5 * time.Second
+	loadTimeout  = 5 * time.Second        // for the recovery after the outage
 )
 
 var loadCapacity = float64(len(fourDomains)*loadSlots) / callWork.Seconds()
@@ -47,7 +47,7 @@
 }
 
 func overloadBenchmark() benchmark {
-	return benchmark{name: "overload", help: "useful answers in time beyond capacity, beside round robin without limits", run: overload}
+	return benchmark{name: "overload", help: "useful answers per second beyond capacity, compared with round robin without limits", run: overload}
 }
 
 func overload(o options) (*table, error) {
@@ -249,7 +249,7 @@
 const recoveryCalls = 40
 
 func onceBenchmark() benchmark {
-	return benchmark{name: "once", help: "what an idempotency key costs, in time and store writes", run: once}
+	return benchmark{name: "once", help: "cost of an idempotency key in latency and store writes", run: once}
 }
 
 // onceConcurrency are the numbers of orders that are sent concurrently.
--- a/bench/main.go
+++ b/bench/main.go
@@ -25,7 +25,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// table is the result of one command.
+// table is the result of one command, printed as text or JSON.
 type table struct {
 	Name  string     `json:"name"`
 	Note  string     `json:"note"`
@@ -108,10 +108,10 @@
 	o := options{seed: 1, runs: defaultRuns}
 	p := flaggy.NewParser("bench")
 	p.DisableShowVersionWithVersion()
-	p.UInt64(&o.seed, "s", "seed", "start of the random numbers")
+	p.UInt64(&o.seed, "s", "seed", "seed of the random numbers")
 	p.Int(&o.runs, "r", "runs", "runs of each figure")
 	p.Bool(&o.json, "j", "json", "write JSON")
-	p.String(&o.profile, "p", "profile", "write a processor profile to this file")
+	p.String(&o.profile, "p", "profile", "write a CPU profile to this file")
 	all := benchmarks()
 	subs := make([]*flaggy.Subcommand, 0, len(all))
 	for _, m := range all {
--- a/bench/mutate.go
+++ b/bench/mutate.go
@@ -14,7 +14,7 @@
 )
 
 func mutateBenchmark() benchmark {
-	return benchmark{name: "mutate", help: "break one safeguard at a time: a named test must fail (run from the root)", run: mutate}
+	return benchmark{name: "mutate", help: "mutation tests: break one safeguard at a time, a named test must fail (run from the root)", run: mutate}
 }
 
 // mutation is a mutation test: a change to one file that breaks a safeguard, and the
--- a/bench/storm.go
+++ b/bench/storm.go
@@ -10,7 +10,7 @@
 )
 
 func stormBenchmark() benchmark {
-	return benchmark{name: "storm", help: "50 changes in 10 s, and what follows a minute's cut between the regions", run: storm}
+	return benchmark{name: "storm", help: "50 changes in 10 s, and convergence after the regions were partitioned for a minute", run: storm}
 }
 
 const (
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -4,7 +4,7 @@
 //
 //	srv := platform.New()
 //	go http.Serve(l, srv)
-//	srv.Fault(platform.Faults{LoseAnswers: 1}) // the next write takes effect without a response
+//	srv.Fault(platform.Faults{LoseResponses: 1}) // the next write takes effect without a response
 //
 // It does not persist data and is not for production.
 package platform
