--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	maxBody   = 16 << 20
-	maxScan   = 1000
+	maxBody   = 16 << 20 // bytes of a request body
+	maxScan   = 1000     // rows of a list response
 	headerTag = "ETag"
 )
 
@@ -60,7 +60,7 @@
 	mu      sync.Mutex
 	rows    map[string]store.Row
 	objects map[string][]byte
-	tag     uint64
+	tag     uint64 // the last tag assigned to a row
 	faults  Faults
 	counts  Counts
 }
@@ -157,6 +157,7 @@
 func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 func (discardWriter) WriteHeader(int)             {}
 
+// wildcard returns the unescaped part of the path that the route's * matched.
 func wildcard(r *http.Request) string {
 	name, err := url.PathUnescape(chi.URLParam(r, "*"))
 	if err != nil {
@@ -190,6 +191,8 @@
 	_ = json.NewEncoder(w).Encode(rows[:min(limit, len(rows))])
 }
 
+// scan returns the rows whose keys have the prefix and come after the key after
+// in scan order.
 func (s *Server) scan(prefix, after string, reverse bool) []store.Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -31,7 +31,9 @@
 type Config struct {
 	Service string
 	// Addr is the address that the target announces.
-	Addr  string
+	Addr string
+	// Slots and Conns are the numbers of concurrent requests and of connections
+	// that the target announces. The target itself does not enforce them.
 	Slots int
 	Conns int
 	// Work is the processing time of a request.
@@ -55,11 +57,11 @@
 	peak      atomic.Int64
 	draining  atomic.Bool
 	shedding  atomic.Bool
-	work      atomic.Int64
+	work      atomic.Int64 // processing time in nanoseconds
 	workers   chan struct{}
 	hanging   atomic.Bool
 	mu        sync.Mutex
-	runs      map[string]int
+	runs      map[string]int // by id, see Runs
 }
 
 // New returns a target.
@@ -78,7 +80,8 @@
 // Shed makes the target reject requests with status 503.
 func (t *Target) Shed(on bool) { t.shedding.Store(on) }
 
-// Hang makes the target accept requests without responding.
+// Hang makes the target accept requests without responding until they are
+// cancelled.
 func (t *Target) Hang(on bool) { t.hanging.Store(on) }
 
 // SetWork sets the processing time of a request.
@@ -101,7 +104,8 @@
 // HeaderID on a request is the id that Runs counts it by.
 const HeaderID = "Standin-Id"
 
-// maxRuns bounds the number of ids that Runs counts.
+// maxRuns bounds the number of ids that Runs counts. Once it is reached, Runs
+// stops counting.
 const maxRuns = 1 << 20
 
 // ServeHTTP implements http.Handler.
@@ -144,8 +148,9 @@
 	}
 }
 
-// simulateWork waits for the request's processing time. It reports false if the
-// request was cancelled first, which it does not notice while Workers is set.
+// simulateWork waits for the request's processing time, or for its cancellation
+// if the target hangs. It reports false if the request was cancelled first. While
+// Workers is set, only a hanging target notices a cancellation.
 func (t *Target) simulateWork(r *http.Request) bool {
 	d := time.Duration(t.work.Load())
 	if h := r.Header.Get(HeaderWork); h != "" {
@@ -176,6 +181,8 @@
 	}
 }
 
+// respond writes the response. n is the length of the request body in bytes; it
+// is not used with Echo.
 func (t *Target) respond(w http.ResponseWriter, r *http.Request, n int64) {
 	w.Header().Set("Standin-Target", t.cfg.Addr)
 	if t.cfg.Echo {
@@ -206,7 +213,7 @@
 	Addr        string `json:"addr"`
 	Slots       int    `json:"slots"`
 	Connections int    `json:"connections"`
-	State       string `json:"state"`
+	State       string `json:"state"` // "up" or "draining"
 }
 
 // announceEvery is the interval of a target's announcements.
--- a/standin/wire/slow.go
+++ b/standin/wire/slow.go
@@ -20,7 +20,7 @@
 // Link is a bandwidth limit that several connections share. It counts the bytes
 // that cross it.
 type Link struct {
-	limiters [2]*rate.Limiter
+	limiters [2]*rate.Limiter // one per direction
 	mu       sync.Mutex
 	bytes    int64
 	cut      atomic.Bool
@@ -47,6 +47,8 @@
 	return l.bytes
 }
 
+// transmit counts n bytes and waits until the bandwidth limit of the direction
+// admits them.
 func (l *Link) transmit(direction, n int) {
 	l.mu.Lock()
 	l.bytes += int64(n)
@@ -54,7 +56,8 @@
 	_ = l.limiters[direction].WaitN(context.Background(), n)
 }
 
-// maxChunkBytes bounds the size of one read.
+// maxChunkBytes bounds the size of one read. It is also the burst of a link's
+// limiters, since they reject a wait for more than the burst.
 const maxChunkBytes = 64 << 10
 
 // Shape returns a connection that adds the delay and the bandwidth limit of a
--- a/standin/wire/wire.go
+++ b/standin/wire/wire.go
@@ -3,8 +3,8 @@
 // in-process connections with the latency and bandwidth of a network path.
 //
 //	p, _ := wire.New("127.0.0.1:0", "127.0.0.1:7400")
-//	p.Set(wire.Fault{Delay: 20 * time.Millisecond, Rate: 30e6 / 8})
-//	p.Set(wire.Fault{Cut: true}) // closes open connections and refuses new ones
+//	p.Set(wire.Fault{Delay: 20 * time.Millisecond, Rate: 30e6 / 8}) // 30 Mbit/s
+//	p.Set(wire.Fault{Cut: true}) // closes open connections and each new one
 package wire
 
 import (
@@ -29,7 +29,7 @@
 	// DropFromClient discards the data sent by the side that opened the
 	// connection, on open and on new connections (a one-way partition).
 	DropFromClient bool
-	// Cut closes open connections and refuses new ones.
+	// Cut closes open connections, and new ones as soon as they are accepted.
 	Cut bool
 }
 
@@ -137,8 +137,8 @@
 	p.mu.Unlock()
 }
 
-// chunk is a number of bytes read from one side and the earliest time at which
-// they may be forwarded.
+// chunk is the data of one read and the earliest time at which it may be
+// forwarded.
 type chunk struct {
 	b  []byte
 	at time.Time
