--- a/bench/calls.go
+++ b/bench/calls.go
@@ -17,12 +17,12 @@
 	"briarrock.example/standin/target"
 )
 
-// Service that the calls are sent to.
+// Service that the calls are sent to, and the load on it.
 const (
 	callService  = "orderdesk"
-	callWork     = 10 * time.Millisecond
-	callSlots    = 6
-	callDuration = 4 * time.Second
+	callWork     = 10 * time.Millisecond // processing time of a call
+	callSlots    = 6                     // slots of each target
+	callDuration = 4 * time.Second       // of the load in one run
 )
 
 // serviceText returns a text with one service. slots is the number of slots of each
@@ -85,7 +85,7 @@
 type callResults struct {
 	succeeded, notRun, failed atomic.Int64
 	mu                        sync.Mutex
-	histogram                 *hdrhistogram.Histogram
+	histogram                 *hdrhistogram.Histogram // of latencies in microseconds
 	// limit, if set, is the latency above which a response counts as failed.
 	limit time.Duration
 }
@@ -141,8 +141,9 @@
 }
 
 // openLoad sends an open-loop load to addresses in turn: calls at a constant rate,
-// independent of the completion of earlier calls. The latency of a call counts from
-// its start, which is the time at which it is due.
+// independent of the completion of earlier calls. Calls that are overdue are sent at
+// once. The latency of a call counts from its start, so that it does not include the
+// delay of an overdue call.
 func openLoad(t *callResults, addrs []string, perSecond float64, d time.Duration) {
 	c := newClient()
 	var wg sync.WaitGroup
--- a/bench/converge.go
+++ b/bench/converge.go
@@ -30,6 +30,8 @@
 	regionRate  = 30e6 / 8              // bytes per second between the regions, in each direction
 )
 
+// fourDomains are the failure domains of the meshes. The store is in the region of
+// the first one.
 var fourDomains = []local.Location{
 	{Domain: "northgate", Region: "north-line"},
 	{Domain: "millbank", Region: "north-line"},
@@ -37,11 +39,12 @@
 	{Domain: "harbour-cross", Region: "south-line"},
 }
 
+// convergeFlags are the flags of converge. Other benchmarks use their defaults.
 var convergeFlags = struct {
-	nodes    string
+	nodes    string // comma-separated
 	services int
-	idle     time.Duration
-	baseline bool
+	idle     time.Duration // how long an idle mesh is measured
+	baseline bool          // measure the baselines too
 	tls      bool
 }{nodes: "16,64,256", services: 170, idle: 10 * time.Second, baseline: true}
 
@@ -137,7 +140,8 @@
 	)
 }
 
-// median returns the median of a property of all elements.
+// median returns the median of a property of all elements, the upper one of an even
+// number.
 func median[T any](all []T, get func(T) float64) float64 {
 	v := make([]float64, 0, len(all))
 	for _, x := range all {
@@ -352,9 +356,9 @@
 // and the full snapshot when the head has changed.
 type poller struct {
 	store platform.Store
-	// compressed reads the snapshot in compressed form.
+	// compressed makes the node read the snapshot in compressed form.
 	compressed bool
-	version    uint64
+	version    uint64 // the newest version read
 	times      *versionTimes
 }
 
@@ -382,6 +386,7 @@
 	}
 }
 
+// fetch reads a snapshot from the store and discards it.
 func (p *poller) fetch(ctx context.Context, hash snapshot.Hash) error {
 	if p.compressed {
 		_, err := platform.GetContent(ctx, p.store, hash)
@@ -403,6 +408,7 @@
 	srv := &http.Server{Handler: st, ReadHeaderTimeout: time.Minute}
 	go func() { _ = srv.Serve(l) }()
 	defer func() { _ = srv.Close() }()
+	// 1 GiB/s is no limit in effect; the link only counts bytes.
 	sameRegion, betweenRegions := wire.NewLink(1<<30), wire.NewLink(regionRate)
 	times := &versionTimes{at: make(map[uint64][]time.Time)}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/bench/delta.go
+++ b/bench/delta.go
@@ -20,6 +20,7 @@
 	Removed []string           `cbor:"2,keyasint,omitempty"`
 }
 
+// delta compares the encodings of a version in size and time.
 func delta(options) (*table, error) {
 	t := &table{
 		Name:  "ways to send a version",
--- a/bench/load.go
+++ b/bench/load.go
@@ -16,12 +16,13 @@
 // Service under overload: each of four targets processes two requests of 10 ms
 // concurrently, a capacity of 800 requests per second.
 const (
-	loadSlots    = 2
-	loadDuration = 6 * time.Second
+	loadSlots    = 2                      // slots and workers of each target
+	loadDuration = 6 * time.Second        // of the load in one run
 	loadUseful   = 300 * time.Millisecond // latency within which a response is useful
 	loadTimeout  = 5 * time.Second        // for the recovery after the outage
 )
 
+// loadCapacity is the capacity of all targets in requests per second.
 var loadCapacity = float64(len(fourDomains)*loadSlots) / callWork.Seconds()
 
 // loadMesh starts a mesh with one node and target in each domain. announced is the
@@ -143,7 +144,7 @@
 	}
 }
 
-// faultDelay is the time from the start of the load to the fault.
+// faultDelay is the time from the start of the load to the injection of the fault.
 const faultDelay = 2 * time.Second
 
 // faults measures the calls under each fault of one of four targets.
@@ -174,6 +175,8 @@
 	return t, outageRow(t)
 }
 
+// runFault measures one run of a load with a fault. It returns the results and the
+// number of attempts.
 func runFault(f faultCase) (*callResults, float64, error) {
 	m, err := loadMesh(loadSlots)
 	if err != nil {
@@ -272,6 +275,7 @@
 	return t, nil
 }
 
+// onceRows measures a mesh of perDomain nodes in each domain and adds its rows.
 func onceRows(t *table, o options, perDomain int) error {
 	m, err := callMesh(false, 0, perDomain)
 	if err != nil {
--- a/bench/main.go
+++ b/bench/main.go
@@ -8,6 +8,8 @@
 //	go run ./bench faults                       calls while targets fail
 //	go run ./bench once                         cost of at-most-once calls
 //	go run ./bench slopes                       memory and CPU time by mesh size
+//	go run ./bench mutate                       tests that must fail with a broken safeguard
+//	go run ./bench storm                        many changes, and a partition that heals
 //
 // Every command prints its seed and accepts --json. Absolute times depend on the
 // machine; compare the ratios between the columns of one run.
@@ -34,6 +36,7 @@
 	Rows  [][]string `json:"rows"`
 }
 
+// add adds a row.
 func (t *table) add(cells ...any) {
 	row := make([]string, 0, len(cells))
 	for _, c := range cells {
@@ -67,7 +70,7 @@
 // options are the flags that all commands share.
 type options struct {
 	seed uint64
-	runs int
+	runs int // runs of each figure
 	json bool
 	// profile is the file for a CPU profile of the whole run.
 	profile string
@@ -100,7 +103,7 @@
 // defaultRuns is the default number of runs, whose medians are printed.
 const defaultRuns = 3
 
-// gcPercent is the garbage collection target that briarrockd uses.
+// gcPercent is the garbage collection target (GOGC) that briarrockd uses.
 const gcPercent = 400
 
 func main() {
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -21,6 +21,7 @@
 // regions.
 var memberCounts = []int{250, 500, 1000, 2000, 4000}
 
+// domainCount is the number of domains, four in each region.
 const domainCount = 16
 
 // slopes measures one peer.Core and the data that the rest of its node holds, at
@@ -45,6 +46,7 @@
 	return t, nil
 }
 
+// member returns member i of the mesh; members belong to the domains in turn.
 func member(i int) peer.Member {
 	d := i % domainCount
 	return peer.Member{
@@ -72,7 +74,7 @@
 	}
 }
 
-// measureNode measures a node of a mesh with n members and returns a row.
+// measureNode measures a node of a mesh with n members and returns a row of the table.
 func measureNode(n int) ([]any, error) {
 	snap, old, err := compile(170, 1)
 	if err != nil {
--- a/bench/storm.go
+++ b/bench/storm.go
@@ -13,6 +13,7 @@
 	return benchmark{name: "storm", help: "50 changes in 10 s, and convergence after the regions were partitioned for a minute", run: storm}
 }
 
+// Size of the storm, the many changes in a short time, and of the partition.
 const (
 	stormNodes        = 64
 	stormChanges      = 50
@@ -20,8 +21,8 @@
 	partitionDuration = time.Minute
 )
 
-// storm measures the convergence of many changes in a short time, and of a change
-// that was applied during a partition of the regions, once the partition heals.
+// storm measures two kinds of convergence: that of many changes in a short time, and
+// that of a change applied during a partition of the regions, from its healing on.
 func storm(options) (*table, error) {
 	t := &table{
 		Name:  "many changes, and a cut that heals",
--- a/bench/util.go
+++ b/bench/util.go
@@ -18,6 +18,7 @@
 	"briarrock.example/standin/wire"
 )
 
+// benchmarks returns all commands in the order in which help lists them.
 func benchmarks() []benchmark {
 	return []benchmark{convergeBenchmark(), deltaBenchmark(), callsBenchmark(), overloadBenchmark(), faultsBenchmark(), onceBenchmark(), slopesBenchmark(), mutateBenchmark(), stormBenchmark()}
 }
@@ -56,7 +57,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// compile returns the snapshot of a text of makeText, and its encoding.
+// compile returns the snapshot of the text that makeText returns for the same
+// arguments, and its encoding.
 func compile(services, edit int) (*snapshot.Snapshot, []byte, error) {
 	s, err := text.Compile(makeText(services, edit))
 	if err != nil {
@@ -67,7 +69,7 @@
 }
 
 // commitToStore commits an edit directly to the store and waits until all pollers
-// have read it. It returns their latencies.
+// have read it. It returns their latencies, counted from the acceptance of the edit.
 func commitToStore(ctx context.Context, st platform.Store, edit int, times *versionTimes, nodes int) ([]time.Duration, error) {
 	_, b, err := compile(convergeFlags.services, edit)
 	if err != nil {
