--- a/bench/calls.go
+++ b/bench/calls.go
@@ -92,14 +92,14 @@
 
 func newCallResults() *callResults { return &callResults{histogram: hdrhistogram.New(1, 60e6, 3)} }
 
-func (t *callResults) recordLatency(d time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	_ = t.histogram.RecordValue(max(d.Microseconds(), 1))
+func (r *callResults) recordLatency(d time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_ = r.histogram.RecordValue(max(d.Microseconds(), 1))
 }
 
 // ms returns the q-th percentile of the latency in milliseconds.
-func (t *callResults) ms(q float64) float64 { return float64(t.histogram.ValueAtQuantile(q)) / 1000 }
+func (r *callResults) ms(q float64) float64 { return float64(r.histogram.ValueAtQuantile(q)) / 1000 }
 
 // callerTimeout is the time after which a caller of a load cancels its call.
 const callerTimeout = time.Second
@@ -113,7 +113,7 @@
 }
 
 // sendCall sends a call and records its result.
-func (t *callResults) sendCall(c *http.Client, addr string) {
+func (r *callResults) sendCall(c *http.Client, addr string) {
 	started := time.Now()
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+addr+"/orders/1", nil)
 	if err != nil {
@@ -122,21 +122,21 @@
 	req.Host = callService
 	res, err := c.Do(req)
 	if err != nil {
-		t.failed.Add(1)
+		r.failed.Add(1)
 		return
 	}
 	_, err = io.Copy(io.Discard, res.Body)
 	_ = res.Body.Close()
 	switch {
-	case err == nil && res.StatusCode == http.StatusOK && t.limit > 0 && time.Since(started) > t.limit:
-		t.failed.Add(1)
+	case err == nil && res.StatusCode == http.StatusOK && r.limit > 0 && time.Since(started) > r.limit:
+		r.failed.Add(1)
 	case err == nil && res.StatusCode == http.StatusOK:
-		t.succeeded.Add(1)
-		t.recordLatency(time.Since(started))
+		r.succeeded.Add(1)
+		r.recordLatency(time.Since(started))
 	case res.Header.Get("Briarrock-Ran") == "no":
-		t.notRun.Add(1)
+		r.notRun.Add(1)
 	default:
-		t.failed.Add(1)
+		r.failed.Add(1)
 	}
 }
 
@@ -144,7 +144,7 @@
 // independent of the completion of earlier calls. Calls that are overdue are sent at
 // once. The latency of a call counts from its start, so that it does not include the
 // delay of an overdue call.
-func openLoad(t *callResults, addrs []string, perSecond float64, d time.Duration) {
+func openLoad(r *callResults, addrs []string, perSecond float64, d time.Duration) {
 	c := newClient()
 	var wg sync.WaitGroup
 	gap := time.Duration(float64(time.Second) / perSecond)
@@ -152,7 +152,7 @@
 	for i := 0; next.Before(time.Now().Add(d)) && i < int(perSecond*d.Seconds()); i++ {
 		time.Sleep(time.Until(next))
 		next = next.Add(gap)
-		wg.Go(func() { t.sendCall(c, addrs[i%len(addrs)]) })
+		wg.Go(func() { r.sendCall(c, addrs[i%len(addrs)]) })
 	}
 	wg.Wait()
 	c.CloseIdleConnections()
@@ -180,14 +180,14 @@
 	}
 	defer closeAll()
 	capacity := float64(len(fourDomains)*callSlots) / callWork.Seconds()
-	for _, share := range loadFractions {
+	for _, fraction := range loadFractions {
 		var base [2]float64
-		for i, callSetup := range setups {
+		for i, setup := range setups {
 			var p50, p99, cpu, notRun, failed []float64
 			for range o.runs {
 				r := newCallResults()
 				from := cpuTime()
-				openLoad(r, callSetup.addrs, capacity*share, callDuration)
+				openLoad(r, setup.addrs, capacity*fraction, callDuration)
 				done := float64(max(r.succeeded.Load(), 1))
 				p50, p99 = append(p50, r.ms(50)), append(p99, r.ms(99))
 				cpu = append(cpu, float64((cpuTime()-from).Microseconds())/done)
@@ -198,7 +198,7 @@
 			if i == 0 {
 				base = [2]float64{m50, m99}
 			}
-			t.add(callSetup.name, int(share*100), m50, m99, m50-base[0], m99-base[1], median(cpu, id), int(median(notRun, id)), int(median(failed, id)))
+			t.add(setup.name, int(fraction*100), m50, m99, m50-base[0], m99-base[1], median(cpu, id), int(median(notRun, id)), int(median(failed, id)))
 		}
 	}
 	return t, nil
--- a/bench/converge.go
+++ b/bench/converge.go
@@ -341,7 +341,7 @@
 		Text: makeText(convergeFlags.services, edit), Head: true, Write: fmt.Sprintf("bench-%08d", edit),
 	})
 	if err != nil {
-		return time.Time{}, errors.WithStack(err)
+		return time.Time{}, errors.Wrap(err, "apply")
 	}
 	if res.Outcome != api.Accepted {
 		return time.Time{}, errors.Errorf("apply: %s: %s %v", res.Outcome, res.Text, res.Mistakes)
--- a/bench/delta.go
+++ b/bench/delta.go
@@ -38,13 +38,13 @@
 		}
 		standalone, err := snapshot.Pack(nil, now)
 		if err != nil {
-			return nil, errors.WithStack(err)
+			return nil, errors.Wrap(err, "packing without a base")
 		}
 		started := time.Now()
 		packed, err := snapshot.Pack(old, now)
 		packTime := time.Since(started)
 		if err != nil {
-			return nil, errors.WithStack(err)
+			return nil, errors.Wrap(err, "packing with a base")
 		}
 		started = time.Now()
 		unpacked, err := snapshot.Unpack(old, packed)
@@ -54,7 +54,7 @@
 		}
 		diff, err := cbor.Marshal(diffOf(a, b))
 		if err != nil {
-			return nil, errors.WithStack(err)
+			return nil, errors.Wrap(err, "encoding the changed services")
 		}
 		t.add(n, len(now), len(standalone), len(packed), len(diff), packTime.Seconds()*1000, unpackTime.Seconds()*1000)
 	}
--- a/bench/main.go
+++ b/bench/main.go
@@ -117,11 +117,11 @@
 	p.String(&o.profile, "p", "profile", "write a CPU profile to this file")
 	all := benchmarks()
 	subs := make([]*flaggy.Subcommand, 0, len(all))
-	for _, m := range all {
-		s := flaggy.NewSubcommand(m.name)
-		s.Description = m.help
-		if m.flags != nil {
-			m.flags(s)
+	for _, b := range all {
+		s := flaggy.NewSubcommand(b.name)
+		s.Description = b.help
+		if b.flags != nil {
+			b.flags(s)
 		}
 		p.AttachSubcommand(s, 1)
 		subs = append(subs, s)
--- a/bench/mutate.go
+++ b/bench/mutate.go
@@ -39,7 +39,7 @@
 	}
 	var all []mutation
 	if err := yaml.Unmarshal(b, &all); err != nil {
-		return nil, errors.WithStack(err)
+		return nil, errors.Wrap(err, mutationsFile)
 	}
 	t := &table{
 		Name: "broken safeguards", Note: "each must be caught by the test named",
--- a/bench/slopes.go
+++ b/bench/slopes.go
@@ -138,7 +138,7 @@
 		}
 		p, err := snapshot.Pack(base, b)
 		if err != nil {
-			return 0, 0, errors.WithStack(err)
+			return 0, 0, errors.Wrap(err, "packing a version")
 		}
 		version++
 		f := peer.Content{Version: version, Hash: snapshot.Sum(b), Base: snapshot.Sum(base), Packed: p, Push: true, HeldRemotely: true}
--- a/bench/util.go
+++ b/bench/util.go
@@ -62,10 +62,10 @@
 func compile(services, edit int) (*snapshot.Snapshot, []byte, error) {
 	s, err := text.Compile(makeText(services, edit))
 	if err != nil {
-		return nil, nil, errors.WithStack(err)
+		return nil, nil, errors.Wrap(err, "compiling the text")
 	}
 	b, err := snapshot.Encode(s)
-	return s, b, errors.WithStack(err)
+	return s, b, errors.Wrap(err, "encoding the snapshot")
 }
 
 // commitToStore commits an edit directly to the store and waits until all pollers
@@ -77,7 +77,7 @@
 	}
 	hash := snapshot.Sum(b)
 	if err := st.PutObject(ctx, "whole-"+hash.String(), b); err != nil {
-		return nil, errors.WithStack(err)
+		return nil, errors.Wrap(err, "baseline: storing the snapshot")
 	}
 	result := platform.Apply(ctx, st, platform.Edit{
 		Audit: platform.Audit{Base: uint64(edit), Hash: hash.String(), Text: hash.String(), Write: fmt.Sprintf("bench-%08d", edit)},
