--- a/bench/delta.go
+++ b/bench/delta.go
@@ -32,16 +32,16 @@
 		if err != nil {
 			return nil, err
 		}
-		b, now, err := compile(n, 2)
+		b, current, err := compile(n, 2)
 		if err != nil {
 			return nil, err
 		}
-		standalone, err := snapshot.Pack(nil, now)
+		standalone, err := snapshot.Pack(nil, current)
 		if err != nil {
 			return nil, errors.Wrap(err, "packing without a base")
 		}
 		started := time.Now()
-		packed, err := snapshot.Pack(old, now)
+		packed, err := snapshot.Pack(old, current)
 		packTime := time.Since(started)
 		if err != nil {
 			return nil, errors.Wrap(err, "packing with a base")
@@ -49,14 +49,14 @@
 		started = time.Now()
 		unpacked, err := snapshot.Unpack(old, packed)
 		unpackTime := time.Since(started)
-		if err != nil || snapshot.Sum(unpacked) != snapshot.Sum(now) {
+		if err != nil || snapshot.Sum(unpacked) != snapshot.Sum(current) {
 			return nil, errors.New("the unpacked snapshot differs from the original")
 		}
 		diff, err := cbor.Marshal(diffOf(a, b))
 		if err != nil {
 			return nil, errors.Wrap(err, "encoding the changed services")
 		}
-		t.add(n, len(now), len(standalone), len(packed), len(diff), packTime.Seconds()*1000, unpackTime.Seconds()*1000)
+		t.add(n, len(current), len(standalone), len(packed), len(diff), packTime.Seconds()*1000, unpackTime.Seconds()*1000)
 	}
 	return t, nil
 }
