--- a/standin/platform/edit_test.go
+++ b/standin/platform/edit_test.go
@@ -110,9 +110,9 @@
 	b := []byte("a snapshot")
 	c.Assert(store.PutContent(ctx, st, b), qt.IsNil)
 	c.Assert(store.PutContent(ctx, st, b), qt.IsNil)
-	back, err := store.GetContent(ctx, st, snapshot.Sum(b))
+	got, err := store.GetContent(ctx, st, snapshot.Sum(b))
 	c.Assert(err, qt.IsNil)
-	c.Assert(back, qt.DeepEquals, b)
+	c.Assert(got, qt.DeepEquals, b)
 	_, err = store.GetContent(ctx, st, snapshot.Sum([]byte("another")))
 	c.Assert(err, qt.ErrorIs, store.ErrMissing)
 }
--- a/standin/wire/wire.go
+++ b/standin/wire/wire.go
@@ -50,9 +50,9 @@
 	blackholed       atomic.Bool
 }
 
-func (p *proxiedConn) close() {
-	_ = p.client.Close()
-	_ = p.upstream.Close()
+func (c *proxiedConn) close() {
+	_ = c.client.Close()
+	_ = c.upstream.Close()
 }
 
 // New listens at addr and forwards connections to upstreamAddr.
