--- a/briarrock/command/apply.go
+++ b/briarrock/command/apply.go
@@ -50,6 +50,7 @@
 	return ExitDone
 }
 
+// read returns the content of a file, or prints an error and returns false.
 func (e *env) read(file string) ([]byte, bool) {
 	src, err := os.ReadFile(file) //nolint:gosec // the operator names the file
 	if err != nil {
@@ -59,6 +60,7 @@
 	return src, true
 }
 
+// showMistakes prints the mistakes of a text with their positions.
 func (e *env) showMistakes(file string, mistakes strict.Mistakes) {
 	if e.json {
 		e.writeJSON(mistakes)
@@ -69,10 +71,10 @@
 	}
 }
 
-// basePrefix starts the first line of a text that was read from the mesh. The
-// line holds the version that was read (the base), so that an edit based on an
-// outdated version is detected as a conflict and does not overwrite a concurrent
-// edit.
+// basePrefix starts the first line of a text that was read from the mesh (the
+// base line). The line holds the version that was read, the base of the next
+// edit. An edit whose base is outdated is detected as a conflict and does not
+// overwrite a concurrent edit.
 const basePrefix = "# briarrock base: "
 
 // parseBase returns the version in the base line of a text, and whether it has
@@ -87,6 +89,7 @@
 	return n, err == nil
 }
 
+// stripBase returns a text without its base line.
 func stripBase(src []byte) []byte {
 	if _, ok := parseBase(src); !ok {
 		return src
@@ -95,6 +98,8 @@
 	return rest
 }
 
+// withBase returns a text with a base line for version, which replaces an
+// existing one.
 func withBase(version uint64, src []byte) []byte {
 	return append([]byte(basePrefix+strconv.FormatUint(version, 10)+"\n"), stripBase(src)...)
 }
@@ -186,6 +191,9 @@
 	return code
 }
 
+// setBase sets the version that the edit is based on: that of --base, else that
+// of the base line, else the newest version (Head). It reports whether --base
+// is valid.
 func (c *apply) setBase(e *env, a *api.Apply, src []byte) bool {
 	if c.base != "" {
 		n, ok := e.version(c.base)
@@ -197,10 +205,10 @@
 	return true
 }
 
-// confirm prompts the operator before an edit that removes routes or services,
-// which may be in use, or whose text has no base, so that it may overwrite a
-// version that the operator has not seen. It returns true, and the exit code,
-// if the edit must not be applied.
+// confirm prompts the operator before two kinds of edits. An edit that removes
+// routes or services may remove some that are in use. An edit whose text has no
+// base may overwrite a version that the operator has not seen. confirm returns
+// the exit code and true if the edit must not be applied.
 func (c *apply) confirm(ctx context.Context, e *env, client *api.Client, a api.Apply) (int, bool) {
 	a.Dry = true
 	dryRun, err := client.Apply(ctx, a)
@@ -250,6 +258,7 @@
 	return hex.EncodeToString(b[:])
 }
 
+// showResult prints the result of an edit or a dry run and returns the exit code.
 func (e *env) showResult(file string, res api.Result) int {
 	code := exitCode(res.Outcome)
 	if e.json {
--- a/briarrock/command/command.go
+++ b/briarrock/command/command.go
@@ -37,7 +37,8 @@
 	envToken = "BRIARROCK_TOKEN"
 )
 
-// defaultNode is the operator address of the demo's first node.
+// defaultNode is the operator address that is used if neither --node nor
+// BRIARROCK_NODE is set.
 const defaultNode = "http://127.0.0.1:7104"
 
 // command is a subcommand of the program.
@@ -51,12 +52,12 @@
 // env holds the streams and the global flags that all commands use.
 type env struct {
 	IO
-	node  string
+	node  string // operator address, "http://" if it has no scheme
 	token string
-	cert  string
+	cert  string // path of a PEM file, as are key and ca
 	key   string
 	ca    string
-	json  bool
+	json  bool // write the result as JSON
 }
 
 // Run parses the arguments, runs one command and returns the exit code.
@@ -131,7 +132,8 @@
 	return api.New(c, strings.TrimSuffix(node, "/"), e.token), nil
 }
 
-// version parses a version argument; an empty argument is version 0.
+// version parses a version argument and prints an error if it is invalid. An
+// empty argument gives 0, for which the node uses its default.
 func (e *env) version(s string) (uint64, bool) {
 	if s == "" {
 		return 0, true
@@ -151,13 +153,14 @@
 	return ExitRefused
 }
 
+// writeJSON prints a value as indented JSON.
 func (e *env) writeJSON(v any) {
 	enc := json.NewEncoder(e.Out)
 	enc.SetIndent("", "  ")
 	_ = enc.Encode(v)
 }
 
-// ANSI codes of colours.
+// ANSI SGR codes of colours.
 const (
 	red    = "31"
 	green  = "32"
--- a/briarrock/command/exit.go
+++ b/briarrock/command/exit.go
@@ -5,7 +5,7 @@
 // Exit codes of every command.
 const (
 	ExitDone        = 0 // success, or nothing to change
-	ExitInvalid     = 1 // the text has mistakes, or what the arguments name does not exist
+	ExitInvalid     = 1 // a text with mistakes or that can't be read, a version that does not exist, or a refusal that explain found
 	ExitUsage       = 2 // the command line is wrong
 	ExitConflict    = 3 // conflict with a concurrent edit; nothing changed
 	ExitRefused     = 4 // refused or failed; nothing changed
--- a/briarrock/command/show.go
+++ b/briarrock/command/show.go
@@ -61,7 +61,7 @@
 	s.Bool(&c.watch, "w", "watch", "go on showing it each second")
 }
 
-// watchInterval is the refresh interval of status --watch.
+// watchInterval is the pause between two requests of status --watch.
 const watchInterval = time.Second
 
 func (c *status) run(ctx context.Context, e *env) int {
@@ -114,8 +114,10 @@
 // storeStaleAfter is the age of the last store read above which status reports it.
 const storeStaleAfter = 15 * time.Second
 
+// short returns the first 8 characters of a hash.
 func short(hash string) string { return hash[:min(len(hash), 8)] }
 
+// showDomain prints the versions that the nodes of a domain serve.
 func (e *env) showDomain(d api.Domain) {
 	parts := make([]string, 0, len(d.Counts))
 	for _, c := range d.Counts {
@@ -132,7 +134,7 @@
 }
 
 // waitInForce prints the progress of a version until all nodes serve it or the
-// timeout ends.
+// timeout ends, and returns the exit code. It ignores failed status requests.
 func (e *env) waitInForce(ctx context.Context, client *api.Client, version uint64, timeout time.Duration) int {
 	start := time.Now()
 	lastLine := ""
@@ -168,6 +170,7 @@
 	limit  int
 }
 
+// historyLimit is the default of --limit, in versions.
 const historyLimit = 20
 
 func (c *history) flags(s *flaggy.Subcommand) {
@@ -220,7 +223,8 @@
 	}
 }
 
-// explain shows how a request would be routed.
+// explain shows how a request would be routed. It exits with ExitInvalid if the
+// request would be refused.
 type explain struct {
 	method string
 	url    string
