--- a/briarrock/demo/demo.go
+++ b/briarrock/demo/demo.go
@@ -85,16 +85,18 @@
 	return nil
 }
 
+// demo is the state that the steps share.
 type demo struct {
 	w    io.Writer
-	src  []byte
-	snap *snapshot.Snapshot
+	src  []byte             // the example's text
+	snap *snapshot.Snapshot // src, compiled
 	mesh *local.Mesh
 	load *loadGenerator
 }
 
 func (d *demo) printf(format string, args ...any) { _, _ = fmt.Fprintf(d.w, format+"\n", args...) }
 
+// start starts the mesh of an example and waits until its nodes have joined.
 func (d *demo) start(example string) error {
 	src, err := fs.ReadFile(examples.Files, example+"/mesh.yaml")
 	if err != nil {
@@ -131,6 +133,8 @@
 	return nil
 }
 
+// apply applies a text, based on version base, and waits until it is in force.
+// write is the id of the edit.
 func (d *demo) apply(ctx context.Context, src []byte, base uint64, write string) (api.Result, error) {
 	started := time.Now()
 	res, err := d.mesh.Operator(0).Apply(ctx, api.Apply{Text: src, Base: base, Write: write, Note: "demo"})
@@ -181,7 +185,7 @@
 	}); err != nil {
 		return errors.Wrap(err, "waiting for all nodes to see the targets")
 	}
-	d.load = newLoad(d.mesh, service, path)
+	d.load = newLoadGenerator(d.mesh, service, path)
 	d.load.start(ctx)
 	return errors.Wrap(local.WaitUntil(callTimeout, func() bool { return d.load.succeeded.Load() >= workers }), "waiting for successful calls")
 }
@@ -279,7 +283,7 @@
 	wg                sync.WaitGroup
 }
 
-func newLoad(m *local.Mesh, service, path string) *loadGenerator {
+func newLoadGenerator(m *local.Mesh, service, path string) *loadGenerator {
 	return &loadGenerator{mesh: m, service: service, path: path}
 }
 
