--- a/briarrock/local/authority.go
+++ b/briarrock/local/authority.go
@@ -26,7 +26,8 @@
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority creates a certificate authority that stores its files in dir.
+// NewAuthority creates a certificate authority that stores its files in dir. Its
+// certificates are valid for 24 hours.
 func NewAuthority(dir string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/briarrock/local/call_test.go
+++ b/briarrock/local/call_test.go
@@ -77,6 +77,7 @@
 	waitTargets(c, m, targets)
 }
 
+// waitTargets waits until every node sees exactly n live targets.
 func waitTargets(c *qt.C, m *local.Mesh, n int) {
 	c.Assert(local.WaitUntil(testTimeout, func() bool {
 		for _, x := range m.Nodes {
@@ -92,7 +93,7 @@
 type response struct {
 	status int
 	kind   kind.Kind
-	ran    string
+	ran    string // header Briarrock-Ran: "yes", "no" or "unknown"
 	header http.Header
 	body   string
 	err    error
@@ -120,8 +121,8 @@
 	}
 }
 
-func (a response) String() string {
-	return fmt.Sprintf("%d %s ran=%s %q %v", a.status, string(a.kind), a.ran, a.body, a.err)
+func (r response) String() string {
+	return fmt.Sprintf("%d %s ran=%s %q %v", r.status, string(r.kind), r.ran, r.body, r.err)
 }
 
 // runCount returns how often all targets began to run the request with an id.
@@ -356,6 +357,7 @@
 	root := -1
 	for i, n := range m.Nodes {
 		n.Peers().WithCore(func(core *peer.Core) {
+			// The root commits its own claims.
 			if addr, _ := core.Committers(); addr == "" {
 				root = i
 			}
--- a/briarrock/local/local.go
+++ b/briarrock/local/local.go
@@ -56,8 +56,8 @@
 	BetweenRegions wire.Path
 	// BetweenDomains is the network path between two domains of a region.
 	BetweenDomains wire.Path
-	// StallTimeout ends a call in which no byte was transferred for so long; a
-	// minute if 0.
+	// StallTimeout is the time without a transferred byte after which a call
+	// ends; a minute if 0.
 	StallTimeout time.Duration
 	// Authority, if set, issues certificates to the nodes; otherwise they use
 	// plaintext.
@@ -66,14 +66,15 @@
 	OnVersion func(host string, version uint64)
 	// Log receives the nodes' log; nil disables it.
 	Log io.Writer
-	// Level is the log level; warnings by default.
+	// Level is the log level; logrus.WarnLevel if 0.
 	Level logrus.Level
 }
 
 // Node is one node of the mesh with its target, if it has one.
 type Node struct {
 	*node.Node
-	Target         *standintarget.Target
+	Target *standintarget.Target
+	// Cfg holds the settings with the addresses that the node listens at.
 	Cfg            settings.Settings
 	stopAnnouncing context.CancelFunc
 	targetServer   *http.Server
@@ -84,10 +85,10 @@
 type Mesh struct {
 	Spec      Spec
 	Platform  *standinplatform.Server
-	Nodes     []*Node
-	store     string
+	Nodes     []*Node // node i is in location i modulo the number of locations
+	store     string  // URL of the platform
 	servers   []*http.Server
-	contacts  []string
+	contacts  []string // peer addresses of the first nodes, for the settings of later ones
 	mu        sync.Mutex
 	locations map[string]Location // by address of a node or the store
 	proxies   map[string]string   // proxy by address, see RouteVia
@@ -130,6 +131,7 @@
 	return s
 }
 
+// addNode starts node i of a domain and its target.
 func (m *Mesh) addNode(i int, loc Location) error {
 	anyPort := "127.0.0.1:0"
 	cfg := settings.Settings{
@@ -262,7 +264,8 @@
 	return nil
 }
 
-// crashFunc returns the function by which the node's target crashes.
+// crashFunc returns the function that a request with HeaderCrash calls at the
+// node's target: it stops the target.
 func (n *Node) crashFunc() func() { return n.StopTarget }
 
 // RestartNode kills node i and starts it with the same name and addresses and
@@ -311,6 +314,8 @@
 // operatorName is the operator's name in the certificate that Operator uses.
 const operatorName = "otto"
 
+// secureOperator returns an operator's client with a new certificate. Without one,
+// if it can't be issued, the requests of the client fail in the TLS handshake.
 func (m *Mesh) secureOperator(i int, a *Authority) *api.Client {
 	c := new(http.Client)
 	files, err := a.Issue(operatorName, keys.Operator)
--- a/briarrock/local/matrix_test.go
+++ b/briarrock/local/matrix_test.go
@@ -35,7 +35,8 @@
 	Name   string `yaml:"name"`
 	Method string `yaml:"method"`
 	Path   string `yaml:"path"`
-	Key    bool   `yaml:"key"`
+	// Key sends an idempotency key, for which the node uses the store.
+	Key bool `yaml:"key"`
 }
 
 // callCell is one combination of the matrix: the step at which each of the two
@@ -61,8 +62,9 @@
 					if s != "well" && !r.Key {
 						continue
 					}
-					// A step is combined with all states of the store if the
-					// other target is healthy ("whole"), otherwise with one.
+					// With a key, a pair of steps is combined with all states of
+					// the store if the second target is healthy ("whole"),
+					// otherwise with one.
 					if b != "whole" && r.Key && (i+j)%len(m.Stores) != k {
 						continue
 					}
@@ -93,8 +95,8 @@
 	addr string
 	mu   sync.Mutex
 	step string
-	// reached and ran count the requests by id whose head was read, and those
-	// that were run.
+	// reached counts, by id, the requests whose head was read; ran counts those
+	// whose body was read too, which count as run.
 	reached, ran map[string]int
 	stop         context.CancelFunc
 }
@@ -285,6 +287,7 @@
 	return violations
 }
 
+// count returns how many requests with an id both targets received and ran.
 func (m *matrixMesh) count(id string) (reached, ran int) {
 	for _, t := range m.targets {
 		a, b := t.count(id)
@@ -293,8 +296,8 @@
 	return reached, ran
 }
 
-// sendOnce sends a request once and compares the response with the requests that
-// the targets received and ran. It returns the violations found.
+// sendOnce sends a request once through a node. It compares the response with the
+// requests that the targets received and ran, and returns the violations found.
 func (m *matrixMesh) sendOnce(r callRoute, id string, node int) []string {
 	headers := []string{"X-Id", id}
 	if r.Key {
