--- a/briarrock/process/process_test.go
+++ b/briarrock/process/process_test.go
@@ -29,6 +29,7 @@
 	"briarrock.example/standin/wire"
 )
 
+// daemonPath is the path of the briarrockd binary.
 var daemonPath string
 
 // TestMain builds briarrockd once for all tests.
@@ -55,10 +56,10 @@
 // host is a host with its briarrockd process.
 type host struct {
 	name, domain, region string
-	caller, call, peer   string
-	operator, announce   string
-	settings             string
-	cmd                  *exec.Cmd
+	caller, call, peer   string    // addresses that the process listens at
+	operator, announce   string    // likewise
+	settings             string    // path of the settings file
+	cmd                  *exec.Cmd // nil while the process is stopped
 	log                  *logBuffer
 }
 
@@ -96,7 +97,7 @@
 }
 
 // Range of the processes' ports. It is below the ephemeral port range, as the ports
-// of a deployment are: otherwise an outgoing connection could occupy a host's port
+// of a deployment are. Otherwise an outgoing connection could occupy a host's port
 // while its process restarts.
 const (
 	firstPort = 12000
@@ -105,7 +106,8 @@
 
 var nextPort atomic.Int64
 
-// freeAddr returns a loopback address with a free port.
+// freeAddr returns a loopback address with a free port. The search starts at a port
+// that depends on the process id, so that concurrent test runs rarely collide.
 func freeAddr(c *qt.C) string {
 	for {
 		port := firstPort + (int64(os.Getpid())*97+nextPort.Add(1))%(lastPort-firstPort)
@@ -118,6 +120,8 @@
 	}
 }
 
+// newFleet starts a platform and perDomain hosts in each of four domains. Host i is
+// in domain i modulo 4.
 func newFleet(c *qt.C, perDomain int) *fleet {
 	f := &fleet{c: c, dir: c.TempDir(), store: standinplatform.New()}
 	srv := httptest.NewServer(f.store)
@@ -148,10 +152,10 @@
 		name: fmt.Sprintf("%s-%d", domain, i), domain: domain, region: region, log: new(logBuffer),
 		caller: freeAddr(c), call: freeAddr(c), peer: freeAddr(c), operator: freeAddr(c), announce: freeAddr(c),
 	}
-	w, err := wire.New("127.0.0.1:0", h.peer)
+	proxy, err := wire.New("127.0.0.1:0", h.peer)
 	c.Assert(err, qt.IsNil)
-	c.Cleanup(w.Close)
-	f.peerProxies = append(f.peerProxies, w)
+	c.Cleanup(proxy.Close)
+	f.peerProxies = append(f.peerProxies, proxy)
 	f.hosts = append(f.hosts, h)
 	var contacts []string
 	for j := range min(len(f.hosts), 4) {
@@ -173,7 +177,7 @@
 stall: 5s
 drain: 10s
 log: {format: json, level: info}
-`, h.name, h.domain, h.region, h.caller, h.call, h.peer, w.Addr(), h.operator, h.announce,
+`, h.name, h.domain, h.region, h.caller, h.call, h.peer, proxy.Addr(), h.operator, h.announce,
 		strings.Join(contacts, ", "), f.storeProxy.Addr())
 	c.Assert(os.WriteFile(h.settings, []byte(text), 0o600), qt.IsNil)
 }
@@ -268,6 +272,7 @@
 }
 
 // servedVersions returns the versions that a host served, in order, from its log.
+// Event 201 is event.VersionInUse.
 func servedVersions(log string) []int {
 	var out []int
 	for _, line := range strings.Split(log, "\n") {
@@ -405,8 +410,8 @@
 	f.setCut("superior-b", false)
 	f.waitInForce(4)
 
-	for _, w := range f.peerProxies {
-		w.Set(wire.Fault{Blackhole: true})
+	for _, proxy := range f.peerProxies {
+		proxy.Set(wire.Fault{Blackhole: true})
 	}
 	code, out = f.run(f.hosts[2], "apply", f.text(31), "--yes", "--wait", "--timeout", "60s")
 	c.Assert(code, qt.Equals, command.ExitDone, qt.Commentf("%s", out))
@@ -438,7 +443,7 @@
 	}
 }
 
-// setCut makes the proxies of a domain's peer addresses refuse connections, or
+// setCut makes the proxies of a domain's peer addresses close all connections, or
 // restores them.
 func (f *fleet) setCut(domain string, on bool) {
 	for i, h := range f.hosts {
