--- a/bench/util.go
+++ b/bench/util.go
@@ -18,6 +18,7 @@
 	"briarrock.example/standin/wire"
 )
 
+// benchmarks returns all commands in the order in which help lists them.
 func benchmarks() []benchmark {
 	return []benchmark{convergeBenchmark(), deltaBenchmark(), callsBenchmark(), overloadBenchmark(), faultsBenchmark(), onceBenchmark(), slopesBenchmark(), mutateBenchmark(), stormBenchmark()}
 }
@@ -56,18 +57,19 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// compile returns the snapshot of a text of makeText, and its encoding.
+// compile returns the snapshot of the text that makeText returns for the same
+// arguments, and its encoding.
 func compile(services, edit int) (*snapshot.Snapshot, []byte, error) {
 	s, err := text.Compile(makeText(services, edit))
 	if err != nil {
-		return nil, nil, errors.WithStack(err)
+		return nil, nil, errors.Wrap(err, "compiling the text")
 	}
 	b, err := snapshot.Encode(s)
-	return s, b, errors.WithStack(err)
+	return s, b, errors.Wrap(err, "encoding the snapshot")
 }
 
 // commitToStore commits an edit directly to the store and waits until all pollers
-// have read it. It returns their latencies.
+// have read it. It returns their latencies, counted from the acceptance of the edit.
 func commitToStore(ctx context.Context, st platform.Store, edit int, times *versionTimes, nodes int) ([]time.Duration, error) {
 	_, b, err := compile(convergeFlags.services, edit)
 	if err != nil {
@@ -75,7 +77,7 @@
 	}
 	hash := snapshot.Sum(b)
 	if err := st.PutObject(ctx, "whole-"+hash.String(), b); err != nil {
-		return nil, errors.WithStack(err)
+		return nil, errors.Wrap(err, "baseline: storing the snapshot")
 	}
 	result := platform.Apply(ctx, st, platform.Edit{
 		Audit: platform.Audit{Base: uint64(edit), Hash: hash.String(), Text: hash.String(), Write: fmt.Sprintf("bench-%08d", edit)},
