--- a/briarrockd/claim/claim.go
+++ b/briarrockd/claim/claim.go
@@ -114,7 +114,7 @@
 	Host    string
 	Metrics *metrics.Set
 	// Forward, if set, sends claims to the node that commits those of its
-	// failure domain: see gather.go.
+	// failure domain: see forward.go.
 	Forward Forward
 }
 
